--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,8 @@
 VENV := build/venv
 # More options for pytest, as .ci/run passes them.
 PYTEST_OPTIONS :=
+# Test files run side by side, one worker for each core up to six: the longest file bounds the time from there on.
+TEST_WORKERS := $(shell n=$$(nproc 2>/dev/null || echo 1); test $$n -gt 6 && echo 6 || echo $$n)
 STAMP := $(VENV)/.installed
 RUN := $(VENV)/bin/python -m sedgepitch
 
@@ -16,7 +18,7 @@
 	$(RUN) badday
 
 test: $(STAMP)
-	$(VENV)/bin/python -m pytest -q $(PYTEST_OPTIONS)
+	$(VENV)/bin/python -m pytest -q -n $(TEST_WORKERS) --dist loadfile $(PYTEST_OPTIONS)
 
 lint: $(STAMP)
 	$(VENV)/bin/ruff check .
