--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -13,11 +13,11 @@
 from importlib.resources import files
 
 from benchmarks.rig import Rig
-from sedgepitch import interface as api
 from sedgepitch.config.load import parse
-from sedgepitch.decide.door import Door, DoorSettings
-from sedgepitch.decide.entry import Admit, Arrival
-from sedgepitch.policy import Router
+from sedgepitch.decisions.admission.controller import Door, DoorSettings
+from sedgepitch.decisions.admission.messages import Admit, Arrival
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 from sedgepitch.structures.sketch import FadingSketch
 from sedgepitch.structures.wheel import Wheel
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -23,10 +23,10 @@
 
 from sedgepitch.audit.records import read as read_records
 from sedgepitch.audit.rules import ClassFacts, audit
-from sedgepitch.load.badday import BadDay, day_settings
-from sedgepitch.load.caller import Ask, Caller, Got, now
-from sedgepitch.load.processes import Burners, Stage
-from sedgepitch.standins.recorder import Recorder
+from sedgepitch.emulator.recorder import Recorder
+from sedgepitch.scenarios.fault_scenario import BadDay, day_settings
+from sedgepitch.scenarios.load_generator import Ask, Caller, Got, now
+from sedgepitch.scenarios.processes import Burners, Stage
 
 RATES = {"public": 1600.0, "council-a": 160.0, "council-b": 160.0, "stations": 30.0}
 READERS = ("public", "council-a", "council-b")
--- a/benchmarks/peer.py
+++ b/benchmarks/peer.py
@@ -17,7 +17,7 @@
 import bson
 import uvloop
 
-from sedgepitch.fronts.mongo import codec
+from sedgepitch.protocols.mongodb import codec
 
 STAMP = bson.Timestamp(1_000_000, 1)
 REPLY = b"\0" + bson.encode(
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -14,9 +14,9 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from sedgepitch.load.links import Link
-from sedgepitch.load.peerfleet import Peer, processor_time, until
 from sedgepitch.peers.keys import new_key_file
+from sedgepitch.scenarios.network_links import Link
+from sedgepitch.scenarios.peer_processes import Peer, processor_time, until
 
 
 def free_ports(count: int) -> list[int]:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -12,7 +12,7 @@
 
 import yaml
 
-from sedgepitch.load.processes import Process
+from sedgepitch.scenarios.processes import Process
 
 MEMBERS = 6
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -16,14 +16,14 @@
 
 from benchmarks.peer import REPLY, REQUEST
 from benchmarks.rig import Rig
-from sedgepitch import interface as api
 from sedgepitch.cli.daemon import group_finder
 from sedgepitch.config.load import parse
-from sedgepitch.fronts.mongo import codec
-from sedgepitch.fronts.mongo.commands import read
-from sedgepitch.fronts.mongo.member import read_reply
 from sedgepitch.observe.metrics import Metrics
-from sedgepitch.policy import Router
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.protocols.mongodb.commands import read
+from sedgepitch.protocols.mongodb.upstream import read_reply
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 
 REPEAT = 20_000
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -49,7 +49,12 @@
         "length": 20,
         "steps": [{"at": 4, "do": "slow", "zone": "south", "part": 0.34, "factor": 20, "for": 8}],
     },
-    "liar": {**BASE, "length": 20, "beside": ["-m tests.liar {name} {key} north lost {seed}"], "steps": []},
+    "liar": {
+        **BASE,
+        "length": 20,
+        "beside": ["-m tests.support.byzantine_peer {name} {key} north lost {seed}"],
+        "steps": [],
+    },
 }
 WAYS = {"together": [], "alone": ["--alone"], "told at once": ["--told"]}
 
--- a/sedgepitch/__init__.py
+++ b/sedgepitch/__init__.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from sedgepitch.policy import Router
+    from sedgepitch.routing.router import Router
 
 __all__ = ["Router"]
 
@@ -13,7 +13,7 @@
 def __getattr__(name: str) -> Any:
     """Load the module when it is asked for: a program that begins minds its signals first."""
     if name == "Router":
-        from sedgepitch.policy import Router
+        from sedgepitch.routing.router import Router
 
         return Router
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -13,23 +13,23 @@
 import structlog
 from twisted.web.resource import Resource
 
-from sedgepitch import interface as api
 from sedgepitch.config.models import Settings
 from sedgepitch.core.clock import ReactorClock
+from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.ledger import Account
-from sedgepitch.core.pool import PoolLimits
+from sedgepitch.core.request_table import Account
 from sedgepitch.core.types import Answer, Verdict
-from sedgepitch.decide.cursors import CursorTable
-from sedgepitch.decide.door import Door
-from sedgepitch.fleet.control import Addresses, ControlList
-from sedgepitch.fronts.mongo.client import ClientFactory, Context, close_at_members
-from sedgepitch.fronts.mongo.commands import Request
-from sedgepitch.fronts.mongo.member import MongoMembers
+from sedgepitch.decisions.admission.controller import Door
+from sedgepitch.decisions.cursors import CursorTable
+from sedgepitch.discovery.control_socket import Addresses, ControlList
 from sedgepitch.net import listener
 from sedgepitch.observe import log
 from sedgepitch.observe.metrics import Metrics
-from sedgepitch.policy import Router
+from sedgepitch.protocols.mongodb.client import ClientFactory, Context, close_at_members
+from sedgepitch.protocols.mongodb.commands import Request
+from sedgepitch.protocols.mongodb.upstream import MongoMembers
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 
 if TYPE_CHECKING:
     from sedgepitch.peers.service import Peers
@@ -157,7 +157,7 @@
 
     def _make_peers(self) -> Peers:
         """Know the other instances; raises KeyFileError. Imported only where the settings ask for it."""
-        from sedgepitch.decide.gossip import GossipSettings
+        from sedgepitch.decisions.gossip.protocol import GossipSettings
         from sedgepitch.peers.keys import load_keys
         from sedgepitch.peers.service import Peers, PeerSettings
 
@@ -173,7 +173,7 @@
 
     def _make_zones(self, peers: Peers) -> ZoneKeeper:
         """Leave zones, and come back to them, together with the peers."""
-        from sedgepitch.decide.zones import ZoneSettings
+        from sedgepitch.decisions.zones.weights import ZoneSettings
         from sedgepitch.peers.zones import ZoneKeeper
 
         told, rules = self.settings.zones, self.settings.rules
--- a/sedgepitch/cli/main.py
+++ b/sedgepitch/cli/main.py
@@ -182,7 +182,7 @@
     reactor = install(settings.driver.reactor)
     from twisted.internet.error import CannotListenError
 
-    from sedgepitch.standins.fleet import Fleet
+    from sedgepitch.emulator.fleet import Fleet
 
     fleet = Fleet(reactor, time.monotonic, settings.standins, list(settings.members))
     try:
@@ -223,7 +223,7 @@
     burners: int,
 ) -> None:
     """Play a bad day on loopback sockets and check the five rules from the recorded traffic."""
-    from sedgepitch.load.badday import BadDay, table
+    from sedgepitch.scenarios.fault_scenario import BadDay, table
 
     _play(
         lambda: BadDay(seed, length, script, keep, driver_module, slack=slack, burners=burners),
@@ -234,7 +234,7 @@
 
 def _play(make: Callable[[], Any], table: Callable[[dict[str, Any]], str], json_path: str | None) -> None:
     """Play a day and show its result; ends with 1 where a rule broke."""
-    from sedgepitch.load.badday import DayError
+    from sedgepitch.scenarios.fault_scenario import DayError
 
     try:
         result = make().run(progress=sys.stderr.isatty())
@@ -266,7 +266,7 @@
     slack: float,
 ) -> None:
     """Play a day of many drivers and members in zones, and check rules and zones from the records."""
-    from sedgepitch.load.fleetday import FleetDay, fleet_table, read_script
+    from sedgepitch.scenarios.fleet_scenario import FleetDay, fleet_table, read_script
 
     _play(
         lambda: FleetDay(read_script(script), seed, not alone and not told, told, keep, drivers, slack),
--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -7,10 +7,10 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from sedgepitch import interface as api
 from sedgepitch.config.units import Address, Bytes, Seconds
-from sedgepitch.decide.classify import Classifier, Match, Rule, variants
-from sedgepitch.decide.door import DoorSettings
+from sedgepitch.decisions.admission.controller import DoorSettings
+from sedgepitch.decisions.request_classes import Classifier, Match, Rule, variants
+from sedgepitch.routing import messages as api
 
 
 class Model(BaseModel):
--- a/sedgepitch/core/pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from sedgepitch.core.types import AttemptEnd, Clock, Ended
-from sedgepitch.interface import Result
+from sedgepitch.routing.messages import Result
 
 NEVER = float("inf")
 LINGER = 1.0  # s that an answer nobody waits for is waited for, before its connection is closed
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -6,9 +6,9 @@
 what the next look at the sockets brings, so a driver that stood still finds its answers first.
 
 The driver's own delay is part of every promise. A request's time counts from the arrival of its bytes; all
-deadlines are looked at together, each tick, as much earlier as `decide/pace.py` says that this driver is
-late; and whoever's time is wholly up is answered before a new request is read. A decision that could not be
-carried out for longer than `handover` is taken back and made anew.
+deadlines are looked at together, each tick, as much earlier as `decisions/event_loop_lag.py` says that this
+driver is late; and whoever's time is wholly up is answered before a new request is read. A decision that
+could not be carried out for longer than `handover` is taken back and made anew.
 
 What a front, a log or an observer raises never stops a turn: see `_guarded`.
 """
@@ -20,8 +20,7 @@
 from heapq import heapify, heappop, heappush
 from typing import TYPE_CHECKING, Any
 
-from sedgepitch import interface as api
-from sedgepitch.core.ledger import Account, Ledger
+from sedgepitch.core.request_table import Account, Ledger
 from sedgepitch.core.types import (
     Answer,
     Answered,
@@ -33,14 +32,15 @@
     Members,
     Verdict,
 )
-from sedgepitch.decide.entry import Admit, Arrival, Decision
-from sedgepitch.decide.ownload import OwnLimit
-from sedgepitch.decide.pace import COME_BACK, Pace
-from sedgepitch.interface import Effect, Freshness, Marks, Result
-from sedgepitch.policy import Router
+from sedgepitch.decisions.admission.messages import Admit, Arrival, Decision
+from sedgepitch.decisions.admission.process_concurrency_limit import OwnLimit
+from sedgepitch.decisions.event_loop_lag import COME_BACK, Pace
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Effect, Freshness, Marks, Result
+from sedgepitch.routing.router import Router
 
 if TYPE_CHECKING:
-    from sedgepitch.decide.door import Door
+    from sedgepitch.decisions.admission.controller import Door
 
 TICK = 0.01  # s between looks at deadlines and at what the door holds, while an answer is owed
 LEAST_TIME = 0.02  # s beyond the driver's own delay below which a request is refused on arrival
@@ -197,7 +197,7 @@
             door.own_limit = self.own.limit
 
     def unread(self, waited: float, tenant: str) -> bool:
-        """Whether a request that waited so long is refused without being read (decide/ownload.py)."""
+        """Whether a request that waited so long is refused unread (see `process_concurrency_limit`)."""
         busiest = self.door is None or tenant == self.door.busiest
         if not self.own.swamped(waited, busiest):
             return False
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from sedgepitch.interface import Listing, Report, Result
+from sedgepitch.routing.messages import Listing, Report, Result
 
 
 class Verdict(Enum):
--- a/sedgepitch/decide/door.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -22,10 +22,10 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-from sedgepitch.decide.calendar import Calendar
-from sedgepitch.decide.capacity import RoomLimit
-from sedgepitch.decide.entry import Admit, Arrival, Decision, TurnAway
-from sedgepitch.decide.fairqueue import FairQueue, Held
+from sedgepitch.decisions.admission.capacity_estimate import RoomLimit
+from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
+from sedgepitch.decisions.admission.messages import Admit, Arrival, Decision, TurnAway
+from sedgepitch.decisions.admission.reservations import Calendar
 from sedgepitch.structures.sketch import FadingSketch
 from sedgepitch.structures.wheel import Entry, Wheel
 
--- /dev/null
+++ b/sedgepitch/decisions/connections/__init__.py
@@ -0,0 +1,1 @@
+"""Connection decisions: which client connections to keep, the descriptor budget, graceful shutdown."""
--- a/sedgepitch/decide/membership.py
+++ b/sedgepitch/decisions/discovery/list_versions.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from sedgepitch.interface import Listing, Members, State
+from sedgepitch.routing.messages import Listing, Members, State
 
 Address = tuple[str, int]
 
--- a/sedgepitch/decide/pace.py
+++ b/sedgepitch/decisions/event_loop_lag.py
@@ -13,7 +13,7 @@
 
 What the reserve is for: answers are decided earlier by it; a request with less time than it is refused on
 arrival, with the time at which the reserve should have passed. It does not touch freshness, where a promise
-would be worth nothing: there the time from decision to hand-over is measured (`core/pool.py`).
+would be worth nothing: there the time from decision to hand-over is measured (`core/connection_pool.py`).
 """
 
 from __future__ import annotations
--- a/sedgepitch/decide/classify.py
+++ b/sedgepitch/decisions/request_classes.py
@@ -13,7 +13,7 @@
 from fnmatch import translate
 from typing import ClassVar
 
-from sedgepitch.interface import Effect, Freshness, RequestClass
+from sedgepitch.routing.messages import Effect, Freshness, RequestClass
 
 FRESH, SESSION, UNSAFE = "/fresh", "/session", "/unsafe"
 
--- a/sedgepitch/decide/orders.py
+++ b/sedgepitch/decisions/zones/operator_commands.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from sedgepitch.decide.evidence import MOST_BODY, MOST_NAME, MOST_ZONES
+from sedgepitch.decisions.zones.digests import MOST_BODY, MOST_NAME, MOST_ZONES
 
 LEAVE, RETURN = "leave", "return"
 MOST_NUMBER = 1 << 53
--- a/sedgepitch/decide/zones.py
+++ b/sedgepitch/decisions/zones/weights.py
@@ -28,7 +28,7 @@
 from math import ceil, exp, sqrt
 from operator import or_
 
-from sedgepitch.decide.evidence import (
+from sedgepitch.decisions.zones.digests import (
     FAILING,
     LOST_MEMBERS,
     SPAN,
@@ -40,7 +40,7 @@
     parts,
     votes,
 )
-from sedgepitch.decide.orders import Order
+from sedgepitch.decisions.zones.operator_commands import Order
 
 FRESH_FOR = 10.0  # s; an older digest is not heard
 TRY_RATE = 1.0  # requests a second that one who tries may send whatever its part is: any member bears that
--- a/sedgepitch/fleet/catalog.py
+++ b/sedgepitch/discovery/client.py
@@ -1,7 +1,7 @@
 """Discovery on the platform: watches over HTTP/1.1 on the list of members, JSON objects one after another.
 
-The wire is h11's, which does no I/O. What the versions mean is `decide/membership.py`'s; which watches are
-held, when another is opened and which one is let go, `decide/watches.py`'s. Here are the sockets.
+The wire is h11's, which does no I/O. What the versions mean is `decisions/discovery/list_versions.py`'s;
+which watches are held, opened and let go is `decisions/discovery/watch_streams.py`'s. Here are the sockets.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from twisted.python.failure import Failure
 
 from sedgepitch.core.types import Clock
-from sedgepitch.decide.membership import Address, Entry, Version
-from sedgepitch.decide.watches import Watches
-from sedgepitch.interface import State
+from sedgepitch.decisions.discovery.list_versions import Address, Entry, Version
+from sedgepitch.decisions.discovery.watch_streams import Watches
 from sedgepitch.net.connecting import connect
+from sedgepitch.routing.messages import State
 
 CONNECT_WITHIN = 1.0  # s; discovery stands on this machine
 MOST_OBJECT = 4 * 1024 * 1024  # bytes
--- a/sedgepitch/fleet/control.py
+++ b/sedgepitch/discovery/control_socket.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from sedgepitch.core.types import Clock
-from sedgepitch.interface import Listing, State
+from sedgepitch.routing.messages import Listing, State
 
 
 class BadList(ValueError):
--- a/sedgepitch/standins/fleet.py
+++ b/sedgepitch/emulator/fleet.py
@@ -16,10 +16,10 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
+from sedgepitch.emulator.recorder import Recorder
+from sedgepitch.emulator.replica_group import Group
+from sedgepitch.emulator.server import Member, Trap
 from sedgepitch.net.listener import listen
-from sedgepitch.standins.group import Group
-from sedgepitch.standins.member import Member, Trap
-from sedgepitch.standins.recorder import Recorder
 
 
 class BadFault(ValueError):
--- a/sedgepitch/standins/group.py
+++ b/sedgepitch/emulator/replica_group.py
@@ -2,7 +2,7 @@
 
 The log is one list that survives every failover: a write is acknowledged once a replica has received it, and
 what was not acknowledged may survive, too. Rolled back branches are therefore not played here; they are
-covered by the property tests of decide/positions.py.
+covered by the property tests of decisions/positions.py.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Generic, Protocol, TypeVar
 
-from sedgepitch.standins.store import Effect, Store
+from sedgepitch.emulator.document_store import Effect, Store
 
 
 @dataclass(slots=True, frozen=True)
--- a/sedgepitch/standins/member.py
+++ b/sedgepitch/emulator/server.py
@@ -17,13 +17,13 @@
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.fronts.mongo import codec
-from sedgepitch.fronts.mongo.codec import Message, WireError
-from sedgepitch.fronts.mongo.framing import FrameReceiver
+from sedgepitch.emulator.document_store import CommandError, Document, Store
+from sedgepitch.emulator.recorder import Recorder
+from sedgepitch.emulator.replica_group import Group
 from sedgepitch.net.listener import listen
-from sedgepitch.standins.group import Group
-from sedgepitch.standins.recorder import Recorder
-from sedgepitch.standins.store import CommandError, Document, Store
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.protocols.mongodb.codec import Message, WireError
+from sedgepitch.protocols.mongodb.framing import FrameReceiver
 
 WRITES = ("insert", "update", "delete", "findAndModify", "findandmodify")
 READS = ("find", "aggregate", "count", "distinct", "listCollections", "listDatabases")
--- a/sedgepitch/model/gossipnet.py
+++ b/sedgepitch/model/gossipnet.py
@@ -1,4 +1,4 @@
-"""Many peers of `decide/gossip` on a network in virtual time: loss, delay, cuts, frozen and killed peers.
+"""Many gossip peers on a network in virtual time: loss, delay, cuts, frozen and killed peers.
 
 `python -m sedgepitch.model.gossipnet` prints detection times, false suspicions and bytes; simulated figures.
 """
@@ -12,8 +12,8 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from sedgepitch.decide import gossip
-from sedgepitch.decide.gossip import Address, Gossip, GossipSettings, Knock, Life, Say
+from sedgepitch.decisions.gossip import protocol as gossip
+from sedgepitch.decisions.gossip.protocol import Address, Gossip, GossipSettings, Knock, Life, Say
 
 OVERHEAD = 40  # bytes of a datagram beside its news: version, tag, names, counters
 
--- a/sedgepitch/net/stamps.py
+++ b/sedgepitch/net/stamps.py
@@ -2,7 +2,8 @@
 
 A stamp is compared with the wall clock at the read, so a clock that is set ahead while bytes lie unread makes
 them look as old as the step is large: requests seem out of time, and the driver seems seconds late, which
-refuses everything for as long as `decide/pace.py` remembers. (A machine that was suspended does the same.)
+refuses everything for as long as `decisions/event_loop_lag.py` remembers. (A machine that was suspended does
+the same.)
 Set back, they look newer than they are, which costs no more than not knowing.
 
 All times are seconds; `wall` since the epoch, the others monotonic.
--- a/sedgepitch/node/config.py
+++ b/sedgepitch/node/config.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sedgepitch import interface as api
-from sedgepitch.decide.membership import Address, Version
-from sedgepitch.fleet.catalog import BadVersion, read_address, read_version
+from sedgepitch.decisions.discovery.list_versions import Address, Version
+from sedgepitch.discovery.client import BadVersion, read_address, read_version
+from sedgepitch.routing import messages as api
 from sedgepitch.settings import BadSettings, number, translate_settings
 
 MOST_BYTES = 16 * 1024 * 1024
--- a/sedgepitch/node/driver.py
+++ b/sedgepitch/node/driver.py
@@ -8,22 +8,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from sedgepitch import interface as api
 from sedgepitch.core.clock import ReactorClock
+from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.pool import PoolLimits
-from sedgepitch.decide.descriptors import Descriptors
-from sedgepitch.decide.ending import Ending
-from sedgepitch.decide.membership import Membership, Version
-from sedgepitch.fleet.catalog import Catalog
-from sedgepitch.fronts.postgres.client import ClientFactory, Front
-from sedgepitch.fronts.postgres.closing import CloseReport
-from sedgepitch.fronts.postgres.member import PgMembers
+from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.decisions.connections.shutdown_schedule import Ending
+from sedgepitch.decisions.discovery.list_versions import Membership, Version
+from sedgepitch.discovery.client import Catalog
 from sedgepitch.net.listener import AcceptProblem, Listener, listen
 from sedgepitch.node.config import Config
 from sedgepitch.node.lines import Lines
 from sedgepitch.node.opening import PortOpening
-from sedgepitch.policy import Router
+from sedgepitch.protocols.postgresql.client import ClientFactory, Front
+from sedgepitch.protocols.postgresql.close_reasons import CloseReport
+from sedgepitch.protocols.postgresql.upstream import PgMembers
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 
 HANDOVER = 0.04  # s that a decision which ages may take to leave; the rules on sockets leave 50 ms
 IDLE_SHARE = 0.8  # of the time after which members close idle connections
@@ -171,7 +171,7 @@
             self.lines.say("reload.kept", fields=",".join(kept), why="they take a restart")
 
     def stop(self, done: Callable[[], None]) -> None:
-        """End in order; calls back once nothing is owed. The times are `decide/ending.py`'s."""
+        """End in order; calls back once nothing is owed. See `shutdown_schedule`."""
         now = self.clock.now()
         ending = Ending(now, max(c.deadline for c in self.config.settings.classes))
         self.front.ends(ending)
--- a/sedgepitch/node/trace.py
+++ b/sedgepitch/node/trace.py
@@ -7,9 +7,9 @@
 from enum import Enum
 from typing import Any
 
-from sedgepitch import interface as api
 from sedgepitch.node.lines import Trace
-from sedgepitch.policy import Router
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 
 
 def plain(value: Any) -> Any:
--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -7,7 +7,7 @@
 from prometheus_client.registry import Collector
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.ledger import Account
+from sedgepitch.core.request_table import Account
 from sedgepitch.core.types import Answer
 
 BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
--- a/sedgepitch/peers/__main__.py
+++ b/sedgepitch/peers/__main__.py
@@ -18,7 +18,7 @@
 import click
 
 from sedgepitch.config.units import address
-from sedgepitch.decide.gossip import GossipSettings
+from sedgepitch.decisions.gossip.protocol import GossipSettings
 from sedgepitch.peers.keys import KeyFileError, load_keys
 
 
--- a/sedgepitch/peers/service.py
+++ b/sedgepitch/peers/service.py
@@ -1,4 +1,4 @@
-"""One peer on sockets: datagrams and short streams, carried to and from `decide/gossip`. Decides nothing.
+"""One peer on sockets: datagrams and short streams, carried to and from `decisions/gossip`. Decides nothing.
 
 What came while this process stood still is not read as news: datagrams that wait in the socket at a late turn
 are dropped, streams that were open are closed.
@@ -19,9 +19,9 @@
 from twisted.python.failure import Failure
 
 from sedgepitch.core.types import Clock
-from sedgepitch.decide import gossip
-from sedgepitch.decide.gossip import Address, Gossip, GossipSettings, Knock, Say, Sync
-from sedgepitch.decide.replay import Sessions, Verdict
+from sedgepitch.decisions.gossip import protocol as gossip
+from sedgepitch.decisions.gossip.protocol import Address, Gossip, GossipSettings, Knock, Say, Sync
+from sedgepitch.decisions.gossip.replay_protection import Sessions, Verdict
 from sedgepitch.net.listener import listen
 from sedgepitch.peers import wire
 from sedgepitch.peers.keys import Sealer
--- a/sedgepitch/peers/wire.py
+++ b/sedgepitch/peers/wire.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from sedgepitch.decide.gossip import Ack, Ask, Nack, Ping, State, Tell
+from sedgepitch.decisions.gossip.protocol import Ack, Ask, Nack, Ping, State, Tell
 from sedgepitch.peers.keys import BadSeal, Sealer
 
 MOST_DATAGRAM = 1400  # bytes
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -1,6 +1,6 @@
 """Zones on a running driver: tells the own digest, hears the others', and tells the module the shares.
 
-What is decided stands in `decide/`: evidence, zones, orders. This file has the timer, the words, the
+What is decided stands in `decisions/zones`. This file has the timer, the words, the
 hand-over to the engine, and what an operator is shown or orders.
 """
 
@@ -13,17 +13,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sedgepitch import interface as api
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import Clock
-from sedgepitch.decide import evidence, orders
-from sedgepitch.decide.evidence import Digest, Evidence
-from sedgepitch.decide.gossip import Life
-from sedgepitch.decide.orders import Orders
-from sedgepitch.decide.zones import FRESH_FOR, State, View, Zones, ZoneSettings
-from sedgepitch.interface import Result
+from sedgepitch.decisions.gossip.protocol import Life
+from sedgepitch.decisions.zones import digests as evidence
+from sedgepitch.decisions.zones import operator_commands as orders
+from sedgepitch.decisions.zones.digests import Digest, Evidence
+from sedgepitch.decisions.zones.operator_commands import Orders
+from sedgepitch.decisions.zones.weights import FRESH_FOR, State, View, Zones, ZoneSettings
 from sedgepitch.peers.keys import BadSeal
 from sedgepitch.peers.service import Peers
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result
 
 LOOK = 0.1  # s between looks at the own evidence
 LEAST_GAP = 0.2  # s between two tellings of the own digest
--- a/sedgepitch/fronts/mongo/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -19,15 +19,15 @@
 from zope.interface import implementer
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.ledger import Account
+from sedgepitch.core.request_table import Account
 from sedgepitch.core.types import Answer, Clock, Command, Verdict
-from sedgepitch.decide.classify import Classifier
-from sedgepitch.decide.cursors import Cursor, CursorTable, may_go_on
-from sedgepitch.fronts.mongo import bsonwalk, codec, errors
-from sedgepitch.fronts.mongo.codec import Message, WireError
-from sedgepitch.fronts.mongo.commands import BadCommand, Kind, Request, read
-from sedgepitch.fronts.mongo.framing import FrameReceiver
-from sedgepitch.fronts.mongo.member import MemberReply, MongoMembers, Plain
+from sedgepitch.decisions.cursors import Cursor, CursorTable, may_go_on
+from sedgepitch.decisions.request_classes import Classifier
+from sedgepitch.protocols.mongodb import bsonwalk, codec, errors
+from sedgepitch.protocols.mongodb.codec import Message, WireError
+from sedgepitch.protocols.mongodb.commands import BadCommand, Kind, Request, read
+from sedgepitch.protocols.mongodb.framing import FrameReceiver
+from sedgepitch.protocols.mongodb.upstream import MemberReply, MongoMembers, Plain
 
 READ_AHEAD = 256 * 1024  # bytes that a client may send ahead before its socket is left unread
 WIRE_VERSIONS = (0, 21)
--- a/sedgepitch/fronts/mongo/codec.py
+++ b/sedgepitch/protocols/mongodb/codec.py
@@ -16,7 +16,7 @@
 import snappy
 import zstandard
 
-from sedgepitch.fronts.mongo.bsonwalk import BadDocument, document_end
+from sedgepitch.protocols.mongodb.bsonwalk import BadDocument, document_end
 
 HEADER = struct.Struct("<iiii")
 OP_REPLY, OP_QUERY, OP_COMPRESSED, OP_MSG = 1, 2004, 2012, 2013
--- a/sedgepitch/fronts/mongo/commands.py
+++ b/sedgepitch/protocols/mongodb/commands.py
@@ -12,10 +12,10 @@
 
 import bson
 
-from sedgepitch.decide.classify import Facts
-from sedgepitch.fronts.mongo import bsonwalk
-from sedgepitch.fronts.mongo.bsonwalk import BadDocument, Element
-from sedgepitch.fronts.mongo.codec import Message
+from sedgepitch.decisions.request_classes import Facts
+from sedgepitch.protocols.mongodb import bsonwalk
+from sedgepitch.protocols.mongodb.bsonwalk import BadDocument, Element
+from sedgepitch.protocols.mongodb.codec import Message
 
 Stamp = tuple[int, int]  # a BSON timestamp: seconds, increment
 
--- a/sedgepitch/fronts/mongo/framing.py
+++ b/sedgepitch/protocols/mongodb/framing.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.protocols.basic import _PauseableMixin
 
-from sedgepitch.fronts.mongo.codec import LEAST_BYTES, MOST_BYTES
+from sedgepitch.protocols.mongodb.codec import LEAST_BYTES, MOST_BYTES
 
 _LENGTH = struct.Struct("<i")
 
--- a/sedgepitch/fronts/mongo/member.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -14,15 +14,15 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.core.pool import Pool, PoolLimits
+from sedgepitch.core.connection_pool import Pool, PoolLimits
 from sedgepitch.core.types import AttemptEnd, Clock, Ended, Exchange
-from sedgepitch.decide.positions import GroupPositions, Sighting, Stamp
-from sedgepitch.fronts.mongo import bsonwalk, codec
-from sedgepitch.fronts.mongo.codec import Message, WireError
-from sedgepitch.fronts.mongo.framing import FrameReceiver
-from sedgepitch.interface import Listing, Report, Result
+from sedgepitch.decisions.positions import GroupPositions, Sighting, Stamp
 from sedgepitch.net import transport
 from sedgepitch.net.connecting import Opening
+from sedgepitch.protocols.mongodb import bsonwalk, codec
+from sedgepitch.protocols.mongodb.codec import Message, WireError
+from sedgepitch.protocols.mongodb.framing import FrameReceiver
+from sedgepitch.routing.messages import Listing, Report, Result
 
 NOT_PRIMARY = (10107, 10058, 13435, 13436)  # turned away untouched: not the primary, or not readable
 ROLE_LOST = (189, 11602)  # stepped down meanwhile: it may have had an effect
--- a/sedgepitch/fronts/postgres/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -18,17 +18,17 @@
 from zope.interface import implementer
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.ledger import Account
+from sedgepitch.core.request_table import Account
 from sedgepitch.core.types import Answer, Clock, Command, Verdict
-from sedgepitch.decide.descriptors import Descriptors
-from sedgepitch.decide.ending import Ending
-from sedgepitch.decide.visitors import Visitors
-from sedgepitch.fronts.postgres import codec, statements
-from sedgepitch.fronts.postgres.closing import CloseLog, CloseReason, CloseReport
-from sedgepitch.fronts.postgres.codec import BadMessage, Reader
-from sedgepitch.fronts.postgres.statements import BadStatement, Statement
-from sedgepitch.interface import Freshness, RequestClass
+from sedgepitch.decisions.connections.client_connections import Visitors
+from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.decisions.connections.shutdown_schedule import Ending
 from sedgepitch.net import transport
+from sedgepitch.protocols.postgresql import codec, statements
+from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason, CloseReport
+from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
+from sedgepitch.protocols.postgresql.statements import BadStatement, Statement
+from sedgepitch.routing.messages import Freshness, RequestClass
 
 ANSWER_MARGIN = 0.015  # s before the client's time is up at which its answer is decided; more than a tick
 READ_AHEAD = 64 * 1024  # bytes that any client may send ahead before its socket is left unread
--- a/sedgepitch/fronts/postgres/statements.py
+++ b/sedgepitch/protocols/postgresql/statements.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from sedgepitch.interface import Effect, Freshness, RequestClass
+from sedgepitch.routing.messages import Effect, Freshness, RequestClass
 
 MOST_TIME = 3_600_000.0  # ms; a longer wait than this is a mistake
 MOST_GROUP = 2**31
--- a/sedgepitch/fronts/postgres/member.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -15,13 +15,13 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.core.pool import Pool, PoolLimits, Room
+from sedgepitch.core.connection_pool import Pool, PoolLimits, Room
 from sedgepitch.core.types import AttemptEnd, Clock, Ended, Exchange
-from sedgepitch.fronts.postgres import codec
-from sedgepitch.fronts.postgres.codec import BadMessage, Reader
-from sedgepitch.interface import Listing, Report, Result, State
 from sedgepitch.net import transport
 from sedgepitch.net.connecting import Opening
+from sedgepitch.protocols.postgresql import codec
+from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
+from sedgepitch.routing.messages import Listing, Report, Result, State
 from sedgepitch.settings import report as read_report
 
 MISSES = ("25006", "72000")  # no primary, or too far behind: no effect
--- a/sedgepitch/policy.py
+++ b/sedgepitch/routing/router.py
@@ -1,7 +1,7 @@
 """Every decision of sedgepitch: which member answers a request, when, and when it is turned away.
 
-The types, events and actions stand in ``sedgepitch/interface.py``. A Router is a pure state machine: the
-same settings, seed and events give the same actions. docs/design.md says what is the paper's and what ours.
+The types, events and actions stand in ``routing/messages.py``. A Router is a pure state machine: the same
+settings, seed and events give the same actions. docs/design.md says what is the paper's and what ours.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from itertools import islice
 from statistics import median
 
-from sedgepitch import interface as api
-from sedgepitch.interface import Checks, Effect, Freshness, Marks, Result, Scope, State
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Checks, Effect, Freshness, Marks, Result, Scope, State
 
 # The mechanism (paper: Huang et al.; "ours" where the paper or the design page leaves it open).
 PERIOD = 5.0  # s between comparisons of the two sides; ours, the paper has 60
--- a/sedgepitch/load/badday.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -22,9 +22,9 @@
 
 from sedgepitch.audit.records import read as read_records
 from sedgepitch.audit.rules import ClassFacts, Figures, Roles, audit
-from sedgepitch.load.caller import Ask, Caller, Got, now
-from sedgepitch.load.processes import Burners, ProcessError, Stage
-from sedgepitch.standins.recorder import Recorder
+from sedgepitch.emulator.recorder import Recorder
+from sedgepitch.scenarios.load_generator import Ask, Caller, Got, now
+from sedgepitch.scenarios.processes import Burners, ProcessError, Stage
 
 DRIVERS = 3
 RATE = 240.0  # requests a second over all drivers, on a quiet stretch
@@ -145,7 +145,9 @@
     def _script(self, path: str | None) -> list[dict[str, Any]]:
         try:
             if path is None:
-                text = files("sedgepitch.load").joinpath("badday.yaml").read_text(encoding="utf-8")
+                text = (
+                    files("sedgepitch.scenarios").joinpath("fault_scenario.yaml").read_text(encoding="utf-8")
+                )
             else:
                 text = Path(path).read_text(encoding="utf-8")
             raw = yaml.safe_load(text)
--- a/sedgepitch/load/fleetday.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -26,11 +26,11 @@
 import yaml
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from sedgepitch.load.badday import BadDay, DayError, Kind, day_settings, table
-from sedgepitch.load.caller import Got, now
-from sedgepitch.load.links import Link
-from sedgepitch.load.peerfleet import processor_time
 from sedgepitch.peers.keys import load_keys, new_key_file
+from sedgepitch.scenarios.fault_scenario import BadDay, DayError, Kind, day_settings, table
+from sedgepitch.scenarios.load_generator import Got, now
+from sedgepitch.scenarios.network_links import Link
+from sedgepitch.scenarios.peer_processes import processor_time
 
 PATIENCE = 30.0  # s that a step waits at most for what has to be said before it
 LOOK = 0.2  # s between looks at what was said
@@ -96,7 +96,7 @@
     """Read a script, or the one that comes with the package. Raises DayError with its place."""
     try:
         if path is None:
-            text = files("sedgepitch.load").joinpath("fleetday.yaml").read_text(encoding="utf-8")
+            text = files("sedgepitch.scenarios").joinpath("fleet_scenario.yaml").read_text(encoding="utf-8")
         else:
             text = Path(path).read_text(encoding="utf-8")
         return Script.model_validate(yaml.safe_load(text))
--- a/sedgepitch/load/caller.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -15,11 +15,11 @@
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.fronts.mongo import codec
-from sedgepitch.fronts.mongo.codec import WireError
-from sedgepitch.fronts.mongo.framing import FrameReceiver
+from sedgepitch.emulator.recorder import Recorder
 from sedgepitch.net.connecting import connect
-from sedgepitch.standins.recorder import Recorder
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.protocols.mongodb.codec import WireError
+from sedgepitch.protocols.mongodb.framing import FrameReceiver
 
 now = time.monotonic
 
--- a/sedgepitch/settings.py
+++ b/sedgepitch/settings.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any
 
-from sedgepitch import interface as api
+from sedgepitch.routing import messages as api
 
 Wire = dict[str, Any]
 
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from sedgepitch import interface as api
-from sedgepitch.policy import Router
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 from sedgepitch.settings import NUMBER, Wire, report, take, translate_settings
 from sedgepitch.settings import BadSettings as WireError
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,8 @@
 import yaml
 from hypothesis import settings
 
-from sedgepitch.load.processes import stage
-from tests.platform import Platform
+from sedgepitch.scenarios.processes import stage
+from tests.support.platform import Platform
 
 # The same examples each time: a verdict must not depend on the day. New seeds are tried by hand, with
 # `--hypothesis-profile default --hypothesis-seed N`; what they find becomes a test of its own.
--- a/tests/liar.py
+++ b/tests/support/byzantine_peer.py
@@ -1,4 +1,6 @@
-"""A peer with the right key that lies: `python -m tests.liar NAME KEY ZONE SAYS SEED [NAME=ROUTE ...]`.
+"""A Byzantine peer with the right key.
+
+Run as `python -m tests.support.byzantine_peer NAME KEY ZONE SAYS SEED [NAME=ROUTE ...]`.
 
 It joins the drivers' gossip and tells, over and over, that every zone but its own is lost, or that all are
 well, with a demand beyond all others'. It says `ready` once it listens.
@@ -17,8 +19,8 @@
     reactor = install("uvloop")
     from sedgepitch.config.units import address
     from sedgepitch.core.clock import ReactorClock
-    from sedgepitch.decide.evidence import Digest, Row, Stance, encode
-    from sedgepitch.decide.gossip import GossipSettings
+    from sedgepitch.decisions.gossip.protocol import GossipSettings
+    from sedgepitch.decisions.zones.digests import Digest, Row, Stance, encode
     from sedgepitch.peers.keys import load_keys
     from sedgepitch.peers.service import Peers, PeerSettings
 
--- a/tests/culprit.py
+++ b/tests/support/faulty_proxies.py
@@ -1,6 +1,9 @@
-"""Drivers with one guard removed each, which the audit must convict: `python -m tests.culprit serve ...`.
+"""Proxies with one guard removed each, which the audit must convict.
 
-The environment variable CULPRIT numbers the guard that is gone; 1 to 5 are the rules'. Run by test_badday.py.
+Run as `python -m tests.support.faulty_proxies serve ...`.
+
+The environment variable CULPRIT numbers the guard that is gone; 1 to 5 are the rules'. Run by
+test_fault_scenario.py.
 """
 
 from __future__ import annotations
@@ -9,9 +12,9 @@
 
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
-from sedgepitch.fronts.mongo.client import ClientConnection
-from sedgepitch.interface import State
-from sedgepitch.policy import Router
+from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.routing.messages import State
+from sedgepitch.routing.router import Router
 
 
 def lose_requests() -> None:
--- a/tests/front.py
+++ b/tests/support/mongodb_harness.py
@@ -10,18 +10,18 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from sedgepitch import interface as api
 from sedgepitch.cli.daemon import group_finder
 from sedgepitch.config.load import parse
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import AttemptEnd
-from sedgepitch.decide.cursors import CursorTable
-from sedgepitch.decide.positions import GroupPositions
-from sedgepitch.fronts.mongo import bsonwalk, codec
-from sedgepitch.fronts.mongo.client import ClientConnection, Context
-from sedgepitch.fronts.mongo.member import MemberReply
-from sedgepitch.policy import Router
+from sedgepitch.decisions.cursors import CursorTable
+from sedgepitch.decisions.positions import GroupPositions
+from sedgepitch.protocols.mongodb import bsonwalk, codec
+from sedgepitch.protocols.mongodb.client import ClientConnection, Context
+from sedgepitch.protocols.mongodb.upstream import MemberReply
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
 
 EXAMPLE = files("sedgepitch.config").joinpath("example.yaml").read_text()
 
--- a/tests/platform.py
+++ b/tests/support/platform.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-from sedgepitch.fronts.postgres import codec
+from sedgepitch.protocols.postgresql import codec
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 WITHIN = 30.0  # s; generous, nothing waits for it unless something is broken
 SETUP = {
     "az": "a",
--- a/tests/pg.py
+++ b/tests/support/postgresql_harness.py
@@ -7,17 +7,17 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from sedgepitch import interface as api
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import AttemptEnd
-from sedgepitch.decide.descriptors import Descriptors
-from sedgepitch.fronts.postgres import codec
-from sedgepitch.fronts.postgres.client import ClientConnection, Front
-from sedgepitch.fronts.postgres.codec import Reader
-from sedgepitch.policy import Router
-from tests.front import PlayedMembers
-from tests.helpers import SETTINGS, listing
+from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.protocols.postgresql import codec
+from sedgepitch.protocols.postgresql.client import ClientConnection, Front
+from sedgepitch.protocols.postgresql.codec import Reader
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.router import Router
+from tests.support.mongodb_harness import PlayedMembers
+from tests.support.router_harness import SETTINGS, listing
 
 WALL = 1_000_000.0  # s that Unix time is ahead of the tests' clock
 
--- a/tests/helpers.py
+++ b/tests/support/router_harness.py
@@ -4,9 +4,9 @@
 
 from dataclasses import replace
 
-from sedgepitch import interface as api
-from sedgepitch.interface import Effect, Freshness, Result, Scope, State
-from sedgepitch.policy import Router
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Effect, Freshness, Result, Scope, State
+from sedgepitch.routing.router import Router
 
 
 def make_class(name: str, freshness: Freshness, **changes) -> api.RequestClass:
--- a/tests/transport_case.py
+++ b/tests/support/transport_case.py
@@ -1,4 +1,7 @@
-"""One case on its own reactor: `python -m tests.transport_case REACTOR CASE` prints what came of it."""
+"""One case on its own reactor.
+
+`python -m tests.support.transport_case REACTOR CASE` prints what came of it.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_door.py
+++ b/tests/test_admission.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 
 from sedgepitch.core.types import Command, Verdict
-from sedgepitch.decide.calendar import GRACE, SLOT, Calendar
-from sedgepitch.decide.door import LEAST_ALLOWANCE, Door, DoorSettings
-from sedgepitch.decide.entry import Admit, Arrival, TurnAway
-from sedgepitch.decide.fairqueue import FairQueue, Held
-from tests.front import Front
+from sedgepitch.decisions.admission.controller import LEAST_ALLOWANCE, Door, DoorSettings
+from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
+from sedgepitch.decisions.admission.messages import Admit, Arrival, TurnAway
+from sedgepitch.decisions.admission.reservations import GRACE, SLOT, Calendar
+from tests.support.mongodb_harness import Front
 
 
 def arrival(number: int, tenant: str = "a", **changes) -> Arrival:
--- a/tests/test_door_aims.py
+++ b/tests/test_admission_objectives.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from sedgepitch.decide.door import Door, DoorSettings
-from sedgepitch.decide.entry import Admit, TurnAway
-from tests.test_door import Fleet, arrival
+from sedgepitch.decisions.admission.controller import Door, DoorSettings
+from sedgepitch.decisions.admission.messages import Admit, TurnAway
+from tests.test_admission import Fleet, arrival
 
 AIM = 0.2
 
--- a/tests/test_growth.py
+++ b/tests/test_bounds.py
@@ -5,12 +5,12 @@
 import signal
 import time
 
-from sedgepitch import interface as api
-from sedgepitch.decide import watches
-from sedgepitch.interface import Result, State
-from tests.helpers import Rig, listing, sends
-from tests.pg import Stage, read, write
-from tests.platform import WITHIN, Member, Platform, look
+from sedgepitch.decisions.discovery import watch_streams as watches
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result, State
+from tests.support.platform import WITHIN, Member, Platform, look
+from tests.support.postgresql_harness import Stage, read, write
+from tests.support.router_harness import Rig, listing, sends
 
 
 def sizes(held: object, seen: set[int] | None = None, depth: int = 4) -> int:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity_estimate.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from sedgepitch.decide.capacity import LEAST, RoomLimit
-from sedgepitch.decide.ownload import LEAST as OWN_LEAST
-from sedgepitch.decide.ownload import START, OwnLimit
+from sedgepitch.decisions.admission.capacity_estimate import LEAST, RoomLimit
+from sedgepitch.decisions.admission.process_concurrency_limit import LEAST as OWN_LEAST
+from sedgepitch.decisions.admission.process_concurrency_limit import START, OwnLimit
 
 
 def play(servers: int, offered, service, seconds: float, seed: int = 1, names=("read",)) -> dict:
@@ -179,8 +179,8 @@
 
 
 def test_unread_requests_of_the_busiest_tenant_are_refused_first():
-    from sedgepitch.decide.door import Door, DoorSettings
-    from tests.front import Front, command, replies
+    from sedgepitch.decisions.admission.controller import Door, DoorSettings
+    from tests.support.mongodb_harness import Front, command, replies
 
     front = Front()
     door = front.engine.door = Door(DoorSettings(), 1, front.clock.now())
--- a/tests/test_visitors.py
+++ b/tests/test_client_connections.py
@@ -5,7 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decide.visitors import RESTING, SPARED, TAKE_WITHIN, TALK_WITHIN, Visitors
+from sedgepitch.decisions.connections.client_connections import (
+    RESTING,
+    SPARED,
+    TAKE_WITHIN,
+    TALK_WITHIN,
+    Visitors,
+)
 
 
 def test_time_to_speak_counts_from_the_start_whatever_trickles_in():
--- a/tests/test_closing.py
+++ b/tests/test_close_reasons.py
@@ -8,9 +8,9 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from sedgepitch.fronts.postgres.closing import CloseLog, CloseReason, CloseReport
 from sedgepitch.net.transport import ReadFailed, SocketFailed
-from tests.pg import Stage, read
+from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason, CloseReport
+from tests.support.postgresql_harness import Stage, read
 
 
 def report(reason: CloseReason, request: str = "", read_bytes: int = 0) -> CloseReport:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sedgepitch.config.load import SettingsError, parse
-from tests.front import EXAMPLE
+from tests.support.mongodb_harness import EXAMPLE
 
 GOOD = EXAMPLE.split("\n")
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from sedgepitch import interface as api
 from sedgepitch.core.types import Command, Verdict
-from sedgepitch.interface import Result
-from tests.front import Front
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result
+from tests.support.mongodb_harness import Front
 
 
 def ask(front, class_name="upload", time_left=1.0):
--- a/tests/test_faults.py
+++ b/tests/test_engine_faults.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from sedgepitch import interface as api
+from sedgepitch.core.connection_pool import Pool, PoolLimits
 from sedgepitch.core.engine import OVERDUE, TICK
-from sedgepitch.core.pool import Pool, PoolLimits
 from sedgepitch.core.types import AttemptEnd, Command, Verdict
-from sedgepitch.decide.pace import Pace
-from sedgepitch.interface import Result
-from tests.front import Front
+from sedgepitch.decisions.event_loop_lag import Pace
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result
+from tests.support.mongodb_harness import Front
 
 BOUNDARIES = ("settle", "send", "probe", "observe", "log")
 
@@ -37,7 +37,7 @@
     """Twelve requests, every third of which meets the raising callback; members answer all they get."""
     front = Front()
     if door:
-        from sedgepitch.decide.door import Door, DoorSettings
+        from sedgepitch.decisions.admission.controller import Door, DoorSettings
 
         front.engine.door = Door(DoorSettings(), 1, front.clock.now())
     for member in (2, 3):
@@ -323,7 +323,7 @@
 
 def test_bounds_are_told_shorter_by_the_time_that_a_decision_may_take_to_leave():
     from sedgepitch.config.load import SettingsError, parse
-    from tests.front import EXAMPLE
+    from tests.support.mongodb_harness import EXAMPLE
 
     told = {c.name: c for c in parse(EXAMPLE, "example").module_settings().classes}
     assert told["map-read"].max_age == pytest.approx(0.45)
--- a/tests/test_pace.py
+++ b/tests/test_event_loop_lag.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.decide.pace import COME_BACK, FLOOR, SPAN, SPANS, Pace
+from sedgepitch.decisions.event_loop_lag import COME_BACK, FLOOR, SPAN, SPANS, Pace
 
 WINDOW = SPAN * SPANS
 
--- a/tests/test_crossings.py
+++ b/tests/test_event_races.py
@@ -14,21 +14,21 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from sedgepitch import interface as api
 from sedgepitch.core.clock import FakeClock, ReactorClock
+from sedgepitch.core.connection_pool import Pool, PoolLimits
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.pool import Pool, PoolLimits
 from sedgepitch.core.types import AttemptEnd, Command, Verdict
-from sedgepitch.decide.descriptors import Descriptors
-from sedgepitch.decide.ending import Ending
-from sedgepitch.decide.visitors import TALK_WITHIN
-from sedgepitch.fronts.postgres import client, codec
-from sedgepitch.interface import Result
+from sedgepitch.decisions.connections.client_connections import TALK_WITHIN
+from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.decisions.connections.shutdown_schedule import Ending
 from sedgepitch.node.driver import Driver
-from sedgepitch.policy import Router
-from tests.front import PlayedMembers
-from tests.helpers import SETTINGS, listing
-from tests.pg import ROW, Stage, errors, messages, read, write
+from sedgepitch.protocols.postgresql import client, codec
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result
+from sedgepitch.routing.router import Router
+from tests.support.mongodb_harness import PlayedMembers
+from tests.support.postgresql_harness import ROW, Stage, errors, messages, read, write
+from tests.support.router_harness import SETTINGS, listing
 
 RESET = struct.pack("ii", 1, 0)
 
--- a/tests/test_badday.py
+++ b/tests/test_fault_scenario.py
@@ -49,7 +49,7 @@
         script.write_text(yaml.safe_dump(day))
         arguments += ["--script", str(script)]
     if environment:
-        arguments += ["--driver-module", "tests.culprit"]
+        arguments += ["--driver-module", "tests.support.faulty_proxies"]
     result = tmp_path / "result.json"
     done = subprocess.run(
         [sys.executable, "-m", "sedgepitch", *arguments, "--json", str(result)],
--- a/tests/test_fleetday.py
+++ b/tests/test_fleet_scenario.py
@@ -19,7 +19,7 @@
 ALL = {f"driver-{n}" for n in range(1, 10)}
 MOST = 6  # of nine: on a busy machine one or the other hardly asks, or stands still just then
 TOO_SLOW = 0.25  # s that bytes waited for a client or member itself: faults of a machine, not of the day
-LIAR = "-m tests.liar {{name}} {{key}} {} {} {{seed}}"
+LIAR = "-m tests.support.byzantine_peer {{name}} {{key}} {} {} {{seed}}"
 NORTH, MIDDLE, SOUTH = ({f"driver-{n}" for n in range(k, 10, 3)} for k in (1, 2, 3))
 DAYS = {
     "lost": {"length": 20, "steps": [{"at": 3, "do": "lose", "zone": "south", "for": 7}]},
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.decide.gossip import (
+from sedgepitch.decisions.gossip.protocol import (
     Ack,
     Gossip,
     GossipSettings,
--- a/tests/test_membership.py
+++ b/tests/test_list_versions.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decide.descriptors import Descriptors
-from sedgepitch.decide.membership import Entry, Membership, Version
-from sedgepitch.fleet.catalog import BadVersion, read_version
-from sedgepitch.interface import State
+from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.decisions.discovery.list_versions import Entry, Membership, Version
+from sedgepitch.discovery.client import BadVersion, read_version
+from sedgepitch.routing.messages import State
 
 
 def entry(name: str, state: State = State.UP, port: int = 1) -> Entry:
--- a/tests/test_front.py
+++ b/tests/test_mongodb_client.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.fronts.mongo import codec
-from sedgepitch.fronts.mongo.codec import WireError
-from tests.front import Front, command, replies
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.protocols.mongodb.codec import WireError
+from tests.support.mongodb_harness import Front, command, replies
 
 PING = command(7, ping=1)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from sedgepitch.fronts.postgres import codec
-from tests.platform import ROOT, WITHIN, Agent, Client, change, look, value_of
+from sedgepitch.protocols.postgresql import codec
+from tests.support.platform import ROOT, WITHIN, Agent, Client, change, look, value_of
 
 
 def test_reads_and_writes_go_through_and_statements_arrive_unchanged_but_for_d(platform):
--- a/tests/test_zone_orders.py
+++ b/tests/test_operator_commands.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from sedgepitch.load.peerfleet import until
 from sedgepitch.peers.keys import load_keys, new_key_file
+from sedgepitch.scenarios.peer_processes import until
 from tests.conftest import example
-from tests.platform import ROOT
+from tests.support.platform import ROOT
 from tests.test_peers_serve import serve, together
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,14 +13,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decide.gossip import Ack, Ask, Nack, Ping, Rumour, State, Tell, Word
-from sedgepitch.decide.replay import CHALLENGE_EVERY, LATE, Sessions, Verdict
-from sedgepitch.load.links import Link
-from sedgepitch.load.peerfleet import Peers, until
+from sedgepitch.decisions.gossip.protocol import Ack, Ask, Nack, Ping, Rumour, State, Tell, Word
+from sedgepitch.decisions.gossip.replay_protection import CHALLENGE_EVERY, LATE, Sessions, Verdict
 from sedgepitch.peers import wire
 from sedgepitch.peers.keys import BadSeal, KeyFileError, Sealer, load_keys, new_key_file
 from sedgepitch.peers.wire import BadDatagram, Challenge, Envelope, Opened, Opening, Proof, Whole
-from tests.platform import ROOT
+from sedgepitch.scenarios.network_links import Link
+from sedgepitch.scenarios.peer_processes import Peers, until
+from tests.support.platform import ROOT
 
 NAMES = st.text(max_size=64)
 NUMBERS = st.integers(0, 2**63 - 1)
--- a/tests/test_peers_serve.py
+++ b/tests/test_peers_serve.py
@@ -13,11 +13,11 @@
 import pymongo
 import pytest
 
-from sedgepitch.load.peerfleet import until
-from sedgepitch.load.processes import stage
 from sedgepitch.peers.keys import new_key_file
+from sedgepitch.scenarios.peer_processes import until
+from sedgepitch.scenarios.processes import stage
 from tests.conftest import example
-from tests.platform import ROOT
+from tests.support.platform import ROOT
 
 
 def free_port() -> int:
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -7,9 +7,9 @@
 from hypothesis import event, given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.core.pool import PoolLimits
-from sedgepitch.decide.positions import LEAP, MOST_MARKS, NOTHING_KNOWN, GroupPositions, Marks
-from sedgepitch.fronts.mongo.member import MongoMembers
+from sedgepitch.core.connection_pool import PoolLimits
+from sedgepitch.decisions.positions import LEAP, MOST_MARKS, NOTHING_KNOWN, GroupPositions, Marks
+from sedgepitch.protocols.mongodb.upstream import MongoMembers
 
 
 def test_an_idle_primary_keeps_a_replica_fresh_that_has_everything():
--- a/tests/test_pg_client.py
+++ b/tests/test_postgresql_client.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from sedgepitch.decide import visitors
-from sedgepitch.fronts.postgres import client, codec
-from sedgepitch.interface import Result
-from tests.helpers import SETTINGS
-from tests.pg import ROW, WALL, Stage, errors, messages, read, write
+from sedgepitch.decisions.connections import client_connections as visitors
+from sedgepitch.protocols.postgresql import client, codec
+from sedgepitch.routing.messages import Result
+from tests.support.postgresql_harness import ROW, WALL, Stage, errors, messages, read, write
+from tests.support.router_harness import SETTINGS
 
 
 def test_a_client_is_welcomed_and_an_empty_query_answered():
--- a/tests/test_pg_codec.py
+++ b/tests/test_postgresql_codec.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.fronts.postgres import codec, statements
-from sedgepitch.fronts.postgres.codec import BadMessage, Reader
-from sedgepitch.fronts.postgres.statements import BadStatement
-from tests.helpers import CLASSES
+from sedgepitch.protocols.postgresql import codec, statements
+from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
+from sedgepitch.protocols.postgresql.statements import BadStatement
+from tests.support.router_harness import CLASSES
 
 NAMED = {c.name: c for c in CLASSES}
 READ = (
--- a/tests/test_pg_member.py
+++ b/tests/test_postgresql_upstream.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.core.pool import PoolLimits
-from sedgepitch.decide.descriptors import Descriptors
-from sedgepitch.fronts.postgres import codec, statements
-from sedgepitch.fronts.postgres.member import MemberConnection, Names, PgMembers, Probe, read_usage
-from sedgepitch.interface import Result
-from tests.pg import ROW, WALL, Stage, Wire, read
-from tests.test_pg_codec import NAMED
+from sedgepitch.core.connection_pool import PoolLimits
+from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.protocols.postgresql import codec, statements
+from sedgepitch.protocols.postgresql.upstream import MemberConnection, Names, PgMembers, Probe, read_usage
+from sedgepitch.routing.messages import Result
+from tests.support.postgresql_harness import ROW, WALL, Stage, Wire, read
+from tests.test_postgresql_codec import NAMED
 
 GREETING = codec.WELCOME + codec.parameter("server_role", "reader") + codec.READY
 NOTES = codec.parameter("server_role", "writer") + codec.parameter("commit_clock", "1001000500")
--- a/tests/test_classify.py
+++ b/tests/test_request_classes.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from sedgepitch import interface as api
-from sedgepitch.decide.classify import Classifier, Facts, Match, Rule, variants
-from sedgepitch.decide.cursors import CursorTable, may_go_on
-from sedgepitch.interface import Effect, Freshness
-from tests.helpers import make_class
+from sedgepitch.decisions.cursors import CursorTable, may_go_on
+from sedgepitch.decisions.request_classes import Classifier, Facts, Match, Rule, variants
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Effect, Freshness
+from tests.support.router_harness import make_class
 
 CLASSES = (
     make_class("upload", Freshness.WRITE, effect=Effect.KEYED, window=1.2),
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from sedgepitch.fronts.postgres import codec
-from tests.platform import ROOT, SETUP, WITHIN, Agent, Client, Platform, change, look
+from sedgepitch.protocols.postgresql import codec
+from tests.support.platform import ROOT, SETUP, WITHIN, Agent, Client, Platform, change, look
 
 
 def until(what, within: float = WITHIN):
@@ -274,7 +274,7 @@
 
 def test_a_closed_port_cuts_nobody_off_who_was_connected():
     ran = subprocess.run(
-        [sys.executable, "-m", "tests.transport_case", "uvloop", "accept_all"],
+        [sys.executable, "-m", "tests.support.transport_case", "uvloop", "accept_all"],
         capture_output=True,
         text=True,
         timeout=120,
--- a/tests/test_troubles.py
+++ b/tests/test_router_faults.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from sedgepitch import interface as api
-from sedgepitch.interface import Checks, Effect, Result, State
-from sedgepitch.policy import Router
-from tests.helpers import SETTINGS, Rig, finals, listing, placed, sends
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Checks, Effect, Result, State
+from sedgepitch.routing.router import Router
+from tests.support.router_harness import SETTINGS, Rig, finals, listing, placed, sends
 
 
 def serve(
--- a/tests/test_lost.py
+++ b/tests/test_router_lost_requests.py
@@ -4,13 +4,13 @@
 
 from dataclasses import replace
 
-from sedgepitch import interface as api
-from sedgepitch.interface import Result
-from sedgepitch.policy import SESSIONS
-from tests.front import Front
-from tests.helpers import SETTINGS, Rig, finals, listing, sends
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result
+from sedgepitch.routing.router import SESSIONS
+from tests.support.mongodb_harness import Front
+from tests.support.router_harness import SETTINGS, Rig, finals, listing, sends
 from tests.test_engine import ask
-from tests.test_troubles import serve
+from tests.test_router_faults import serve
 
 
 def answered_after(rig: Rig, name: str, count: int) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_router_rules.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch import interface as api
-from sedgepitch.interface import Checks, Marks, Result, State
-from tests.helpers import SETTINGS, Rig, finals, listing, placed, sends
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Checks, Marks, Result, State
+from tests.support.router_harness import SETTINGS, Rig, finals, listing, placed, sends
 
 # Rule 1: one final answer, in time
 
--- a/tests/test_zone_shares.py
+++ b/tests/test_router_zone_weights.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from sedgepitch import interface as api
-from sedgepitch.interface import Result
-from tests.helpers import Rig, listing, placed, sends
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Result
+from tests.support.router_harness import Rig, listing, placed, sends
 
 MEMBERS = (
     listing(1, primary=True, zone="a"),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from sedgepitch import interface as api
 from sedgepitch.node.config import BadConfig, parse
+from sedgepitch.routing import messages as api
 from sedgepitch.settings import BadSettings, translate_settings
-from tests.platform import SETUP
+from tests.support.platform import SETUP
 
 BAD = [
     (("classes", 0, "deadlineS"), -1, "setup.classes[0]: field 'deadlineS'"),
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,9 +19,9 @@
 import yaml
 from pymongo.errors import PyMongoError
 
-from sedgepitch.fronts.mongo import codec
-from sedgepitch.load.processes import Process
-from tests.front import command
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.scenarios.processes import Process
+from tests.support.mongodb_harness import command
 
 WITHIN = 30.0  # s; generous, no test waits for it unless something is broken
 
--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from sedgepitch.fronts.postgres import codec
-from sedgepitch.fronts.postgres.client import LEFT_AFTER
-from tests.platform import WITHIN, Client, Platform, look
+from sedgepitch.protocols.postgresql import codec
+from sedgepitch.protocols.postgresql.client import LEFT_AFTER
+from tests.support.platform import WITHIN, Client, Platform, look
 from tests.support.syscall_faults import UNBOUNDED, Call, Kind, Rule, SystemCallFaults, name_of
 
 CLIENTS = 5
--- a/tests/test_confined.py
+++ b/tests/test_syscall_filter.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from tests.confined import supported
-from tests.platform import ROOT, WITHIN, Platform, change, look
+from tests.support.platform import ROOT, WITHIN, Platform, change, look
+from tests.support.syscall_filter import supported
 
 TRIED = """
 import os, socket, sys
-from tests.confined import confine
+from tests.support.syscall_filter import confine
 confine()
 here, there = os.pipe()
 for name, call in {
@@ -46,7 +46,7 @@
 
 def test_the_driver_starts_serves_moves_and_stops_under_the_filter(tmp_path):
     platform = Platform(tmp_path)
-    platform.program = "tests.confined"
+    platform.program = "tests.support.syscall_filter"
     platform.configure()
     platform.start()
     try:
--- a/tests/test_syscall_storm.py
+++ b/tests/test_syscall_storm.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from sedgepitch.fronts.postgres import codec
-from tests.platform import WITHIN, Client, Platform, change, look
+from sedgepitch.protocols.postgresql import codec
+from tests.support.platform import WITHIN, Client, Platform, change, look
 from tests.support.syscall_faults import Call, Kind, Rule, SystemCallFaults
 
 CLIENTS, REQUESTS = 6, 40
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -14,7 +14,7 @@
 def play(reactor: str, case: str) -> dict:
     """Run one case in a process of its own, since a process has one reactor."""
     done = subprocess.run(
-        [sys.executable, "-m", "tests.transport_case", reactor, case],
+        [sys.executable, "-m", "tests.support.transport_case", reactor, case],
         capture_output=True,
         text=True,
         timeout=120,
--- a/tests/test_watches.py
+++ b/tests/test_watch_streams.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decide.watches import BEAT, FRESH, PAUSE, QUIET, Watches
-from sedgepitch.fleet import catalog
-from sedgepitch.fleet.catalog import BadVersion, Objects
+from sedgepitch.decisions.discovery.watch_streams import BEAT, FRESH, PAUSE, QUIET, Watches
+from sedgepitch.discovery import client as catalog
+from sedgepitch.discovery.client import BadVersion, Objects
 
 OBJECTS = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text() | st.sampled_from(['"', "\\", "{", "}", '\\"']),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,10 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.decide import evidence, orders
-from sedgepitch.decide.evidence import Digest, Evidence, Row, Stance, Vote, bit, votes
-from sedgepitch.decide.orders import Order, Orders
-from sedgepitch.decide.zones import Council, State, View, Zones, ZoneSettings, weigh
+from sedgepitch.decisions.zones import digests as evidence
+from sedgepitch.decisions.zones import operator_commands as orders
+from sedgepitch.decisions.zones.digests import Digest, Evidence, Row, Stance, Vote, bit, votes
+from sedgepitch.decisions.zones.operator_commands import Order, Orders
+from sedgepitch.decisions.zones.weights import Council, State, View, Zones, ZoneSettings, weigh
 
 ZONES = ("a", "b", "c")
 STEP = 0.1
