--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -132,8 +132,8 @@
     """A read's arrival and answer in the module while so many clients' writes have no primary to go to."""
     settings = parse(files("sedgepitch.config").joinpath("example.yaml").read_text(), "example")
     router = Router(settings.module_settings(), 1)
-    listings = tuple(api.Listing(n + 1, 0, api.State.UP, "north", n == 0) for n in range(8))
-    router.handle(10.0, [api.Members(listings, complete=True)])
+    listings = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
+    router.handle(10.0, [api.EndpointListUpdate(listings, complete=True)])
     router.members[1].limit = 0.0  # the primary has no room
     gate = Door(DoorSettings(), 1, 10.0) if door else None
     for n in range(pending):
@@ -142,15 +142,15 @@
             arrival = Arrival(number, str(n % 50), str(n), "upload", 6.0, 2.0, 0, True, str(n))
             if not any(isinstance(d, Admit) for d in gate.arrive(arrival, 10.0)):
                 continue
-        router.handle(10.0, [api.Arrived(number, "upload", 0, 2.0)])
+        router.handle(10.0, [api.RequestReceived(number, "upload", 0, 2.0)])
     count = 100 if pending and not door else 1000
 
     def call() -> None:
         for n in range(count):
             now = 10.0 + n * 1e-5
-            actions = router.handle(now, [api.Arrived(n, "history-read", 0, 0.5)])
-            member = next(a.member for a in actions if isinstance(a, api.Send) and a.request == n)
-            router.handle(now, [api.Finished(n, 0, member, api.Result.OK, 0.002, True)])
+            actions = router.handle(now, [api.RequestReceived(n, "history-read", 0, 0.5)])
+            member = next(a.member for a in actions if isinstance(a, api.SendAttempt) and a.request == n)
+            router.handle(now, [api.AttemptFinished(n, 0, member, api.AttemptResult.OK, 0.002, True)])
 
     return timed(call, count)
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -42,18 +42,20 @@
 def module_call(settings, members: int = 6) -> Callable[[], object]:
     """One arrival and its answer in the module, the clock running on."""
     router = Router(settings.module_settings(), 1)
-    listings = tuple(api.Listing(n + 1, 0, api.State.UP, "north", n == 0) for n in range(members))
-    router.handle(10.0, [api.Members(listings, complete=True)])
+    listings = tuple(
+        api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(members)
+    )
+    router.handle(10.0, [api.EndpointListUpdate(listings, complete=True)])
     state = [10.0, 0]
 
     def call() -> None:
         state[0] += 0.0005
         state[1] += 1
         number = state[1]
-        actions = router.handle(state[0], [api.Arrived(number, "history-read", 0, 0.5)])
-        member = next(a.member for a in actions if isinstance(a, api.Send))
-        end = api.Finished(
-            number, 0, member, api.Result.OK, 0.002, True, None, None, api.Report(state[0], None)
+        actions = router.handle(state[0], [api.RequestReceived(number, "history-read", 0, 0.5)])
+        member = next(a.member for a in actions if isinstance(a, api.SendAttempt))
+        end = api.AttemptFinished(
+            number, 0, member, api.AttemptResult.OK, 0.002, True, None, None, api.LoadReport(state[0], None)
         )
         router.handle(state[0] + 0.0002, [end])
 
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -99,7 +99,7 @@
         self.metrics = Metrics()
         limits, driver = settings.limits, settings.driver
         seed = driver.seed if driver.seed is not None else random.SystemRandom().getrandbits(32)
-        self.members = MongoMembers(
+        self.endpoints = MongoMembers(
             reactor,
             self.clock,
             {m.id: m.address for m in settings.members if m.address[1]},
@@ -121,9 +121,9 @@
             )
         self.engine = Engine(
             Router(settings.module_settings(), seed),
-            self.members,
+            self.endpoints,
             self.clock,
-            most_in_flight=limits.in_flight,
+            max_in_flight=limits.in_flight,
             door=Door(settings.door.build(), seed, self.clock.now()) if settings.door else None,
             watch=self.list.watch if self.list else None,
             log=lambda text: self.log.info("module", text=text),
@@ -134,7 +134,7 @@
         self.metrics.watch(self.engine)
         self.context = Context(
             engine=self.engine,
-            members=self.members,
+            endpoints=self.endpoints,
             clock=self.clock,
             classifier=settings.classifier(),
             cursors=CursorTable(limits.cursors, limits.cursor_idle, seed),
@@ -149,7 +149,7 @@
             log=self._note,
             counted=lambda kind: self.metrics.input_errors.labels(kind).inc(),
         )
-        self.members.heard = self.context.read
+        self.endpoints.heard = self.context.read
         self.peers = self._make_peers() if settings.peers is not None else None
         self.zones = self._make_zones(self.peers) if self.peers is not None and settings.zones else None
         self.ports: list[Any] = []
@@ -195,9 +195,9 @@
 
     def start(self, ready: Callable[[str, int], None]) -> None:
         """Open the listener; `ready` hears its address once members are known. Raises CannotListenError."""
-        listings = tuple(x for x in self.settings.listings() if x.member in self.members.addresses)
+        entries = tuple(x for x in self.settings.entries() if x.endpoint in self.endpoints.addresses)
         remembered = self.list is not None
-        self.engine.list_changed(api.Members(listings, complete=True, remembered=remembered))
+        self.engine.list_changed(api.EndpointListUpdate(entries, complete=True, remembered=remembered))
         factory = ClientFactory(self.context)
         host, port = self.settings.listen
         if self.share_port:
@@ -238,7 +238,7 @@
         self.clock.call_later(SWEEP, self._sweep)
         self.log.info("listening", address=f"{address.host}:{address.port}", pid=os.getpid())
         self.ready = lambda: ready(address.host, address.port)
-        if self.members.links:
+        if self.endpoints.links:
             self._say_ready()
 
     def _accept_failed(self, problem: listener.AcceptProblem) -> None:
@@ -279,7 +279,7 @@
                 self.list.stop()
             for connection in list(self.context.connections):
                 connection.transport.loseConnection()
-            self.members.close()
+            self.endpoints.close()
             self.log.info("stopped", owed=self.engine.ledger.owed, **self._delays())
             self.clock.call_later(0.05, done)
 
@@ -291,19 +291,19 @@
             self.engine.door.reload(settings.door.build())
             self.log.info("reloaded", weights=settings.door.weights)
 
-    def _listed(self, listings: tuple[api.Listing, ...], complete: bool, addresses: Addresses) -> None:
-        self.members.addresses.update(addresses)
-        known = tuple(x for x in listings if x.member in self.members.addresses)
-        self.engine.list_changed(api.Members(known, complete=complete))
-        if self.members.links:
+    def _listed(self, entries: tuple[api.EndpointEntry, ...], complete: bool, addresses: Addresses) -> None:
+        self.endpoints.addresses.update(addresses)
+        known = tuple(x for x in entries if x.endpoint in self.endpoints.addresses)
+        self.engine.list_changed(api.EndpointListUpdate(known, complete=complete))
+        if self.endpoints.links:
             self._say_ready()
-        gone = {m for m, link in self.members.links.items() if m in self.engine.drained}
+        gone = {m for m, link in self.endpoints.links.items() if m in self.engine.drained}
         if gone:
-            self.log.info("list.drained", members=sorted(gone))
+            self.log.info("list.drained", endpoints=sorted(gone))
 
     def _list_lost(self) -> None:
         self.log.warning("list.lost")
-        self.engine.feed(api.ListFailed())
+        self.engine.feed(api.EndpointListFailed())
 
     def _delays(self) -> dict[str, float]:
         """How late this driver has been, for the log."""
@@ -342,9 +342,9 @@
                 connection=account.command.connection,
                 class_name=account.command.class_name,
                 group=account.command.group,
-                attempts=account.members,
+                attempts=account.endpoints,
                 after_ms=round(elapsed * 1000.0, 1),
-                come_back_ms=round(answer.come_back * 1000.0),
+                come_back_ms=round(answer.retry_after * 1000.0),
                 why=answer.why,
             )
 
--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any, Literal
+from typing import Literal
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
@@ -26,8 +26,8 @@
     match: list[Match] = [Match()]
     freshness: api.Freshness
     max_age: Seconds = 0.0
-    effect: api.Effect = api.Effect.SAFE
-    scope: api.Scope = api.Scope.CELL
+    effect: api.Idempotency = api.Idempotency.IDEMPOTENT
+    scope: api.DeduplicationScope = api.DeduplicationScope.CELL
     window: Seconds = 0.0
     aim: Seconds = 0.2
     deadline: Seconds = 1.0
@@ -38,9 +38,9 @@
     def _fits(self) -> ClassModel:
         if self.freshness is api.Freshness.BOUNDED and self.max_age <= 0:
             raise ValueError("freshness 'bounded' needs max_age")
-        if self.freshness is api.Freshness.WRITE and self.effect is api.Effect.SAFE:
+        if self.freshness is api.Freshness.WRITE and self.effect is api.Idempotency.IDEMPOTENT:
             raise ValueError("a class of writes is 'keyed' or 'unsafe', not 'safe'")
-        if self.effect is api.Effect.KEYED and self.window <= 0:
+        if self.effect is api.Idempotency.KEYED and self.window <= 0:
             raise ValueError("effect 'keyed' needs the window in which members drop repeats")
         if self.aim <= 0 or self.deadline <= 0:
             raise ValueError("aim and deadline must be above 0")
@@ -48,8 +48,18 @@
 
     def build(self) -> api.RequestClass:
         """Return the module's type."""
-        fields = {name: getattr(self, name) for name in api.RequestClass.__dataclass_fields__}
-        return api.RequestClass(**fields)
+        return api.RequestClass(
+            name=self.name,
+            latency_objective=self.aim,
+            deadline=self.deadline,
+            priority_weight=self.worth,
+            late_priority_weight=self.late_worth,
+            idempotency=self.effect,
+            deduplication_scope=self.scope,
+            deduplication_window=self.window,
+            freshness=self.freshness,
+            max_staleness=self.max_age,
+        )
 
 
 class GroupModel(Model):
@@ -89,14 +99,26 @@
     warm_within: Seconds = 10.0
     ask_within: Seconds = 10.0
 
+    def build(self) -> api.RuleLimits:
+        """Return the module's type."""
+        return api.RuleLimits(
+            answer_slack=self.answer_slack,
+            drain_grace=self.drain_grace,
+            overload_factor=self.overload_factor,
+            overload_duration=self.overload_time,
+            initial_capacity=self.start_capacity,
+            slow_start_window=self.warm_within,
+            max_poll_interval=self.ask_within,
+        )
+
 
 class ModuleModel(Model):
     """What the module is told of the installation beside classes and rules."""
 
     tick: Seconds = 0.002
     drivers: int = Field(1, ge=1)
-    checks: api.Checks = api.Checks.NONE
-    marks: api.Marks = api.Marks.CARRIED
+    checks: api.StaleReadHandling = api.StaleReadHandling.SERVE
+    marks: api.SessionTracking = api.SessionTracking.BY_CLIENT
     patience: Seconds = 0.0
     probes: bool = True
     reports_in_answers: bool = True
@@ -270,7 +292,7 @@
         for cls in self.classes:
             if cls.freshness is api.Freshness.BOUNDED and self.limits.handover_within >= cls.max_age / 2:
                 raise ValueError(f"limits: handover_within must be under half of the max_age of '{cls.name}'")
-            if cls.effect is api.Effect.KEYED and self.limits.handover_within >= cls.window / 2:
+            if cls.effect is api.Idempotency.KEYED and self.limits.handover_within >= cls.window / 2:
                 raise ValueError(f"limits: handover_within must be under half of the window of '{cls.name}'")
         if self.peers is not None and not 0 < len(self.driver.name) <= 64:
             raise ValueError("driver: name needs 1 to 64 characters where there are peers")
@@ -297,22 +319,39 @@
         its bytes arrive.
         """
         passed = self.limits.handover_within
-        told_classes = tuple(
-            replace(c, max_age=max(0.0, c.max_age - passed), window=max(0.0, c.window - passed - c.aim))
-            for c in variants(self.request_classes())
+        classes = tuple(
+            replace(
+                cls,
+                max_staleness=max(0.0, cls.max_staleness - passed),
+                deduplication_window=max(0.0, cls.deduplication_window - passed - cls.latency_objective),
+            )
+            for cls in variants(self.request_classes())
         )
-        told: dict[str, Any] = {name: getattr(self.module, name) for name in ModuleModel.model_fields}
-        rules = {name: getattr(self.rules, name) for name in RulesModel.model_fields}
+        module = self.module
         return api.Settings(
-            classes=told_classes,
+            classes=classes,
             zone=self.driver.zone,
-            rules=api.Rules(**rules),
-            subscribe=self.follow is not None,
-            **told,
+            rules=self.rules.build(),
+            subscription_required=self.follow is not None,
+            tick=module.tick,
+            proxy_instances=module.drivers,
+            stale_read_handling=module.checks,
+            session_tracking=module.marks,
+            stale_read_wait=module.patience,
+            health_checks=module.probes,
+            load_reports_in_answers=module.reports_in_answers,
+            reports_position=module.reports_position,
+            list_reports_primary=module.list_names_primary,
+            max_attempts=module.most_attempts,
+            hedging=module.second_copies,
+            cancel=module.cancel,
+            retry_after=module.come_back,
+            max_retry_after=module.max_come_back,
         )
 
-    def listings(self) -> tuple[api.Listing, ...]:
+    def entries(self) -> tuple[api.EndpointEntry, ...]:
         """Return the static member list."""
         return tuple(
-            api.Listing(m.id, m.group, api.State.UP, m.zone, m.primary, m.size) for m in self.members
+            api.EndpointEntry(m.id, m.group, api.EndpointState.UP, m.zone, m.primary, m.size)
+            for m in self.members
         )
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from sedgepitch.core.types import AttemptEnd, Clock, Ended
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 
 NEVER = float("inf")
 LINGER = 1.0  # s that an answer nobody waits for is waited for, before its connection is closed
@@ -130,7 +130,7 @@
         self.exchange = None
         self.pool.rest(self)
         if exchange is not None:
-            exchange.end(AttemptEnd(Result.NOT_SENT, why="the connection came too late"))
+            exchange.end(AttemptEnd(AttemptResult.NOT_SENT, why="the connection came too late"))
 
     def begin(self) -> None:
         """Send the exchange's payload."""
@@ -157,7 +157,7 @@
         if give_up is not None:
             give_up()
         if exchange is not None:
-            exchange.end(AttemptEnd(Result.NOT_SENT, why=why))
+            exchange.end(AttemptEnd(AttemptResult.NOT_SENT, why=why))
 
     def failed(self, why: str) -> None:
         """No connection came about."""
@@ -165,7 +165,7 @@
         exchange, self.exchange = self.exchange, None
         self.pool.drop(self)
         if exchange is not None:
-            exchange.end(AttemptEnd(Result.CONNECT_FAILED, why=why))
+            exchange.end(AttemptEnd(AttemptResult.CONNECT_FAILED, why=why))
 
     def lost(self, why: str) -> None:
         """The connection ended by the other side, or by ours."""
@@ -175,7 +175,7 @@
         if exchange is not None and not self.lingering:
             # What stands in this process has not left: no member can have read the request whole.
             unsent = self.connection is not None and self.connection.unsent() > 0
-            exchange.end(AttemptEnd(Result.CONNECT_FAILED if unsent else Result.RESET, why=why))
+            exchange.end(AttemptEnd(AttemptResult.CONNECT_FAILED if unsent else AttemptResult.RESET, why=why))
 
     def linger(self) -> None:
         """Nobody waits any more: wait a little for the answer, then close."""
@@ -260,7 +260,7 @@
         now = self.clock.now()
         exchange = _Exchange(payload, on_end, now, by)
         if now > by:
-            self.clock.soon(exchange.end, AttemptEnd(Result.NOT_SENT, why="decided too long ago"))
+            self.clock.soon(exchange.end, AttemptEnd(AttemptResult.NOT_SENT, why="decided too long ago"))
             return exchange
         lane = self._idle_lane(now)
         if lane is not None:
@@ -271,10 +271,10 @@
         if opening is not None:  # one is being opened that nobody waits for any more
             self._hand(opening, exchange)
         elif len(self.lanes) >= self.limits.most or self.closed:
-            end = AttemptEnd(Result.CONNECT_FAILED, why="all connections to the member are in use")
+            end = AttemptEnd(AttemptResult.CONNECT_FAILED, why="all connections to the member are in use")
             self.clock.soon(exchange.end, end)
         elif not self.room.take():
-            self.clock.soon(exchange.end, AttemptEnd(Result.NOT_SENT, why="no descriptor is free"))
+            self.clock.soon(exchange.end, AttemptEnd(AttemptResult.NOT_SENT, why="no descriptor is free"))
         else:
             lane = _Lane(self)
             self.lanes.add(lane)
@@ -292,7 +292,7 @@
         def too_long() -> None:
             if exchange.on_end is not None:  # its answer may have lain unread
                 exchange.abandon()
-                on_end(AttemptEnd(Result.TIMEOUT, why="no answer to a probe"))
+                on_end(AttemptEnd(AttemptResult.TIMEOUT, why="no answer to a probe"))
 
         timer = self.clock.call_later(within, self.clock.after_reading, too_long)
         exchange = self.send(payload, over)
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -36,7 +36,7 @@
 from sedgepitch.decisions.admission.process_concurrency_limit import OwnLimit
 from sedgepitch.decisions.event_loop_lag import COME_BACK, Pace
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Effect, Freshness, Marks, Result
+from sedgepitch.routing.messages import AttemptResult, Freshness, Idempotency, SessionTracking
 from sedgepitch.routing.router import Router
 
 if TYPE_CHECKING:
@@ -55,10 +55,10 @@
     def __init__(
         self,
         router: Router,
-        members: Members,
+        endpoints: Members,
         clock: Clock,
         *,
-        most_in_flight: int = 10_000,
+        max_in_flight: int = 10_000,
         door: Door | None = None,
         watch: Callable[[], None] | None = None,
         log: Callable[[str], None] | None = None,
@@ -66,11 +66,11 @@
         handover: float = 0.05,
         on_fault: Callable[[str, BaseException], None] | None = None,
     ) -> None:
-        self.router, self.members, self.clock = router, members, clock
-        self.most_in_flight = most_in_flight
+        self.router, self.endpoints, self.clock = router, endpoints, clock
+        self.max_in_flight = max_in_flight
         self.door = door
         self.pace = Pace()
-        self.own = OwnLimit(TOLERABLE * min(c.aim for c in router.settings.classes))
+        self.own = OwnLimit(TOLERABLE * min(c.latency_objective for c in router.settings.classes))
         self.too_many = 0  # requests refused for the driver's own load
         self.handover = handover  # s that a decision which ages may take to leave
         self.on_fault, self.faults = on_fault, 0
@@ -90,15 +90,17 @@
         self.too_slow = 0  # requests refused on arrival for the driver's own delay
         self.stopping = False
         self._carry: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.SendAttempt: self._send,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
-            api.Cancel: self._cancel,
-            api.Probe: self._probe,
-            api.CloseIdle: lambda a: self.members.close_idle(a.member),
-            api.Subscribe: self._subscribe,
-            api.SetTimer: lambda a: self.clock.call_later(a.after, self._timer_due, api.Timer(a.nonce)),
-            api.Log: lambda a: self.log(a.text) if self.log else None,
+            api.CancelAttempt: self._cancel,
+            api.CheckHealth: self._probe,
+            api.CloseIdleConnections: lambda a: self.endpoints.close_idle(a.endpoint),
+            api.WatchEndpointList: self._subscribe,
+            api.SetTimer: lambda a: self.clock.call_later(
+                a.after, self._timer_due, api.TimerExpired(a.nonce)
+            ),
+            api.LogMessage: lambda a: self.log(a.text) if self.log else None,
         }
 
     # From the front
@@ -122,15 +124,15 @@
             command.tenant,
             command.client,
             command.class_name,
-            cls.worth,
+            cls.priority_weight,
             account.until - now,
             command.group,
             cls.freshness in (Freshness.WRITE, Freshness.FRESH),
             command.mark,
             command.key,
             0.0
-            if cls.late_worth > 0 and cls.freshness is Freshness.WRITE
-            else cls.aim - (now - account.opened),
+            if cls.late_priority_weight > 0 and cls.freshness is Freshness.WRITE
+            else cls.latency_objective - (now - account.opened),
         )
         self._decided(self.door.arrive(arrival, now))
         return account
@@ -141,7 +143,7 @@
             self.looks_on.arrived()
         self.feed(account)
 
-    def _arrival(self, account: Account, now: float) -> api.Arrived:
+    def _arrival(self, account: Account, now: float) -> api.RequestReceived:
         """A request as the module sees it: what is left of its time now, and its session's present age.
 
         Made when the module decides, not when the request is read: a turn may have read much in between.
@@ -149,7 +151,7 @@
         command = account.command
         age = command.session_age + now - account.submitted if command.session_age > 0 else 0.0
         left = account.until - now
-        return api.Arrived(account.id, command.class_name, command.group, left, command.session, age)
+        return api.RequestReceived(account.id, command.class_name, command.group, left, command.session, age)
 
     def _decided(self, decisions: list[Decision]) -> None:
         for decision in decisions:
@@ -161,8 +163,8 @@
                 self._enter(account)
             else:
                 why = f"at the door: {decision.why}"
-                told = decision.come_back
-                self._settle(account, Answer(Verdict.REFUSED, come_back=told, why=why, promised=told > 0))
+                told = decision.retry_after
+                self._settle(account, Answer(Verdict.REFUSED, retry_after=told, why=why, promised=told > 0))
 
     def _tick(self) -> None:
         """Look behind what the sockets bring."""
@@ -230,7 +232,7 @@
                 self._expire(account, attempt, "no answer in the client's time")
 
     def submit_pinned(
-        self, member: int, command: Command, answered: Answered, arrived: float | None = None
+        self, endpoint: int, command: Command, answered: Answered, arrived: float | None = None
     ) -> Account:
         """Take a request that only one member can serve, as the next batch of a cursor; it is tried once."""
         account = self._open(command, answered, arrived)
@@ -241,18 +243,18 @@
         def ended(end: AttemptEnd) -> None:
             self.ledger.ended(account, 0)
             if account.open:
-                good = end.result is Result.OK
+                good = end.result is AttemptResult.OK
                 verdict = Verdict.SERVED if good else Verdict.FAILED
-                self._settle(account, Answer(verdict, end.reply if good else None, member, why=end.why))
+                self._settle(account, Answer(verdict, end.reply if good else None, endpoint, why=end.why))
 
         account.attempts = 1
-        account.members.append(member)
+        account.endpoints.append(endpoint)
         now = self.clock.now()
-        exchange = self._guarded("send", self.members.send, member, command.payload, ended, NEVER)
+        exchange = self._guarded("send", self.endpoints.send, endpoint, command.payload, ended, NEVER)
         if exchange is None:
             self._settle(account, Answer(Verdict.FAILED, why="the front could not send"))
         else:
-            account.out[0] = (member, now, exchange)
+            account.out[0] = (endpoint, now, exchange)
         return account
 
     def gone(self, account: Account) -> None:
@@ -260,7 +262,7 @@
         if self.ledger.leave(account):
             self._withdraw(account)
             if account.admitted:
-                self.feed(api.ClientGone(account.id))
+                self.feed(api.ClientDisconnected(account.id))
             if self.door is not None:
                 self._decided(self.door.ended(account.id, self.clock.now(), served=True))
 
@@ -269,7 +271,7 @@
         account = self.ledger.open(command, answered, now, now if arrived is None else min(now, arrived))
         reserve = self.pace.reserve(now)
         account.until = account.deadline - reserve
-        if self.stopping or self.ledger.owed > self.most_in_flight:
+        if self.stopping or self.ledger.owed > self.max_in_flight:
             why = "stopping" if self.stopping else "too many requests in flight"
             self._settle(account, Answer(Verdict.REFUSED, why=why))
         elif account.deadline <= now:
@@ -277,12 +279,12 @@
         elif self.door is None and self.ledger.owed > self.own.limit:
             self.too_many += 1
             why = f"this driver carries {self.ledger.owed - 1} requests and can no more"
-            self._settle(account, Answer(Verdict.REFUSED, come_back=reserve + COME_BACK, why=why))
+            self._settle(account, Answer(Verdict.REFUSED, retry_after=reserve + COME_BACK, why=why))
         elif account.until <= now + LEAST_TIME and reserve > 0.0:
             self.too_slow += 1
             clears = self.pace.clears_in(command.time_left, now)
             why = f"this driver is {reserve:.3f} s late"
-            self._settle(account, Answer(Verdict.REFUSED, come_back=clears, why=why))
+            self._settle(account, Answer(Verdict.REFUSED, retry_after=clears, why=why))
         else:
             heappush(self.deadlines, (account.deadline, account.id))
             if len(self.deadlines) > 2 * len(self.ledger.accounts) + 64:
@@ -303,45 +305,45 @@
             self.flush_due = True
             self.clock.soon(self._flush)
 
-    def _timer_due(self, event: api.Timer) -> None:
+    def _timer_due(self, event: api.TimerExpired) -> None:
         """Let the sockets be read once more before the timer counts, whatever order the loop keeps."""
         self.clock.soon(self.feed, event)
 
-    def list_changed(self, event: api.Members) -> None:
+    def list_changed(self, event: api.EndpointListUpdate) -> None:
         """Take the member list. What is told draining or gone binds from this moment."""
-        now, known = self.clock.now(), self.router.members
-        listed = {entry.member for entry in event.listings}
+        now, known = self.clock.now(), self.router.endpoints
+        listed = {entry.endpoint for entry in event.entries}
         other: set[int] = set()  # whose state is not what present decisions rest on
-        for entry in event.listings:
-            if entry.state is api.State.UP:
-                self.drained.pop(entry.member, None)
-                if entry.member in known and entry.started > known[entry.member].started:
-                    other.add(entry.member)
+        for entry in event.entries:
+            if entry.state is api.EndpointState.UP:
+                self.drained.pop(entry.endpoint, None)
+                if entry.endpoint in known and entry.started > known[entry.endpoint].started:
+                    other.add(entry.endpoint)
             else:
-                self.drained.setdefault(entry.member, now)
-                other.add(entry.member)
+                self.drained.setdefault(entry.endpoint, now)
+                other.add(entry.endpoint)
         if event.complete:
-            for member in list(known):
-                if member not in listed:
-                    self.drained.setdefault(member, now)
-                    other.add(member)
-        self.members.listed(event.listings, event.complete)
+            for endpoint in list(known):
+                if endpoint not in listed:
+                    self.drained.setdefault(endpoint, now)
+                    other.add(endpoint)
+        self.endpoints.listed(event.entries, event.complete)
         self.events.append(event)
         self._take_back(other)
         self._flush()
 
-    def _take_back(self, members: set[int]) -> None:
+    def _take_back(self, endpoints: set[int]) -> None:
         """End what is decided for these members and has not left: it may wait for a connection to open.
 
         Guards against a send, after the list's word, to a member that seeks nothing new, is gone or has
         started again since. May hurt: one attempt of the request's number is spent.
         """
         for account in list(self.ledger.accounts.values()):
-            for attempt, (member, _, exchange) in list(account.out.items()):
-                if member in members and not account.pinned and not exchange.begun():
+            for attempt, (endpoint, _, exchange) in list(account.out.items()):
+                if endpoint in endpoints and not account.pinned and not exchange.begun():
                     exchange.abandon()
                     why = "the list changed before it left"
-                    self._attempt_ended(account, attempt, AttemptEnd(Result.NOT_SENT, why=why))
+                    self._attempt_ended(account, attempt, AttemptEnd(AttemptResult.NOT_SENT, why=why))
 
     def hurry(self, by: float) -> None:
         """Answer by then whatever is owed now: this driver ends."""
@@ -390,20 +392,20 @@
 
     # Actions
 
-    def _subscribe(self, action: api.Subscribe) -> None:
+    def _subscribe(self, action: api.WatchEndpointList) -> None:
         if self.watch is None:
-            self.feed(api.ListFailed())
+            self.feed(api.EndpointListFailed())
         else:
             self.watch()
 
     def _withdraw(self, account: Account) -> None:
         """Nothing is sent for a request that is answered: take back what has not left."""
-        for attempt, (member, sent, exchange) in list(account.out.items()):
+        for attempt, (endpoint, sent, exchange) in list(account.out.items()):
             if exchange.withdraw():
                 self.ledger.ended(account, attempt)
-                self._finished(account, attempt, member, sent, AttemptEnd(Result.NOT_SENT))
+                self._finished(account, attempt, endpoint, sent, AttemptEnd(AttemptResult.NOT_SENT))
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.SendAttempt) -> None:
         account = self.ledger.accounts.get(action.request)
         if account is None:
             return
@@ -411,9 +413,9 @@
         account.attempts += 1
         if not account.open:
             # The client left after the event that led here: the attempt was never made, and is told so.
-            self._finished(account, attempt, action.member, now, AttemptEnd(Result.NOT_SENT))
+            self._finished(account, attempt, action.endpoint, now, AttemptEnd(AttemptResult.NOT_SENT))
             return
-        account.members.append(action.member)
+        account.endpoints.append(action.endpoint)
         if self.door is not None and not attempt:
             self._decided(self.door.sent(account.id, now))
 
@@ -422,14 +424,16 @@
                 self._attempt_ended(account, attempt, end)
 
         by = self.decided_at + self.handover if self._ages(account, attempt) else NEVER
-        exchange = self._guarded("send", self.members.send, action.member, account.command.payload, ended, by)
+        exchange = self._guarded(
+            "send", self.endpoints.send, action.endpoint, account.command.payload, ended, by
+        )
         if exchange is None:  # whether bytes left is not known
-            end = AttemptEnd(Result.RESET, why="the front could not send")
-            self._finished(account, attempt, action.member, now, end)
+            end = AttemptEnd(AttemptResult.RESET, why="the front could not send")
+            self._finished(account, attempt, action.endpoint, now, end)
             return
-        account.out[attempt] = (action.member, now, exchange)
+        account.out[attempt] = (action.endpoint, now, exchange)
         if self.looks_on is not None:
-            self.looks_on.sent(action.member)
+            self.looks_on.sent(action.endpoint)
         if action.timeout > 0 and now + action.timeout < account.deadline:
             self.clock.call_later(action.timeout, self._expire, account, attempt, "time-out of the attempt")
 
@@ -441,31 +445,34 @@
         cls = self.classes.get(account.command.class_name)
         if cls is None:
             return False
-        again = attempt > 0 and cls.effect is Effect.KEYED
-        remembered = self.router.settings.marks is Marks.REMEMBERED and cls.freshness is Freshness.SESSION
+        again = attempt > 0 and cls.idempotency is Idempotency.KEYED
+        remembered = (
+            self.router.settings.session_tracking is SessionTracking.BY_PROXY
+            and cls.freshness is Freshness.SESSION
+        )
         return again or remembered or cls.freshness in (Freshness.BOUNDED, Freshness.FRESH)
 
     def _attempt_ended(self, account: Account, attempt: int, end: AttemptEnd) -> None:
-        member, sent, _ = account.out[attempt]
-        if end.result is not Result.OK:
-            account.last = f"member {member}: {end.why or end.result.value}"
-        first = account.open and end.result is Result.OK
+        endpoint, sent, _ = account.out[attempt]
+        if end.result is not AttemptResult.OK:
+            account.last = f"member {endpoint}: {end.why or end.result.value}"
+        first = account.open and end.result is AttemptResult.OK
         self.ledger.ended(account, attempt)
         if first:
             account.heard = end.arrived
-            self._settle(account, Answer(Verdict.SERVED, end.reply, member))
-        self._finished(account, attempt, member, sent, end)
+            self._settle(account, Answer(Verdict.SERVED, end.reply, endpoint))
+        self._finished(account, attempt, endpoint, sent, end)
 
-    def _finished(self, account: Account, attempt: int, member: int, sent: float, end: AttemptEnd) -> None:
+    def _finished(self, account: Account, attempt: int, endpoint: int, sent: float, end: AttemptEnd) -> None:
         # Up to the arrival of the answer's bytes, where that is known: the rest was this driver's own delay.
         elapsed = max(0.0, (end.arrived or self.clock.now()) - sent)
         if self.looks_on is not None and (cls := self.classes.get(account.command.class_name)) is not None:
-            self.looks_on.ended(member, end.result, elapsed / cls.aim)
+            self.looks_on.ended(endpoint, end.result, elapsed / cls.latency_objective)
         self.feed(
-            api.Finished(
+            api.AttemptFinished(
                 account.id,
                 attempt,
-                member,
+                endpoint,
                 end.result,
                 elapsed,
                 not account.open,
@@ -478,7 +485,7 @@
     def _expire(self, account: Account, attempt: int, why: str) -> None:
         if attempt in account.out:
             account.out[attempt][2].abandon()
-            self._attempt_ended(account, attempt, AttemptEnd(Result.TIMEOUT, why=why))
+            self._attempt_ended(account, attempt, AttemptEnd(AttemptResult.TIMEOUT, why=why))
 
     def _time_up(self, account: Account) -> None:
         """The client's time is up: every attempt has timed out, and the module gives what answer is owed.
@@ -512,20 +519,22 @@
             self.overdue += 1
             why = "overdue: no decision came"
         cls = self.classes.get(account.command.class_name)
-        safe = not account.attempts or (cls is not None and cls.effect is Effect.SAFE)
+        safe = not account.attempts or (cls is not None and cls.idempotency is Idempotency.IDEMPOTENT)
         clears = self.pace.clears_in(account.command.time_left, self.clock.now()) if safe else 0.0
-        self._settle(account, Answer(Verdict.REFUSED if safe else Verdict.FAILED, come_back=clears, why=why))
+        self._settle(
+            account, Answer(Verdict.REFUSED if safe else Verdict.FAILED, retry_after=clears, why=why)
+        )
         for attempt in list(account.out):
             self._expire(account, attempt, why)
         if not account.pinned:
-            self.feed(api.ClientGone(account.id))
+            self.feed(api.ClientDisconnected(account.id))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         if (account := self.ledger.accounts.get(action.request)) is not None and account.open:
             why = account.last or "no member had room in time"
             promised = self.door.promise(account.id, self.clock.now()) if self.door is not None else 0.0
-            come_back = promised or action.come_back  # the module's is a hint, the door's is kept
-            answer = Answer(Verdict.REFUSED, come_back=come_back, why=why, promised=promised > 0)
+            retry_after = promised or action.retry_after  # the module's is a hint, the door's is kept
+            answer = Answer(Verdict.REFUSED, retry_after=retry_after, why=why, promised=promised > 0)
             self._settle(account, answer)
 
     def _fail(self, action: api.Fail) -> None:
@@ -545,20 +554,24 @@
             served = answer.verdict is Verdict.SERVED
             self._decided(self.door.ended(account.id, self.clock.now(), served, account.heard))
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: api.CancelAttempt) -> None:
         account = self.ledger.accounts.get(action.request)
         if account is not None and action.attempt in account.out:
             account.out[action.attempt][2].abandon()
-            self._attempt_ended(account, action.attempt, AttemptEnd(Result.CANCELLED, why="called off"))
+            self._attempt_ended(
+                account, action.attempt, AttemptEnd(AttemptResult.CANCELLED, why="called off")
+            )
 
-    def _probe(self, action: api.Probe) -> None:
+    def _probe(self, action: api.CheckHealth) -> None:
         sent = self.clock.now()
 
         def ended(end: AttemptEnd) -> None:
-            self.feed(api.Probed(action.member, end.result, self.clock.now() - sent, end.report))
+            self.feed(
+                api.HealthCheckFinished(action.endpoint, end.result, self.clock.now() - sent, end.report)
+            )
 
         on_end: Ended = ended
         faults = self.faults
-        self._guarded("probe", self.members.probe, action.member, on_end)
+        self._guarded("probe", self.endpoints.probe, action.endpoint, on_end)
         if self.faults != faults:
-            ended(AttemptEnd(Result.RESET, why="the front could not probe"))
+            ended(AttemptEnd(AttemptResult.RESET, why="the front could not probe"))
--- a/sedgepitch/core/request_table.py
+++ b/sedgepitch/core/request_table.py
@@ -20,10 +20,10 @@
         "command",
         "deadline",
         "ending",
+        "endpoints",
         "heard",
         "id",
         "last",
-        "members",
         "opened",
         "out",
         "pinned",
@@ -45,7 +45,7 @@
         self.attempts = 0
         self.admitted = True  # the door has let it in
         self.out: dict[int, tuple[int, float, Exchange]] = {}  # attempt -> member, sent, exchange
-        self.members: list[int] = []
+        self.endpoints: list[int] = []
         self.last = ""  # how the last attempt ended, for the log
 
     @property
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from sedgepitch.routing.messages import Listing, Report, Result
+from sedgepitch.routing.messages import AttemptResult, EndpointEntry, LoadReport
 
 
 class Verdict(Enum):
@@ -39,11 +39,11 @@
 class AttemptEnd:
     """How one attempt at a member ended; `reply` is the front's own, `why` a few words for the operator."""
 
-    result: Result
+    result: AttemptResult
     reply: Any = None
     primary: bool | None = None
     position: float | None = None
-    report: Report | None = None
+    report: LoadReport | None = None
     why: str = ""
     arrived: float = 0.0  # when the answer's bytes came, 0 where that is not known
 
@@ -54,8 +54,8 @@
 
     verdict: Verdict
     reply: Any = None
-    member: int | None = None
-    come_back: float = 0.0
+    endpoint: int | None = None
+    retry_after: float = 0.0
     why: str = ""
     promised: bool = False  # come_back is a reservation, not a hint
 
@@ -80,19 +80,19 @@
 class Members(Protocol):
     """The members' side of a front: what the engine needs of it."""
 
-    def send(self, member: int, payload: Any, on_end: Ended, by: float) -> Exchange:
+    def send(self, endpoint: int, payload: Any, on_end: Ended, by: float) -> Exchange:
         """Send the payload to a member; on_end is called once, never before this returns.
 
         What cannot leave before `by`, a time of the clock, ends as not sent.
         """
 
-    def probe(self, member: int, on_end: Ended) -> None:
+    def probe(self, endpoint: int, on_end: Ended) -> None:
         """Ask a member for its report; on_end is called once, within a bounded time."""
 
-    def close_idle(self, member: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the connections to a member that are not in use."""
 
-    def listed(self, listings: tuple[Listing, ...], complete: bool) -> None:
+    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Take the member list, before the module does."""
 
 
@@ -102,10 +102,10 @@
     def arrived(self) -> None:
         """One request came in."""
 
-    def sent(self, member: int) -> None:
+    def sent(self, endpoint: int) -> None:
         """One attempt was sent."""
 
-    def ended(self, member: int, result: Result, share_of_aim: float) -> None:
+    def ended(self, endpoint: int, result: AttemptResult, share_of_aim: float) -> None:
         """It ended, after so much of its class's aim."""
 
 
--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -76,13 +76,13 @@
         """Whether the base is being measured."""
         return self.bound < self.limit
 
-    def answered(self, class_name: str, aim: float, seconds: float, sent: float) -> None:
+    def answered(self, class_name: str, latency_objective: float, seconds: float, sent: float) -> None:
         """Take the time that one answer took at its member, and when it was sent."""
         if self.dipping and not 0.0 <= self._dip_from <= sent:
             return
         known = self._samples.get(class_name)
         if known is None:
-            known = self._samples[class_name] = (aim, [])
+            known = self._samples[class_name] = (latency_objective, [])
         known[1].append(seconds)
 
     def inside(self, count: int, now: float) -> None:
@@ -99,9 +99,9 @@
         waited = now - self._from >= 4 * SPAN
         least = 1 if waited else LEAST_SAMPLE  # slow answers are few, and must not keep the limit where it is
         middles: dict[str, tuple[float, float, int]] = {}
-        for name, (aim, times) in self._samples.items():
+        for name, (latency_objective, times) in self._samples.items():
             if len(times) >= least:
-                middles[name] = (aim, median(times), len(times))
+                middles[name] = (latency_objective, median(times), len(times))
         if self.dipping:
             self._spans += 1
             if not middles and self._spans < DIP_MOST:
@@ -118,19 +118,19 @@
     def _rebase(self, middles: dict[str, tuple[float, float, int]]) -> None:
         """The dip is over: what answers took in it is the base."""
         changed = not middles
-        for name, (aim, middle, _) in middles.items():
+        for name, (latency_objective, middle, _) in middles.items():
             old = self._base.get(name, 0.0)
-            changed = changed or abs(middle - old) > SAME * max(old, LOW * aim, LEAST_BASE)
+            changed = changed or abs(middle - old) > SAME * max(old, LOW * latency_objective, LEAST_BASE)
             self._base[name] = middle
         self._pause = SOON if changed else min(2 * self._pause, SELDOM)
         self._since_dip, self.bound = 0, self.limit
 
     def _move(self, middles: dict[str, tuple[float, float, int]]) -> None:
         ratio = total = 0.0
-        for name, (aim, middle, count) in middles.items():
+        for name, (latency_objective, middle, count) in middles.items():
             base = min(self._base.get(name, middle), middle)
             self._base[name] = base
-            ratio += count * middle / max(base, LOW * aim, LEAST_BASE)
+            ratio += count * middle / max(base, LOW * latency_objective, LEAST_BASE)
             total += count
         ratio /= total
         if ratio > GAIN:
@@ -141,7 +141,10 @@
             self.limit = max(self.limit * (2.0 if self.starting else GROW), self.limit + GROW_LEAST)
         self.bound = self.limit
         # A base is in doubt where answers take long and the limit is full: they may all have queued.
-        slow = any(middle > max(LOW * aim, LEAST_BASE) for aim, middle, _ in middles.values())
+        slow = any(
+            middle > max(LOW * latency_objective, LEAST_BASE)
+            for latency_objective, middle, _ in middles.values()
+        )
         full = self.most_inside >= max(2.0 * LEAST, self.limit - 1.0)
         if not (slow and full):
             return
--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -149,7 +149,7 @@
         room.measure(now)
         cost = self.costs.get(arrival.class_name, FIRST_COST)
         weight = self.settings.weights.get(arrival.tenant, self.settings.default_weight)
-        held = Held(arrival.id, arrival.tenant, arrival.client, arrival.worth, cost, weight)
+        held = Held(arrival.id, arrival.tenant, arrival.client, arrival.priority_weight, cost, weight)
         until = now + self._patience(arrival)
         ticket = self.tickets[arrival.id] = _Ticket(arrival, held, room, now, until)
         promised = room.calendar.comes(arrival.mark, now)
@@ -221,7 +221,7 @@
             room.queue.correct(arrival.tenant, cost - held.cost, held.weight)
             self.usage.gather(arrival.tenant, cost, now)
             if served:
-                room.limit.answered(arrival.class_name, arrival.aim, cost, ticket.sent_at)
+                room.limit.answered(arrival.class_name, arrival.latency_objective, cost, ticket.sent_at)
                 usual = self.costs.get(arrival.class_name, FIRST_COST)
                 self.costs[arrival.class_name] = usual + LEARN * (cost - usual)
                 stay = self.stays.get(arrival.class_name, FIRST_COST)
@@ -302,9 +302,11 @@
     def _patience(self, arrival: Arrival) -> float:
         """How long it may be held so that its answer comes in time, by its class's usual stay inside."""
         patience = arrival.time_left * self.settings.hold_share
-        if arrival.aim > 0.0:
+        if arrival.latency_objective > 0.0:
             stay = self.stays.get(arrival.class_name, FIRST_COST)
-            patience = min(patience, max(arrival.aim - SURE * stay, LEAST_HOLD * arrival.aim))
+            patience = min(
+                patience, max(arrival.latency_objective - SURE * stay, LEAST_HOLD * arrival.latency_objective)
+            )
         return patience
 
     def _too_many_retries(self, tenant: str, now: float) -> bool:
@@ -323,8 +325,8 @@
             weights = held.weight * len(room.queue.tenants)
         ahead = sum(
             h.cost
-            for worth, level in tenant.levels.items()
-            if worth >= held.worth
+            for priority_weight, level in tenant.levels.items()
+            if priority_weight >= held.priority_weight
             for h in level.queues.get(held.client, ())
             if not h.gone
         )
@@ -340,7 +342,7 @@
         own_cost = (own.cost if own else 0.0) + newcomer.cost
         if fullest.name == newcomer.tenant:
             least = min(fullest.levels)
-            return room.queue.shed_from(fullest) if least < newcomer.worth else None
+            return room.queue.shed_from(fullest) if least < newcomer.priority_weight else None
         if fullest.cost / fullest.weight <= own_cost / newcomer.weight:
             return None
         return room.queue.shed_from(fullest)
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -26,7 +26,7 @@
     id: int
     tenant: str
     client: str
-    worth: float
+    priority_weight: float
     cost: float
     weight: float
     gone: bool = False
@@ -87,11 +87,11 @@
     correction: float = 0.0  # to the finish tag, for what lately turned out to cost more or less
 
     def pop(self) -> Held | None:
-        for worth in sorted(self.levels, reverse=True):
-            held = self.levels[worth].pop()
+        for priority_weight in sorted(self.levels, reverse=True):
+            held = self.levels[priority_weight].pop()
             if held is not None:
                 return held
-            del self.levels[worth]
+            del self.levels[priority_weight]
         return None
 
 
@@ -117,9 +117,9 @@
             finish = max(self.time, self.debts.pop(held.tenant, 0.0))
             tenant = self.tenants[held.tenant] = _Tenant(held.tenant, held.weight, finish)
         tenant.weight = held.weight
-        level = tenant.levels.get(held.worth)
+        level = tenant.levels.get(held.priority_weight)
         if level is None:
-            level = tenant.levels[held.worth] = _Clients()
+            level = tenant.levels[held.priority_weight] = _Clients()
         level.push(held)
         tenant.waiting += 1
         tenant.cost += held.cost
@@ -187,8 +187,8 @@
 
     def shed_from(self, tenant: _Tenant) -> Held | None:
         """Take out the tenant's least worthy request, the newest of its client with the most waiting."""
-        for worth in sorted(tenant.levels):
-            level = tenant.levels[worth]
+        for priority_weight in sorted(tenant.levels):
+            level = tenant.levels[priority_weight]
             for client in sorted(level.queues, key=lambda c: -len(level.queues[c])):
                 for held in reversed(level.queues[client]):
                     if not held.gone:
--- a/sedgepitch/decisions/admission/messages.py
+++ b/sedgepitch/decisions/admission/messages.py
@@ -17,13 +17,15 @@
     tenant: str
     client: str
     class_name: str
-    worth: float
+    priority_weight: float
     time_left: float
     group: int
     primary_only: bool
     mark: str
     key: str = ""
-    aim: float = 0.0  # s in which an answer is worth its while; 0 where any answer within its time is
+    latency_objective: float = (
+        0.0  # s in which an answer is worth its while; 0 where any answer within its time is
+    )
 
 
 @dataclass(slots=True)
@@ -38,7 +40,7 @@
     """Refuse it; come back after that many seconds, 0 where nothing can be promised."""
 
     id: int
-    come_back: float
+    retry_after: float
     why: str
 
 
--- a/sedgepitch/decisions/connections/descriptor_budget.py
+++ b/sedgepitch/decisions/connections/descriptor_budget.py
@@ -16,14 +16,14 @@
 class Descriptors:
     """Counts. `limit` is what the process may hold, 0 for no bound."""
 
-    __slots__ = ("clients", "clients_most", "limit", "members", "members_most", "refused")
+    __slots__ = ("clients", "clients_most", "endpoints", "limit", "members_most", "refused")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         shared = max(2 * LEAST, limit - RESERVED) if limit else 1 << 30
         self.clients_most = max(LEAST, int(shared * CLIENTS))
         self.members_most = max(LEAST, shared - self.clients_most)
-        self.clients = self.members = 0
+        self.clients = self.endpoints = 0
         self.refused = 0  # connections to members that there was no room for
 
     def client_came(self) -> bool:
@@ -37,17 +37,17 @@
 
     def take(self) -> bool:
         """Grant a connection to a member."""
-        if self.members >= self.members_most:
+        if self.endpoints >= self.members_most:
             self.refused += 1
             return False
-        self.members += 1
+        self.endpoints += 1
         return True
 
     def give(self) -> None:
         """A connection to a member has been closed."""
-        self.members -= 1
+        self.endpoints -= 1
 
     @property
     def members_short(self) -> bool:
         """Whether so many connections to members are open that idle ones should go."""
-        return self.members + LEAST > self.members_most
+        return self.endpoints + LEAST > self.members_most
--- a/sedgepitch/decisions/cursors.py
+++ b/sedgepitch/decisions/cursors.py
@@ -18,7 +18,7 @@
     """An open cursor: the client's id, the member's, and who holds it."""
 
     id: int
-    member: int
+    endpoint: int
     member_id: int
     namespace: str
     used: float
@@ -32,7 +32,9 @@
         self.random = random.Random(seed)
         self.cursors: OrderedDict[int, Cursor] = OrderedDict()
 
-    def opened(self, member: int, member_id: int, namespace: str, now: float) -> tuple[Cursor, list[Cursor]]:
+    def opened(
+        self, endpoint: int, member_id: int, namespace: str, now: float
+    ) -> tuple[Cursor, list[Cursor]]:
         """Take a cursor that a member opened; returns it, and those that had to end for it."""
         ended = self.expire(now)
         while len(self.cursors) >= self.most:
@@ -40,7 +42,7 @@
         number = self.random.getrandbits(62) | 1
         while number in self.cursors:
             number = self.random.getrandbits(62) | 1
-        cursor = Cursor(number, member, member_id, namespace, now)
+        cursor = Cursor(number, endpoint, member_id, namespace, now)
         self.cursors[number] = cursor
         return cursor, ended
 
@@ -49,7 +51,7 @@
         cursor = self.cursors.get(number)
         if cursor is None or cursor.namespace != namespace or now - cursor.used > self.idle:
             return None
-        cursor = Cursor(cursor.id, cursor.member, cursor.member_id, cursor.namespace, now)
+        cursor = Cursor(cursor.id, cursor.endpoint, cursor.member_id, cursor.namespace, now)
         self.cursors[number] = cursor
         self.cursors.move_to_end(number)
         return cursor
--- a/sedgepitch/decisions/discovery/list_versions.py
+++ b/sedgepitch/decisions/discovery/list_versions.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from sedgepitch.routing.messages import Listing, Members, State
+from sedgepitch.routing.messages import EndpointEntry, EndpointListUpdate, EndpointState
 
 Address = tuple[str, int]
 
@@ -28,7 +28,7 @@
     address: Address
     zone: str
     group: int
-    state: State
+    state: EndpointState
     size: float
     started: float
     primary: bool
@@ -56,7 +56,7 @@
         self.present: set[int] = set()
         self.ending: dict[str, float] = {}  # those told draining or removed, and when they had started
 
-    def take(self, version: Version, remembered: bool = False) -> Members | None:
+    def take(self, version: Version, remembered: bool = False) -> EndpointListUpdate | None:
         """Take a version; returns what the module is to hear, None where it says nothing new.
 
         A remembered list gives members but no version: it may be out of date.
@@ -66,15 +66,15 @@
             if not version.complete and version.revision <= self.revision:
                 return None
             self.revision = version.revision
-        listings = tuple(self._listing(entry, back) for entry in version.entries)
+        entries = tuple(self._listing(entry, back) for entry in version.entries)
         if version.complete:
             self.present = set()
-        for listing in listings:
-            if listing.state is State.GONE:
-                self.present.discard(listing.member)
+        for entry in entries:
+            if entry.state is EndpointState.GONE:
+                self.present.discard(entry.endpoint)
             else:
-                self.present.add(listing.member)
-        return Members(listings, version.complete, remembered)
+                self.present.add(entry.endpoint)
+        return EndpointListUpdate(entries, version.complete, remembered)
 
     def forget(self, number: int) -> None:
         """Nothing here uses a member any more; its name goes unless it is listed."""
@@ -84,12 +84,12 @@
             self.ending.pop(name, None)
             self.addresses.pop(number, None)
 
-    def _listing(self, entry: Entry, back: bool) -> Listing:
+    def _listing(self, entry: Entry, back: bool) -> EndpointEntry:
         state = entry.state
-        if state is not State.UP:
+        if state is not EndpointState.UP:
             self.ending[entry.name] = entry.started
         elif back and entry.name in self.ending and entry.started <= self.ending[entry.name]:
-            state = State.DRAINING
+            state = EndpointState.DRAINING
         else:
             self.ending.pop(entry.name, None)
         number = self.numbers.get(entry.name)
@@ -99,4 +99,4 @@
                 number = (number + 1) & 0xFFFFFFFF
             self.numbers[entry.name], self.names[number] = number, entry.name
         self.addresses[number] = entry.address
-        return Listing(number, entry.group, state, entry.zone, entry.primary, entry.size, entry.started)
+        return EndpointEntry(number, entry.group, state, entry.zone, entry.primary, entry.size, entry.started)
--- a/sedgepitch/decisions/positions.py
+++ b/sedgepitch/decisions/positions.py
@@ -103,11 +103,11 @@
     holder: int | None = None  # the primary of that term
     contested: bool = False
     marks: Marks = field(default_factory=Marks)
-    members: dict[int, _Member] = field(default_factory=dict)
+    endpoints: dict[int, _Member] = field(default_factory=dict)
 
-    def hello(self, member: int, sent: float, primary: bool, term: int, stamp: Stamp | None) -> Sighting:
+    def hello(self, endpoint: int, sent: float, primary: bool, term: int, stamp: Stamp | None) -> Sighting:
         """Take a member's own report of role, term and last optime; `sent` is when it was asked."""
-        known = self._member(member)
+        known = self._member(endpoint)
         if sent < known.asked:  # an older answer that comes late: it may tell of a log since rolled back
             return Sighting(None, None)
         known.asked = sent
@@ -116,7 +116,7 @@
         known.term, known.stamp = term, stamp
         if not primary:
             known.claims = -1
-            if self.holder == member:
+            if self.holder == endpoint:
                 self.holder = None
             return Sighting(self._position(known), False)
         if term < self.term:  # a primary of the past, that has not heard of its end
@@ -124,8 +124,8 @@
         if known.claims != term:
             known.claims, known.since = term, sent
         if self.holder is None and not self.contested:
-            self.holder = member
-        elif self.holder != member:
+            self.holder = endpoint
+        elif self.holder != endpoint:
             if self.holder is not None and self._member(self.holder).claims == self.term:
                 self.contested, self.holder, self.marks = True, None, Marks()
             return Sighting(self._position(known), None)
@@ -134,9 +134,9 @@
         self.marks.add(sent, stamp)
         return Sighting(sent, True)
 
-    def wrote(self, member: int, sent: float, stamp: Stamp | None) -> Sighting:
+    def wrote(self, endpoint: int, sent: float, stamp: Stamp | None) -> Sighting:
         """Take a write's good answer: its member is the primary, and its optime makes a mark."""
-        known = self._member(member)
+        known = self._member(endpoint)
         if known.claims != self.term:
             # An old answer, of a term that is over; or it has just taken over, and its hello will say so.
             return Sighting(None, None if known.claims >= 0 else True)
@@ -144,34 +144,34 @@
             return Sighting(None, None)
         if self.contested:
             self.contested = False
-            for other in self.members.values():
+            for other in self.endpoints.values():
                 if other is not known and other.claims == self.term:
                     other.claims = -1
-        self.holder = member
+        self.holder = endpoint
         if stamp is not None and self._believed(stamp, sent):
             self.marks.add(sent, stamp)
         return Sighting(sent, True)
 
-    def read(self, member: int, sent: float, stamp: Stamp | None) -> Sighting:
+    def read(self, endpoint: int, sent: float, stamp: Stamp | None) -> Sighting:
         """Take the optime in a read's answer. It proves no role: a former primary answers reads, too."""
-        known = self._member(member)
+        known = self._member(endpoint)
         if stamp and known.stamp and stamp > known.stamp and sent >= known.asked:
             known.stamp = stamp
-        if member == self.holder:
+        if endpoint == self.holder:
             return Sighting(None, None)
         return Sighting(self._position(known), None)
 
-    def turned_away(self, member: int) -> None:
+    def turned_away(self, endpoint: int) -> None:
         """Note that a member turned a write away: it is not the primary of any term up to now."""
-        self._member(member).claims = -1
-        if self.holder == member:
+        self._member(endpoint).claims = -1
+        if self.holder == endpoint:
             self.holder = None
-        claimants = [m for m, known in self.members.items() if known.claims == self.term]
+        claimants = [m for m, known in self.endpoints.items() if known.claims == self.term]
         self.contested = self.contested and len(claimants) > 1
 
-    def position(self, member: int) -> float | None:
+    def position(self, endpoint: int) -> float | None:
         """Return what the member's last optime proves by now, None where nothing is known of it."""
-        known = self.members.get(member)
+        known = self.endpoints.get(endpoint)
         return None if known is None or known.stamp is None else self._position(known)
 
     def session_need(self, after: Stamp, now: float) -> float:
@@ -184,14 +184,14 @@
         newest = self.marks.newest()
         return newest is None or now - newest[0] > within
 
-    def forget(self, member: int) -> None:
+    def forget(self, endpoint: int) -> None:
         """Let a member go that has left the list."""
-        self.members.pop(member, None)
-        if self.holder == member:
+        self.endpoints.pop(endpoint, None)
+        if self.holder == endpoint:
             self.holder = None
 
-    def _member(self, member: int) -> _Member:
-        return self.members.setdefault(member, _Member())
+    def _member(self, endpoint: int) -> _Member:
+        return self.endpoints.setdefault(endpoint, _Member())
 
     def _new_term(self, term: int) -> None:
         self.term, self.holder, self.contested, self.marks = term, None, False, Marks()
--- a/sedgepitch/decisions/request_classes.py
+++ b/sedgepitch/decisions/request_classes.py
@@ -13,7 +13,7 @@
 from fnmatch import translate
 from typing import ClassVar
 
-from sedgepitch.routing.messages import Effect, Freshness, RequestClass
+from sedgepitch.routing.messages import Freshness, Idempotency, RequestClass
 
 FRESH, SESSION, UNSAFE = "/fresh", "/session", "/unsafe"
 
@@ -74,8 +74,8 @@
     for cls in classes:
         out.append(cls)
         if cls.freshness is Freshness.WRITE:
-            if cls.effect is Effect.KEYED:
-                out.append(replace(cls, name=cls.name + UNSAFE, effect=Effect.UNSAFE))
+            if cls.idempotency is Idempotency.KEYED:
+                out.append(replace(cls, name=cls.name + UNSAFE, idempotency=Idempotency.NONE))
             continue
         if cls.freshness is not Freshness.FRESH:
             out.append(replace(cls, name=cls.name + FRESH, freshness=Freshness.FRESH))
@@ -135,14 +135,14 @@
         counted from the latest moment at which it may still be sent.
         """
         if cls.freshness is Freshness.WRITE:
-            unsafe = cls.effect is Effect.KEYED and not facts.keyed
+            unsafe = cls.idempotency is Idempotency.KEYED and not facts.keyed
             return Placement(cls.name + UNSAFE if unsafe else cls.name)
         if cls.freshness is Freshness.FRESH:
             return Placement(cls.name)
         if facts.read_concern == "linearizable" or facts.read_preference == "primary":
             return Placement(cls.name + FRESH)
         ages = [] if session_age is None else [session_age]
-        bounds = [cls.max_age] if cls.freshness is Freshness.BOUNDED else []
+        bounds = [cls.max_staleness] if cls.freshness is Freshness.BOUNDED else []
         if facts.max_staleness is not None and (not bounds or facts.max_staleness < bounds[0]):
             bounds = [facts.max_staleness]
             ages.append(facts.max_staleness - time_left)
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -20,13 +20,13 @@
 from sedgepitch.decisions.discovery.list_versions import Address, Entry, Version
 from sedgepitch.decisions.discovery.watch_streams import Watches
 from sedgepitch.net.connecting import connect
-from sedgepitch.routing.messages import State
+from sedgepitch.routing.messages import EndpointState
 
 CONNECT_WITHIN = 1.0  # s; discovery stands on this machine
 MOST_OBJECT = 4 * 1024 * 1024  # bytes
 MOST_MEMBERS = 10_000
 NEVER = float("inf")
-STATES = {"up": State.UP, "draining": State.DRAINING, "removed": State.GONE}
+STATES = {"up": EndpointState.UP, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 
 
 class BadVersion(ValueError):
@@ -64,11 +64,11 @@
     revision, complete = raw.get("revision"), raw.get("complete")
     if isinstance(revision, bool) or not isinstance(revision, int) or not isinstance(complete, bool):
         raise BadVersion(f"{where}: revision or complete is missing")
-    members = raw.get("members")
-    if not isinstance(members, list) or len(members) > MOST_MEMBERS:
+    endpoints = raw.get("members")
+    if not isinstance(endpoints, list) or len(endpoints) > MOST_MEMBERS:
         raise BadVersion(f"{where}.members: not a list of {MOST_MEMBERS} at most")
     entries = []
-    for index, entry in enumerate(members):
+    for index, entry in enumerate(endpoints):
         place = f"{where}.members[{index}]"
         if not isinstance(entry, dict):
             raise BadVersion(f"{place}: not an object")
--- a/sedgepitch/discovery/control_socket.py
+++ b/sedgepitch/discovery/control_socket.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from sedgepitch.core.types import Clock
-from sedgepitch.routing.messages import Listing, State
+from sedgepitch.routing.messages import EndpointEntry, EndpointState
 
 
 class BadList(ValueError):
@@ -25,15 +25,15 @@
 Addresses = dict[int, tuple[str, int]]
 
 
-def read_list(line: bytes, now: float) -> tuple[tuple[Listing, ...], bool, Addresses]:
+def read_list(line: bytes, now: float) -> tuple[tuple[EndpointEntry, ...], bool, Addresses]:
     """Read one line: the listings, whether they are the whole list, and addresses told. Raises BadList."""
     try:
         raw = json.loads(line)
-        listings = tuple(
-            Listing(
-                member=int(entry["id"]),
+        entries = tuple(
+            EndpointEntry(
+                endpoint=int(entry["id"]),
                 group=int(entry.get("group", 0)),
-                state=State(entry["state"]),
+                state=EndpointState(entry["state"]),
                 zone=str(entry.get("zone", "")),
                 primary=bool(entry.get("primary", False)),
                 size=float(entry.get("size", 1.0)),
@@ -46,7 +46,7 @@
             if "address" in entry:
                 host, _, port = str(entry["address"]).rpartition(":")
                 addresses[int(entry["id"])] = (host, int(port))
-        return listings, bool(raw["complete"]), addresses
+        return entries, bool(raw["complete"]), addresses
     except (KeyError, TypeError, ValueError, RecursionError, AttributeError) as error:
         raise BadList(f"member list: {error!r}"[:200]) from None
 
@@ -87,7 +87,7 @@
         clock: Clock,
         address: tuple[str, int],
         name: str,
-        changed: Callable[[tuple[Listing, ...], bool, Addresses], None],
+        changed: Callable[[tuple[EndpointEntry, ...], bool, Addresses], None],
         lost: Callable[[], None],
         log: Callable[..., None],
     ) -> None:
--- a/sedgepitch/node/driver.py
+++ b/sedgepitch/node/driver.py
@@ -45,7 +45,7 @@
         self.clock = ReactorClock(reactor)
         self.descriptors = Descriptors(config.sockets)
         self.membership = Membership()
-        self.members = PgMembers(
+        self.endpoints = PgMembers(
             reactor,
             self.clock,
             PoolLimits(
@@ -63,12 +63,12 @@
 
             trace = Trace(config.name)
             router: Router = TracedRouter(config.settings, config.seed, trace)
-            self.members.trace = trace.connection
+            self.endpoints.trace = trace.connection
         else:
             router = Router(config.settings, config.seed)
         self.engine = Engine(
             router,
-            self.members,
+            self.endpoints,
             self.clock,
             watch=self._watch,
             log=lambda text: lines.say("module", text=text),
@@ -77,9 +77,9 @@
         )
         self.front = Front(self.engine, self.clock, self.engine.classes, wall, self.descriptors)
         self.front.closes.report = self._client_closed
-        self.members.heard = self._heard
-        self.members.forgotten = self._forgotten
-        self.members.say = lines.say
+        self.endpoints.heard = self._heard
+        self.endpoints.forgotten = self._forgotten
+        self.endpoints.say = lines.say
         self.catalog = Catalog(
             reactor,
             self.clock,
@@ -123,7 +123,7 @@
             cores=config.cores,
             memory_mb=config.memory,
             sockets=config.sockets,
-            members=len(self.membership.present),
+            endpoints=len(self.membership.present),
         )
 
     # Discovery
@@ -133,7 +133,7 @@
         told = self.membership.take(version, remembered)
         if told is None:
             return
-        self.members.addresses = self.membership.addresses
+        self.endpoints.addresses = self.membership.addresses
         self.engine.list_changed(told)
         self.lines.say(
             "list",
@@ -148,15 +148,15 @@
         if why != self.trouble:
             self.trouble = why
             self.lines.say("discovery.lost", why=why)
-        if self.config.settings.subscribe:
-            self.engine.feed(api.ListFailed())
+        if self.config.settings.subscription_required:
+            self.engine.feed(api.EndpointListFailed())
 
     def _watch(self) -> None:
         """The module asks for changes: they are followed all the time here."""
 
-    def _forgotten(self, member: int) -> None:
-        self.engine.drained.pop(member, None)
-        self.membership.forget(member)
+    def _forgotten(self, endpoint: int) -> None:
+        self.engine.drained.pop(endpoint, None)
+        self.membership.forget(endpoint)
 
     # Signals
 
@@ -194,7 +194,7 @@
                 self.clock.call_later(STOP_LOOK, look)
                 return
             self.catalog.stop()
-            self.members.close()
+            self.endpoints.close()
             self._say_closes()
             self.lines.say("stopped", **self.figures())
             done()
@@ -220,7 +220,7 @@
 
         An idle client goes only where the shortage lasts: its next request may be on its way.
         """
-        if not self.members.close_longest_idle() and lasting:
+        if not self.endpoints.close_longest_idle() and lasting:
             self.front.free_descriptor()
 
     def _accept_failed(self, problem: AcceptProblem) -> None:
@@ -262,13 +262,13 @@
             "resting": len(front.visitors.resting),
             "silent": len(front.visitors.silent),
             "talking": len(front.visitors.talking),
-            "to_members": self.descriptors.members,
+            "to_members": self.descriptors.endpoints,
             "no_descriptor": self.descriptors.refused,
             "bad": front.bad_messages + front.bad_statements,
             "timed_out": front.visitors.overdue,
             "evicted": front.visitors.evicted,
-            "spoilt": self.members.spoilt,
-            "unread_reports": self.members.unread_reports,
+            "spoilt": self.endpoints.spoilt,
+            "unread_reports": self.endpoints.unread_reports,
             "reserve_ms": round(engine.pace.reserve(now) * 1000.0, 1),
             "latest_ms": round(engine.pace.peak * 1000.0, 1),
             "too_many": engine.too_many,
@@ -282,18 +282,18 @@
     def beliefs(self) -> str:
         """What the module believes of each member beside what its connections show, one word a member."""
         now, words = self.clock.now(), []
-        for member in self.engine.router.members.values():
-            if member.id not in self.membership.present:
+        for endpoint in self.engine.router.endpoints.values():
+            if endpoint.id not in self.membership.present:
                 continue
-            link = self.members.links.get(member.id)
+            link = self.endpoints.links.get(endpoint.id)
             lanes = (len(link.pool.lanes), len(link.pool.idle)) if link else (0, 0)
-            role = "P" if self.engine.router.groups[member.group].primary is member else "r"
+            role = "P" if self.engine.router.groups[endpoint.group].primary is endpoint else "r"
             words.append(
-                f"{self.membership.names.get(member.id, member.id)}:{member.state.value}/{role}"
-                f"/{member.suspect or 'good'}/out{len(member.out)}/lanes{lanes[0]}-{lanes[1]}"
-                f"/breaks{member.breaks}/rest{max(0.0, member.rest_until - now):.1f}"
-                f"/limit{member.limit:.1f}/strain{member.strain:.2f}/load{member.load:.0f}"
-                f"/lag{min(99.0, now - member.position):.2f}"
+                f"{self.membership.names.get(endpoint.id, endpoint.id)}:{endpoint.state.value}/{role}"
+                f"/{endpoint.suspect or 'good'}/out{len(endpoint.out)}/lanes{lanes[0]}-{lanes[1]}"
+                f"/breaks{endpoint.breaks}/rest{max(0.0, endpoint.rest_until - now):.1f}"
+                f"/limit{endpoint.limit:.1f}/strain{endpoint.strain:.2f}/load{endpoint.load:.0f}"
+                f"/lag{min(99.0, now - endpoint.position):.2f}"
             )
         return " ".join(words)
 
@@ -309,5 +309,5 @@
     def _report(self) -> None:
         self.lines.say("state", **self.figures())
         self._say_closes()
-        self.lines.say("beliefs", members=self.beliefs())
+        self.lines.say("beliefs", endpoints=self.beliefs())
         self.clock.call_later(TRACE_EVERY if self.lines.tracing else REPORT_EVERY, self._report)
--- a/sedgepitch/node/lines.py
+++ b/sedgepitch/node/lines.py
@@ -53,7 +53,7 @@
         super().__init__(name, sink, TRACE_MOST)
         self.opened = 0
 
-    def connection(self, member: int) -> Callable[..., None]:
+    def connection(self, endpoint: int) -> Callable[..., None]:
         """Return what writes down the life of one more connection to a member."""
         self.opened += 1
         number = self.opened
@@ -62,7 +62,7 @@
             payload = fields.pop("payload", None)
             if payload is not None:
                 fields["id"] = getattr(payload, "id", b"probe").decode()
-            self.put("socket", what=what, member=member, connection=number, **fields)
+            self.put("socket", what=what, endpoint=endpoint, connection=number, **fields)
 
         return note
 
--- a/sedgepitch/node/trace.py
+++ b/sedgepitch/node/trace.py
@@ -36,7 +36,7 @@
         """Decide as the module does, and write it down."""
         told = list(events)
         for event in told:
-            if not isinstance(event, api.Timer):
+            if not isinstance(event, api.TimerExpired):
                 self.trace.put("event", now=round(now, 6), what=type(event).__name__, **plain(event))
         actions = super().handle(now, told)
         for action in actions:
--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -76,8 +76,8 @@
             children = self._children[key] = (self.answers.labels(*key), self.seconds.labels(name))
         children[0].inc()
         children[1].observe(elapsed)
-        for member in account.members:
-            counter = self._members.get(member)
+        for endpoint in account.endpoints:
+            counter = self._members.get(endpoint)
             if counter is None:
-                counter = self._members[member] = self.attempts.labels(str(member))
+                counter = self._members[endpoint] = self.attempts.labels(str(endpoint))
             counter.inc()
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -24,7 +24,7 @@
 from sedgepitch.peers.keys import BadSeal
 from sedgepitch.peers.service import Peers
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 
 LOOK = 0.1  # s between looks at the own evidence
 LEAST_GAP = 0.2  # s between two tellings of the own digest
@@ -35,8 +35,8 @@
 NUMBERS, NUMBER_FOR = 16, 30.0  # numbers given out for orders at most, and s that each is good for
 DIGEST, ORDERS = "zones", "orders"  # kinds of words
 
-ANSWERED = (Result.OK, Result.ERROR, Result.FULL, Result.MISS)
-BROKEN = (Result.CONNECT_FAILED, Result.RESET)
+ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.OVERLOADED, AttemptResult.NOT_ELIGIBLE)
+BROKEN = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
 
 
 class BadOrder(ValueError):
@@ -88,25 +88,25 @@
         """One request came in."""
         self.evidence.arrived(self.clock.now())
 
-    def sent(self, member: int) -> None:
+    def sent(self, endpoint: int) -> None:
         """One attempt was sent."""
-        if (zone := self._zone_of(member)) is not None:
-            self.evidence.sent(self.clock.now(), member, zone)
+        if (zone := self._zone_of(endpoint)) is not None:
+            self.evidence.sent(self.clock.now(), endpoint, zone)
 
-    def ended(self, member: int, result: Result, share_of_aim: float) -> None:
+    def ended(self, endpoint: int, result: AttemptResult, share_of_aim: float) -> None:
         """It ended. One that was called off, or never left, says nothing of a member."""
-        zone, now = self._zone_of(member), self.clock.now()
+        zone, now = self._zone_of(endpoint), self.clock.now()
         if zone is None:
             return
         if result in ANSWERED:
-            self.evidence.good(now, member, zone, share_of_aim)
-        elif result is Result.TIMEOUT:
-            self.evidence.silent(now, member, zone)
+            self.evidence.good(now, endpoint, zone, share_of_aim)
+        elif result is AttemptResult.TIMEOUT:
+            self.evidence.silent(now, endpoint, zone)
         elif result in BROKEN:
-            self.evidence.refused(now, member, zone)
+            self.evidence.refused(now, endpoint, zone)
 
-    def _zone_of(self, member: int) -> str | None:
-        held = self.engine.router.members.get(member)
+    def _zone_of(self, endpoint: int) -> str | None:
+        held = self.engine.router.endpoints.get(endpoint)
         return held.zone if held is not None and held.zone else None
 
     # Time
@@ -155,14 +155,17 @@
     def _digest(self, now: float) -> Digest:
         suspects = {
             m.id: m.zone
-            for m in self.engine.router.members.values()
-            if m.suspect in ("silent", "down") and m.trial is None and m.zone and m.state is api.State.UP
+            for m in self.engine.router.endpoints.values()
+            if m.suspect in ("silent", "down")
+            and m.trial is None
+            and m.zone
+            and m.state is api.EndpointState.UP
         }
         in_part = [z.name for z in self.zones.zones.values() if z.share < 1.0]
         up = Counter(
             m.zone[: evidence.MOST_NAME]
-            for m in self.engine.router.members.values()
-            if m.zone and m.state is api.State.UP
+            for m in self.engine.router.endpoints.values()
+            if m.zone and m.state is api.EndpointState.UP
         )
         rows = self.evidence.rows(now, suspects, {z: up[z] for z in self._sizes()}, in_part)
         gossip = self.peers.gossip
@@ -172,10 +175,10 @@
 
     def _sizes(self) -> dict[str, float]:
         sizes: dict[str, float] = {}
-        for member in self.engine.router.members.values():
-            if member.zone and member.state is api.State.UP:
-                zone = member.zone[: evidence.MOST_NAME]
-                sizes[zone] = sizes.get(zone, 0.0) + member.size
+        for endpoint in self.engine.router.endpoints.values():
+            if endpoint.zone and endpoint.state is api.EndpointState.UP:
+                zone = endpoint.zone[: evidence.MOST_NAME]
+                sizes[zone] = sizes.get(zone, 0.0) + endpoint.size
         return dict(sorted(sizes.items())[: evidence.MOST_ZONES])
 
     def _turn(self, now: float, late: bool) -> None:
@@ -208,7 +211,7 @@
                 self.say("zone", zone=zone, state=what, **fields)
         if shares != self.shares:
             self.shares = shares
-            self.engine.feed(api.ZoneShares(tuple(sorted(shares.items()))))
+            self.engine.feed(api.ZoneWeights(tuple(sorted(shares.items()))))
 
     # Orders
 
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -39,7 +39,7 @@
     """What all connections of one listener share. `group_of` gives a request's group, None for no such."""
 
     engine: Engine
-    members: MongoMembers
+    endpoints: MongoMembers
     clock: Clock
     classifier: Classifier
     cursors: CursorTable
@@ -235,7 +235,7 @@
         time_left = self._time_left(request, cls.deadline)
         age = None
         if request.after is not None and not request.facts.writes:
-            age = max(1e-6, now - context.members.positions[group].session_need(request.after, now))
+            age = max(1e-6, now - context.endpoints.positions[group].session_need(request.after, now))
         placement = context.classifier.place(cls, request.facts, time_left, age)
         who = self._who(request)
         self.tenant, self.greeted = who[0], True
@@ -289,7 +289,7 @@
                 return
             writes = request.facts.writes
             if answer.verdict is Verdict.REFUSED:
-                body = errors.refused(answer.why, answer.come_back, writes, answer.promised)
+                body = errors.refused(answer.why, answer.retry_after, writes, answer.promised)
             else:
                 body = errors.failed(answer.why, writes)
             self._reply(request.message, body)
@@ -300,7 +300,7 @@
         """Send a member's reply on; a cursor that it opens gets an id of ours."""
         reply: MemberReply = answer.reply
         cursor = reply.cursor
-        if cursor is None or answer.member is None:
+        if cursor is None or answer.endpoint is None:
             self._reply(request.message, reply.body)
             return
         identity = bsonwalk.find(reply.body, b"id", cursor.start)
@@ -311,7 +311,7 @@
                 return
             namespace = bsonwalk.text(body, bsonwalk.find(body, b"ns", cursor.start)) or request.namespace
             opened, ended = self.context.cursors.opened(
-                answer.member, member_id, namespace, self.context.clock.now()
+                answer.endpoint, member_id, namespace, self.context.clock.now()
             )
             self._close_at_members(ended)
             body = bsonwalk.replace_int64(body, identity, opened.id)
@@ -325,12 +325,12 @@
         if cursor is None:
             self._reply(request.message, errors.cursor_not_found(number))
             return
-        if not may_go_on(context.engine.drained.get(cursor.member), context.drain_grace, now):
+        if not may_go_on(context.engine.drained.get(cursor.endpoint), context.drain_grace, now):
             context.cursors.close(number)
             self._reply(request.message, errors.cursor_not_found(number))
             return
         time_left = self._time_left(request, context.classifier.most_deadline)
-        group = context.members.links[cursor.member].group
+        group = context.endpoints.links[cursor.endpoint].group
         payload = Plain(request.next_batch(cursor.member_id))
         command = Command("", group, time_left, payload, request.session, connection=self.number)
 
@@ -353,7 +353,7 @@
             self._reply(request.message, body)
 
         arrived = self.since or None
-        self._await(request, context.engine.submit_pinned(cursor.member, command, answered, arrived))
+        self._await(request, context.engine.submit_pinned(cursor.endpoint, command, answered, arrived))
 
     def _kill_cursors(self, request: Request) -> None:
         killed: list[int] = []
@@ -437,8 +437,8 @@
     """Tell members that cursors are not needed any more, where they are still to be had."""
     now = context.clock.now()
     for cursor in ended:
-        link = context.members.links.get(cursor.member)
-        drained = context.engine.drained.get(cursor.member)
+        link = context.endpoints.links.get(cursor.endpoint)
+        drained = context.engine.drained.get(cursor.endpoint)
         if link is None or not may_go_on(drained, context.drain_grace, now):
             continue
         database, _, collection = cursor.namespace.partition(".")
--- a/sedgepitch/protocols/mongodb/errors.py
+++ b/sedgepitch/protocols/mongodb/errors.py
@@ -21,7 +21,7 @@
     return bson.encode({"ok": 0.0, "errmsg": text, "code": code, "codeName": name})
 
 
-def refused(why: str, come_back: float, writes: bool, promised: bool = False) -> bytes:
+def refused(why: str, retry_after: float, writes: bool, promised: bool = False) -> bytes:
     """Return a refusal; come_back in seconds, 0 for no advice; promised where room is kept for that time."""
     labels = ["RetryableError", "SystemOverloadedError", "NoWritesPerformed"]
     document = {
@@ -31,8 +31,8 @@
         "codeName": REFUSED[1],
         "errorLabels": [*labels, "RetryableWriteError"] if writes else labels,
     }
-    if come_back > 0:
-        document["retryAfterMS"] = math.ceil(come_back * 1000.0)
+    if retry_after > 0:
+        document["retryAfterMS"] = math.ceil(retry_after * 1000.0)
         document["promised"] = promised
     return bson.encode(document)
 
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -22,7 +22,7 @@
 from sedgepitch.protocols.mongodb import bsonwalk, codec
 from sedgepitch.protocols.mongodb.codec import Message, WireError
 from sedgepitch.protocols.mongodb.framing import FrameReceiver
-from sedgepitch.routing.messages import Listing, Report, Result
+from sedgepitch.routing.messages import AttemptResult, EndpointEntry, LoadReport
 
 NOT_PRIMARY = (10107, 10058, 13435, 13436)  # turned away untouched: not the primary, or not readable
 ROLE_LOST = (189, 11602)  # stepped down meanwhile: it may have had an effect
@@ -245,31 +245,31 @@
 
     # The engine's side
 
-    def listed(self, listings: tuple[Listing, ...], complete: bool) -> None:
+    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Open pools for new members; one that is gone keeps its pool for what is under way."""
-        for listing in listings:
-            address = self.addresses.get(listing.member)
-            link = self.links.get(listing.member)
+        for entry in entries:
+            address = self.addresses.get(entry.endpoint)
+            link = self.links.get(entry.endpoint)
             if address is None:
                 continue
             if link is None or link.address != address:
                 if link is not None:
                     link.pool.close()
                     link.probes.close()
-                link = self.links[listing.member] = self._link(listing, address)
-            link.listed_primary = listing.primary
+                link = self.links[entry.endpoint] = self._link(entry, address)
+            link.listed_primary = entry.primary
 
-    def send(self, member: int, payload: Any, on_end: Ended, by: float) -> Exchange:
+    def send(self, endpoint: int, payload: Any, on_end: Ended, by: float) -> Exchange:
         """Send a request or a cursor's next batch, where it can leave by then."""
-        return self.links[member].pool.send(payload, on_end, by)
+        return self.links[endpoint].pool.send(payload, on_end, by)
 
-    def close_idle(self, member: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close what is not in use."""
-        self.links[member].pool.close_idle()
+        self.links[endpoint].pool.close_idle()
 
-    def probe(self, member: int, on_end: Ended) -> None:
+    def probe(self, endpoint: int, on_end: Ended) -> None:
         """Ask a member by hello, and the primary for a mark where the newest is too old."""
-        link = self.links[member]
+        link = self.links[endpoint]
         group = self.positions[link.group]
         primary = self._primary_of(link.group)
         waiting: dict[str, Any] = {"answer": None, "mark": False}
@@ -326,19 +326,19 @@
         if end.report is None or end.report.primary is True:
             return end
         position = self.positions[link.group].position(link.id)
-        report = Report(position, end.report.primary, end.report.load)
+        report = LoadReport(position, end.report.primary, end.report.load)
         return AttemptEnd(end.result, report=report)
 
     # Connections and replies
 
-    def _link(self, listing: Listing, address: tuple[str, int]) -> _Link:
-        member, group = listing.member, listing.group
+    def _link(self, entry: EndpointEntry, address: tuple[str, int]) -> _Link:
+        endpoint, group = entry.endpoint, entry.group
 
         def connect(ready: Any, failed: Callable[[str], None], lost: Callable[[str], None]) -> Any:
             asked = self.clock.now()
 
             def greeted(connection: MemberConnection, message: Message) -> None:
-                self._sighted(member, group, asked, read_hello(message))
+                self._sighted(endpoint, group, asked, read_hello(message))
                 ready(connection)
 
             opening = Opening(
@@ -350,61 +350,65 @@
             return opening.give_up
 
         def judge(exchange: Any, message: Message) -> AttemptEnd:
-            end = self._judge(member, group, exchange, message)
+            end = self._judge(endpoint, group, exchange, message)
             end.arrived = message.arrived
             return end
 
         def judge_probe(exchange: Any, message: Message) -> AttemptEnd:
             hello = read_hello(message)
             if hello is None:
-                return AttemptEnd(Result.ERROR, why="hello answered with an error")
-            sighting = self._sighted(member, group, exchange.sent_at, hello)
-            return AttemptEnd(Result.OK, report=Report(sighting.position, sighting.primary, hello.load))
+                return AttemptEnd(AttemptResult.ERROR, why="hello answered with an error")
+            sighting = self._sighted(endpoint, group, exchange.sent_at, hello)
+            return AttemptEnd(
+                AttemptResult.OK, report=LoadReport(sighting.position, sighting.primary, hello.load)
+            )
 
         probe_limits = PoolLimits(4, self.probe_within, self.limits.idle_for)
         return _Link(
-            member,
+            endpoint,
             group,
             address,
             Pool(self.clock, connect, judge, self.limits),
             Pool(self.clock, connect, judge_probe, probe_limits),
         )
 
-    def _sighted(self, member: int, group: int, asked: float, hello: Hello | None) -> Sighting:
+    def _sighted(self, endpoint: int, group: int, asked: float, hello: Hello | None) -> Sighting:
         if hello is None:
             return Sighting(None, None)
-        return self.positions[group].hello(member, asked, hello.primary, hello.term, hello.stamp)
+        return self.positions[group].hello(endpoint, asked, hello.primary, hello.term, hello.stamp)
 
-    def _judge(self, member: int, group: int, exchange: Any, message: Message) -> AttemptEnd:
+    def _judge(self, endpoint: int, group: int, exchange: Any, message: Message) -> AttemptEnd:
         writes, positions = exchange.payload.writes, self.positions[group]
         try:
             facts = read_reply(message)
         except bsonwalk.BadDocument as error:
-            return AttemptEnd(Result.ERROR, why=f"bad reply: {error}")
+            return AttemptEnd(AttemptResult.ERROR, why=f"bad reply: {error}")
         if not facts.good:
-            end = self._judge_error(member, positions, facts, message)
+            end = self._judge_error(endpoint, positions, facts, message)
             if end is not None:
                 return end
         reply = MemberReply(message.body, facts.cursor)
         if writes and facts.good:
-            sighting = positions.wrote(member, exchange.sent_at, facts.stamp)
-            report = Report(sighting.position, None)
-            return AttemptEnd(Result.OK, reply, sighting.primary, self.clock.now(), report)
-        sighting = positions.read(member, exchange.sent_at, facts.stamp)
-        return AttemptEnd(Result.OK, reply, report=Report(sighting.position, None))
+            sighting = positions.wrote(endpoint, exchange.sent_at, facts.stamp)
+            report = LoadReport(sighting.position, None)
+            return AttemptEnd(AttemptResult.OK, reply, sighting.primary, self.clock.now(), report)
+        sighting = positions.read(endpoint, exchange.sent_at, facts.stamp)
+        return AttemptEnd(AttemptResult.OK, reply, report=LoadReport(sighting.position, None))
 
     def _judge_error(
-        self, member: int, positions: GroupPositions, facts: ReplyFacts, message: Message
+        self, endpoint: int, positions: GroupPositions, facts: ReplyFacts, message: Message
     ) -> AttemptEnd | None:
         """Return the end where the error is the member's, None where it is the answer that was asked for."""
         if facts.code in NOT_PRIMARY:
-            positions.turned_away(member)
-            return AttemptEnd(Result.MISS, message, False, why=f"not primary (code {facts.code})")
+            positions.turned_away(endpoint)
+            return AttemptEnd(
+                AttemptResult.NOT_ELIGIBLE, message, False, why=f"not primary (code {facts.code})"
+            )
         if facts.code in ROLE_LOST:
-            positions.turned_away(member)
-            return AttemptEnd(Result.ERROR, message, False, why=f"stepped down (code {facts.code})")
+            positions.turned_away(endpoint)
+            return AttemptEnd(AttemptResult.ERROR, message, False, why=f"stepped down (code {facts.code})")
         if facts.code == OVERLOADED or NEVER_RAN_LABEL in facts.labels:
-            return AttemptEnd(Result.FULL, message, why=f"full (code {facts.code})")
+            return AttemptEnd(AttemptResult.OVERLOADED, message, why=f"full (code {facts.code})")
         if facts.code in TROUBLE:
-            return AttemptEnd(Result.ERROR, message, why=f"member in trouble (code {facts.code})")
+            return AttemptEnd(AttemptResult.ERROR, message, why=f"member in trouble (code {facts.code})")
         return None
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -56,7 +56,9 @@
         self.engine, self.clock, self.classes, self.wall = engine, clock, classes, wall
         self.descriptors = descriptors
         settings = engine.router.settings
-        self.most_come_back = settings.max_come_back if settings.come_back else 0.0  # s; 0 where none is told
+        self.most_come_back = (
+            settings.max_retry_after if settings.retry_after else 0.0
+        )  # s; 0 where none is told
         self.open_ids: dict[bytes, ClientConnection] = {}
         self.connections: set[ClientConnection] = set()
         self.visitors: Visitors[ClientConnection] = Visitors(descriptors.clients_most)
@@ -408,8 +410,8 @@
         if answer.verdict is Verdict.SERVED:
             out = answer.reply + codec.READY
         elif answer.verdict is Verdict.REFUSED:
-            come_back = min(answer.come_back, front.most_come_back)
-            pause = str(max(1, round(come_back * 1000.0))) if come_back > 0 else ""
+            retry_after = min(answer.retry_after, front.most_come_back)
+            pause = str(max(1, round(retry_after * 1000.0))) if retry_after > 0 else ""
             out = codec.error(REFUSED, answer.why or "refused", pause) + codec.READY
         else:
             out = codec.error(FAILED, answer.why or "failed") + codec.READY
--- a/sedgepitch/protocols/postgresql/statements.py
+++ b/sedgepitch/protocols/postgresql/statements.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from sedgepitch.routing.messages import Effect, Freshness, RequestClass
+from sedgepitch.routing.messages import Freshness, Idempotency, RequestClass
 
 MOST_TIME = 3_600_000.0  # ms; a longer wait than this is a mistake
 MOST_GROUP = 2**31
@@ -77,7 +77,7 @@
     time = fields.get(b"d", b"")
     if _TIME.fullmatch(time) is None or not 0.0 < float(time) <= MOST_TIME:
         raise BadStatement("d: missing, or no time in milliseconds")
-    if (cls.effect is Effect.KEYED) != (b"k" in fields):
+    if (cls.idempotency is Idempotency.KEYED) != (b"k" in fields):
         raise BadStatement("k: a keyed class needs it, and no other takes it")
     if b"k" in fields and _ID.fullmatch(fields[b"k"]) is None:
         raise BadStatement("k: not a key")
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -21,7 +21,7 @@
 from sedgepitch.net.connecting import Opening
 from sedgepitch.protocols.postgresql import codec
 from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
-from sedgepitch.routing.messages import Listing, Report, Result, State
+from sedgepitch.routing.messages import AttemptResult, EndpointEntry, EndpointState, LoadReport
 from sedgepitch.settings import report as read_report
 
 MISSES = ("25006", "72000")  # no primary, or too far behind: no effect
@@ -295,7 +295,7 @@
         self.addresses: Mapping[int, tuple[str, int]] = {}
         self.links: dict[int, Link] = {}
         self.heard: Callable[[float], None] = lambda arrived: None
-        self.forgotten: Callable[[int], None] = lambda member: None
+        self.forgotten: Callable[[int], None] = lambda endpoint: None
         self.trace: Callable[[int], Callable[..., None]] | None = None  # a connection's own notes
         self.say: Callable[..., None] = lambda event, **fields: None
         self.spoilt = self.unread_reports = 0
@@ -303,44 +303,44 @@
 
     # The engine's side
 
-    def listed(self, listings: tuple[Listing, ...], complete: bool) -> None:
+    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Take the list: new members, new addresses, and those that are gone."""
         now = self.clock.now()
-        for listing in listings:
-            link, address = self.links.get(listing.member), self.addresses.get(listing.member)
+        for entry in entries:
+            link, address = self.links.get(entry.endpoint), self.addresses.get(entry.endpoint)
             if address is None:
                 continue
             if link is None:
-                self.links[listing.member] = Link(
-                    listing.member, address, self._pool(listing.member, address)
+                self.links[entry.endpoint] = Link(
+                    entry.endpoint, address, self._pool(entry.endpoint, address)
                 )
             elif link.address != address:
                 link.pool.retire()
-                link.address, link.pool = address, self._pool(listing.member, address)
-        present = {x.member for x in listings if x.state is not State.GONE}
+                link.address, link.pool = address, self._pool(entry.endpoint, address)
+        present = {x.endpoint for x in entries if x.state is not EndpointState.GONE}
         for link in self.links.values():
             if link.id in present:
                 link.gone_at = math.inf
-            elif complete or any(x.member == link.id for x in listings):
+            elif complete or any(x.endpoint == link.id for x in entries):
                 link.gone_at = min(link.gone_at, now)
 
-    def send(self, member: int, payload: Any, on_end: Ended, by: float) -> Exchange:
+    def send(self, endpoint: int, payload: Any, on_end: Ended, by: float) -> Exchange:
         """Send a statement, where it can leave by then."""
-        link = self.links[member]
+        link = self.links[endpoint]
         if self.room_short():
             self.close_longest_idle()
         return link.pool.send(payload, on_end, by)
 
-    def probe(self, member: int, on_end: Ended) -> None:
+    def probe(self, endpoint: int, on_end: Ended) -> None:
         """Ask a member for its report."""
-        if (link := self.links.get(member)) is None:
-            self.clock.soon(on_end, AttemptEnd(Result.NOT_SENT, why="not listed any more"))
+        if (link := self.links.get(endpoint)) is None:
+            self.clock.soon(on_end, AttemptEnd(AttemptResult.NOT_SENT, why="not listed any more"))
         else:
             link.pool.ask(Probe(), on_end, self.probe_within)
 
-    def close_idle(self, member: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close what is not in use."""
-        if (link := self.links.get(member)) is not None:
+        if (link := self.links.get(endpoint)) is not None:
             link.pool.close_idle()
 
     def close(self) -> None:
@@ -379,11 +379,11 @@
 
     # Connections and replies
 
-    def _pool(self, member: int, address: tuple[str, int]) -> Pool:
+    def _pool(self, endpoint: int, address: tuple[str, int]) -> Pool:
         def connect(ready: Any, failed: Callable[[str], None], lost: Callable[[str], None]) -> Any:
             made = MemberConnection(self.names, self.clock.now, ready, failed, lost, self.heard)
             if self.trace is not None:
-                made.note = self.trace(member)
+                made.note = self.trace(endpoint)
             opening = Opening(lambda: made, failed, self.limits.connect_within)
             opening.open(self.reactor, address, self.limits.connect_within + 1.0)
 
@@ -398,17 +398,19 @@
         return Pool(
             self.clock,
             connect,
-            lambda exchange, reply: self.judge(member, exchange.payload, reply),
+            lambda exchange, reply: self.judge(endpoint, exchange.payload, reply),
             self.limits,
             self.room,
         )
 
-    def judge(self, member: int, payload: Any, reply: Reply) -> AttemptEnd:
+    def judge(self, endpoint: int, payload: Any, reply: Reply) -> AttemptEnd:
         """Turn what came back into an outcome and its evidence."""
         if reply.spoilt:
             self.spoilt += 1
-            self.say("member.spoilt", member=member, why=reply.spoilt)
-            return AttemptEnd(Result.ERROR, why=f"spoilt answer: {reply.spoilt}", arrived=reply.arrived)
+            self.say("member.spoilt", endpoint=endpoint, why=reply.spoilt)
+            return AttemptEnd(
+                AttemptResult.ERROR, why=f"spoilt answer: {reply.spoilt}", arrived=reply.arrived
+            )
         end = AttemptEnd(self._result(reply), arrived=reply.arrived)
         if reply.code:
             end.why = f"code {reply.code}"
@@ -419,20 +421,20 @@
         usage = reply.usage
         if isinstance(payload, Probe):
             usage = usage or reply.row or b""
-        elif end.result is Result.OK:
+        elif end.result is AttemptResult.OK:
             end.reply = reply.value
         if usage:
             end.report = self._report(usage)
         return end
 
-    def _result(self, reply: Reply) -> Result:
+    def _result(self, reply: Reply) -> AttemptResult:
         if not reply.code:
-            return Result.OK
+            return AttemptResult.OK
         if reply.code in MISSES:
-            return Result.MISS
-        return Result.FULL if reply.code == FULL else Result.ERROR
+            return AttemptResult.NOT_ELIGIBLE
+        return AttemptResult.OVERLOADED if reply.code == FULL else AttemptResult.ERROR
 
-    def _report(self, usage: bytes) -> Report | None:
+    def _report(self, usage: bytes) -> LoadReport | None:
         fields = read_usage(usage)
         if not fields:
             self.unread_reports += 1
--- a/sedgepitch/routing/messages.py
+++ b/sedgepitch/routing/messages.py
@@ -20,22 +20,22 @@
     ANY = "any"
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether a request may be repeated."""
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NONE = "unsafe"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which members drop the repeats of a keyed request."""
 
     ALL = "all"
     CELL = "cell"
 
 
-class State(Enum):
+class EndpointState(Enum):
     """What the member list says of a member."""
 
     UP = "up"
@@ -43,33 +43,33 @@
     GONE = "gone"
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How an attempt or a probe ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    MISS = "miss"
+    NOT_ELIGIBLE = "miss"
 
 
-class Checks(Enum):
+class StaleReadHandling(Enum):
     """What a member does with a read for which it lags too far."""
 
-    NONE = "none"
-    BOUNCE = "bounce"
-    AWAIT = "await"
+    SERVE = "none"
+    REJECT = "bounce"
+    WAIT = "await"
 
 
-class Marks(Enum):
+class SessionTracking(Enum):
     """Where the age of a session's last write is known from."""
 
-    CARRIED = "carried"
-    REMEMBERED = "remembered"
+    BY_CLIENT = "carried"
+    BY_PROXY = "remembered"
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,28 +77,28 @@
     """One class of requests, as the deployment states it."""
 
     name: str
-    aim: float
+    latency_objective: float
     deadline: float
-    worth: float
-    late_worth: float
-    effect: Effect
-    scope: Scope
-    window: float
+    priority_weight: float
+    late_priority_weight: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window: float
     freshness: Freshness
-    max_age: float
+    max_staleness: float
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class RuleLimits:
     """The figures of the binding rules."""
 
     answer_slack: float = 0.0
     drain_grace: float = 0.0
     overload_factor: float = 1.0
-    overload_time: float = 1.0
-    start_capacity: float = 1.0
-    warm_within: float = 0.0
-    ask_within: float = 0.0
+    overload_duration: float = 1.0
+    initial_capacity: float = 1.0
+    slow_start_window: float = 0.0
+    max_poll_interval: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,42 +108,42 @@
     classes: tuple[RequestClass, ...]
     zone: str = ""
     tick: float = 0.001
-    drivers: int = 1
-    rules: Rules = field(default_factory=Rules)
-    checks: Checks = Checks.NONE
-    marks: Marks = Marks.CARRIED
-    patience: float = 0.0
-    subscribe: bool = False
-    probes: bool = False
-    reports_in_answers: bool = False
+    proxy_instances: int = 1
+    rules: RuleLimits = field(default_factory=RuleLimits)
+    stale_read_handling: StaleReadHandling = StaleReadHandling.SERVE
+    session_tracking: SessionTracking = SessionTracking.BY_CLIENT
+    stale_read_wait: float = 0.0
+    subscription_required: bool = False
+    health_checks: bool = False
+    load_reports_in_answers: bool = False
     reports_position: bool = False
-    list_names_primary: bool = False
-    most_attempts: int = 1
-    second_copies: bool = False
+    list_reports_primary: bool = False
+    max_attempts: int = 1
+    hedging: bool = False
     cancel: bool = False
-    come_back: bool = False
-    max_come_back: float = 0.0
+    retry_after: bool = False
+    max_retry_after: float = 0.0
 
     def __post_init__(self) -> None:
         """Say plainly which setting cannot be used."""
         if not self.classes:
             raise ValueError("settings.classes: at least one class is needed")
-        for name in ("aim", "deadline"):
+        for name in ("latency_objective", "deadline"):
             if any(getattr(c, name) <= 0 for c in self.classes):
                 raise ValueError(f"settings.classes: {name} must be above 0")
         if self.tick < 0:
             raise ValueError("settings.tick: must not be negative")
-        if self.most_attempts < 1:
+        if self.max_attempts < 1:
             raise ValueError("settings.most_attempts: at least one attempt is needed")
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointEntry:
     """One member as the list shows it."""
 
-    member: int
+    endpoint: int
     group: int
-    state: State
+    state: EndpointState
     zone: str = ""
     primary: bool = False
     size: float = 1.0
@@ -151,7 +151,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Report:
+class LoadReport:
     """What a member says of itself; as old as the report."""
 
     position: float | None = None
@@ -163,21 +163,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Members:
+class EndpointListUpdate:
     """The member list, whole or only its changes. A remembered list may be out of date."""
 
-    listings: tuple[Listing, ...]
+    entries: tuple[EndpointEntry, ...]
     complete: bool
     remembered: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class ListFailed:
+class EndpointListFailed:
     """A subscription or a fetch failed; the old list still applies."""
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class RequestReceived:
     """A client's request; one final answer is owed from here on."""
 
     request: int
@@ -189,71 +189,80 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Finished:
+class AttemptFinished:
     """How one attempt ended; final when the request needs no answer any more."""
 
     request: int
     attempt: int
-    member: int
-    result: Result
+    endpoint: int
+    result: AttemptResult
     elapsed: float
     final: bool
     primary: bool | None = None
     position: float | None = None
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
+class HealthCheckFinished:
     """What a probe found."""
 
-    member: int
-    result: Result
+    endpoint: int
+    result: AttemptResult
     elapsed: float
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class ZoneShares:
+class ZoneWeights:
     """The share of the reads that could go to each zone which may; zones that are not named have all."""
 
     shares: tuple[tuple[str, float], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Timer:
+class TimerExpired:
     """A timer the router asked for has come due."""
 
     nonce: int
 
 
 @dataclass(slots=True, frozen=True)
-class ClientGone:
+class ClientDisconnected:
     """The client has left; nothing is owed."""
 
     request: int
 
 
-Event = Members | ListFailed | Arrived | Finished | Probed | ZoneShares | Timer | ClientGone
+Event = (
+    EndpointListUpdate
+    | EndpointListFailed
+    | RequestReceived
+    | AttemptFinished
+    | HealthCheckFinished
+    | ZoneWeights
+    | TimerExpired
+    | ClientDisconnected
+)
 
 # Actions
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendAttempt:
     """Send the request to a member. A time-out of 0 lasts until the client gives up."""
 
     request: int
-    member: int
+    endpoint: int
     timeout: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class Reject:
     """Final: turned away untouched; trying again is harmless."""
 
     request: int
-    come_back: float = 0.0
+    retry_after: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -264,7 +273,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for one attempt."""
 
     request: int
@@ -272,21 +281,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class CheckHealth:
     """Ask a member for its report."""
 
-    member: int
+    endpoint: int
 
 
 @dataclass(slots=True, frozen=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close the connections to a member that are not in use; the next send opens a new one."""
 
-    member: int
+    endpoint: int
 
 
 @dataclass(slots=True, frozen=True)
-class Subscribe:
+class WatchEndpointList:
     """Ask for changes of the member list."""
 
 
@@ -299,10 +308,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Log:
+class LogMessage:
     """A line for the operator."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | CloseIdle | Subscribe | SetTimer | Log
+Action = (
+    SendAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | CheckHealth
+    | CloseIdleConnections
+    | WatchEndpointList
+    | SetTimer
+    | LogMessage
+)
--- a/sedgepitch/settings.py
+++ b/sedgepitch/settings.py
@@ -20,13 +20,17 @@
     "eventual": api.Freshness.ANY,
 }
 EFFECT = {
-    "idempotent": api.Effect.SAFE,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": api.Idempotency.IDEMPOTENT,
+    "deduplicated": api.Idempotency.KEYED,
+    "at_most_once": api.Idempotency.NONE,
 }
-SCOPE = {"all": api.Scope.ALL, "cell": api.Scope.CELL}
-CHECKS = {"silent": api.Checks.NONE, "bounce": api.Checks.BOUNCE, "await": api.Checks.AWAIT}
-MARKS = {"brought": api.Marks.CARRIED, "kept": api.Marks.REMEMBERED}
+SCOPE = {"all": api.DeduplicationScope.ALL, "cell": api.DeduplicationScope.CELL}
+CHECKS = {
+    "silent": api.StaleReadHandling.SERVE,
+    "bounce": api.StaleReadHandling.REJECT,
+    "await": api.StaleReadHandling.WAIT,
+}
+MARKS = {"brought": api.SessionTracking.BY_CLIENT, "kept": api.SessionTracking.BY_PROXY}
 
 NUMBER = (int, float)
 
@@ -84,25 +88,27 @@
     return table[value]
 
 
-def translate_class(raw: Wire, freshness: str, max_age: float, where: str) -> api.RequestClass:
+def translate_class(raw: Wire, freshness: str, max_staleness: float, where: str) -> api.RequestClass:
     """Turn one stated class into the policy's type; raises BadSettings."""
     if not isinstance(raw, dict):
         raise BadSettings(f"{where}: not an object")
-    aim, deadline = (take(raw, name, NUMBER, where) for name in ("objectiveS", "deadlineS"))
-    for name, value in (("objectiveS", aim), ("deadlineS", deadline)):
+    latency_objective, deadline = (take(raw, name, NUMBER, where) for name in ("objectiveS", "deadlineS"))
+    for name, value in (("objectiveS", latency_objective), ("deadlineS", deadline)):
         if not 0.0 < value < math.inf:
             raise BadSettings(f"{where}: field '{name}' must be a number above 0")
     return api.RequestClass(
         name=take(raw, "name", str, where),
-        aim=aim,
+        latency_objective=latency_objective,
         deadline=deadline,
-        worth=number(raw, "importance", 1.0, where),
-        late_worth=number(raw, "lateWorth", 0.0, where),
-        effect=known(EFFECT, take(raw, "effect", str, where), f"{where}: field 'effect'"),
-        scope=known(SCOPE, raw.get("keyScope") or "cell", f"{where}: field 'keyScope'", api.Scope.CELL),
-        window=number(raw, "windowS", 0.0, where),
+        priority_weight=number(raw, "importance", 1.0, where),
+        late_priority_weight=number(raw, "lateWorth", 0.0, where),
+        idempotency=known(EFFECT, take(raw, "effect", str, where), f"{where}: field 'effect'"),
+        deduplication_scope=known(
+            SCOPE, raw.get("keyScope") or "cell", f"{where}: field 'keyScope'", api.DeduplicationScope.CELL
+        ),
+        deduplication_window=number(raw, "windowS", 0.0, where),
         freshness=known(FRESHNESS, freshness, "setup.specifics: field 'freshness'"),
-        max_age=max_age,
+        max_staleness=max_staleness,
     )
 
 
@@ -126,44 +132,46 @@
     fields = stats.get("fields") or ()
     if not isinstance(fields, (list, tuple)):
         raise BadSettings("setup.stats: field 'fields' is not a list")
-    behind, marks = specifics.get("behind") or "silent", specifics.get("sessionMarks") or "brought"
+    behind, session_tracking = specifics.get("behind") or "silent", specifics.get("sessionMarks") or "brought"
     where, ours = "setup.rules", "setup.specifics: field"
     return api.Settings(
         classes=tuple(translated),
         zone=str(raw.get("az", "")),
         tick=number(raw, "tickS", 0.001, "setup"),
-        drivers=int(number(raw, "groupSize", 1, "setup")),
-        rules=api.Rules(
+        proxy_instances=int(number(raw, "groupSize", 1, "setup")),
+        rules=api.RuleLimits(
             answer_slack=number(rules, "answerSlackS", 0.0, where),
             drain_grace=number(rules, "drainGraceS", 0.0, where),
             overload_factor=number(rules, "overloadFactor", 1.0, where),
-            overload_time=number(rules, "fallS", 1.0, where),
-            start_capacity=number(rules, "startCapacity", 1.0, where),
-            warm_within=number(rules, "warmWithinS", 0.0, where),
-            ask_within=number(rules, "askWithinS", 0.0, where),
+            overload_duration=number(rules, "fallS", 1.0, where),
+            initial_capacity=number(rules, "startCapacity", 1.0, where),
+            slow_start_window=number(rules, "warmWithinS", 0.0, where),
+            max_poll_interval=number(rules, "askWithinS", 0.0, where),
+        ),
+        stale_read_handling=known(CHECKS, behind, f"{ours} 'behind'", api.StaleReadHandling.SERVE),
+        session_tracking=known(
+            MARKS, session_tracking, f"{ours} 'sessionMarks'", api.SessionTracking.BY_CLIENT
         ),
-        checks=known(CHECKS, behind, f"{ours} 'behind'", api.Checks.NONE),
-        marks=known(MARKS, marks, f"{ours} 'sessionMarks'", api.Marks.CARRIED),
-        patience=number(specifics, "patienceS", 0.0, "setup.specifics"),
-        subscribe=raw.get("registryMode") == "subscribe",
-        probes=flag(limits, "probes", "setup.limits"),
-        reports_in_answers=stats.get("how") == "piggyback",
+        stale_read_wait=number(specifics, "patienceS", 0.0, "setup.specifics"),
+        subscription_required=raw.get("registryMode") == "subscribe",
+        health_checks=flag(limits, "probes", "setup.limits"),
+        load_reports_in_answers=stats.get("how") == "piggyback",
         reports_position=stats.get("how") != "silent" and "x0" in fields,
-        list_names_primary=specifics.get("roleInList", "silent") != "silent",
-        most_attempts=int(number(limits, "mostTries", 1, "setup.limits", 1)),
-        second_copies=flag(limits, "secondCopies", "setup.limits"),
+        list_reports_primary=specifics.get("roleInList", "silent") != "silent",
+        max_attempts=int(number(limits, "mostTries", 1, "setup.limits", 1)),
+        hedging=flag(limits, "secondCopies", "setup.limits"),
         cancel=flag(limits, "cancel", "setup.limits"),
-        come_back=flag(limits, "retryAfter", "setup.limits"),
-        max_come_back=number(limits, "maxRetryAfterS", 0.0, "setup.limits"),
+        retry_after=flag(limits, "retryAfter", "setup.limits"),
+        max_retry_after=number(limits, "maxRetryAfterS", 0.0, "setup.limits"),
     )
 
 
-def report(raw: Any, zero: float = 0.0) -> api.Report | None:
+def report(raw: Any, zero: float = 0.0) -> api.LoadReport | None:
     """Turn a load report into the module's type; `zero` is what its position counts from, in seconds."""
     if not isinstance(raw, dict) or not raw:
         return None
     position, primary = raw.get("x0"), raw.get("x1")
-    return api.Report(
+    return api.LoadReport(
         position=None if position is None else zero + position,
         primary=None if primary is None else primary >= 0.5,
         load=raw.get("inflight", raw.get("queue")),
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -16,28 +16,28 @@
 from sedgepitch.settings import NUMBER, Wire, report, take, translate_settings
 from sedgepitch.settings import BadSettings as WireError
 
-STATE = {"U": api.State.UP, "L": api.State.DRAINING, "D": api.State.GONE}
+STATE = {"U": api.EndpointState.UP, "L": api.EndpointState.DRAINING, "D": api.EndpointState.GONE}
 RESULT = {
-    "delivered": api.Result.OK,
-    "app_error": api.Result.ERROR,
-    "shed": api.Result.FULL,
-    "expired": api.Result.TIMEOUT,
-    "dial_failed": api.Result.CONNECT_FAILED,
-    "dropped": api.Result.RESET,
-    "revoked": api.Result.CANCELLED,
-    "unused": api.Result.NOT_SENT,
-    "empty": api.Result.MISS,
+    "delivered": api.AttemptResult.OK,
+    "app_error": api.AttemptResult.ERROR,
+    "shed": api.AttemptResult.OVERLOADED,
+    "expired": api.AttemptResult.TIMEOUT,
+    "dial_failed": api.AttemptResult.CONNECT_FAILED,
+    "dropped": api.AttemptResult.RESET,
+    "revoked": api.AttemptResult.CANCELLED,
+    "unused": api.AttemptResult.NOT_SENT,
+    "empty": api.AttemptResult.NOT_ELIGIBLE,
 }
 
 
-def translate_entry(raw: Wire) -> api.Listing:
+def translate_entry(raw: Wire) -> api.EndpointEntry:
     """Turn one line of a member list into the policy's type."""
     where = "manifest.lines"
     state = take(raw, "state", str, where)
     if state not in STATE:
         raise WireError(f"{where}: field 'state' has an unknown value")
-    return api.Listing(
-        member=take(raw, "member", int, where),
+    return api.EndpointEntry(
+        endpoint=take(raw, "member", int, where),
         group=raw.get("cluster", 0),
         state=STATE[state],
         zone=str(raw.get("locality", "")),
@@ -66,7 +66,7 @@
 
 def on_query(_: Instance, event: Wire) -> api.Event:
     """Translate a client's request."""
-    return api.Arrived(
+    return api.RequestReceived(
         request=take(event, "job", int, "query"),
         class_name=take(event, "qos", str, "query"),
         group=event.get("shard", 0),
@@ -80,11 +80,11 @@
     """Translate the end of an attempt; a note carries role and position."""
     stamp = event.get("stamp", 0)
     role, millis = stamp % 4, stamp // 4
-    return api.Finished(
+    return api.AttemptFinished(
         request=take(event, "job", int, "finished"),
         attempt=take(event, "hop", int, "finished"),
-        member=take(event, "member", int, "finished"),
-        result=RESULT.get(take(event, "outcome", str, "finished"), api.Result.ERROR),
+        endpoint=take(event, "member", int, "finished"),
+        result=RESULT.get(take(event, "outcome", str, "finished"), api.AttemptResult.ERROR),
         elapsed=event.get("durationS", 0.0),
         final=bool(event.get("doneFlag", False)),
         primary={1: True, 2: False}.get(role),
@@ -95,9 +95,9 @@
 
 def on_status(instance: Instance, event: Wire) -> api.Event:
     """Translate what a probe found."""
-    return api.Probed(
-        member=take(event, "member", int, "statusBack"),
-        result=RESULT.get(take(event, "outcome", str, "statusBack"), api.Result.ERROR),
+    return api.HealthCheckFinished(
+        endpoint=take(event, "member", int, "statusBack"),
+        result=RESULT.get(take(event, "outcome", str, "statusBack"), api.AttemptResult.ERROR),
         elapsed=event.get("durationS", 0.0),
         report=report(event.get("feedback"), instance.zero),
     )
@@ -107,31 +107,37 @@
     "query": on_query,
     "finished": on_finished,
     "statusBack": on_status,
-    "tickDue": lambda _, e: api.Timer(take(e, "nonce", int, "tickDue")),
-    "left": lambda _, e: api.ClientGone(take(e, "job", int, "left")),
+    "tickDue": lambda _, e: api.TimerExpired(take(e, "nonce", int, "tickDue")),
+    "left": lambda _, e: api.ClientDisconnected(take(e, "job", int, "left")),
 }
 
 
 def to_wire(name: str, action: api.Action) -> Wire:
     """Turn one action into its wire form."""
     match action:
-        case api.Send(request, member, timeout):
-            return {"type": "attempt", "driver": name, "job": request, "member": member, "maxWaitS": timeout}
-        case api.Refuse(request, come_back):
-            return {"type": "refuse", "driver": name, "job": request, "holdOffS": come_back}
+        case api.SendAttempt(request, endpoint, timeout):
+            return {
+                "type": "attempt",
+                "driver": name,
+                "job": request,
+                "member": endpoint,
+                "maxWaitS": timeout,
+            }
+        case api.Reject(request, retry_after):
+            return {"type": "refuse", "driver": name, "job": request, "holdOffS": retry_after}
         case api.Fail(request):
             return {"type": "dropRequest", "driver": name, "job": request}
-        case api.Cancel(request, attempt):
+        case api.CancelAttempt(request, attempt):
             return {"type": "recall", "driver": name, "job": request, "hop": attempt}
-        case api.Probe(member):
-            return {"type": "probe", "driver": name, "member": member}
-        case api.CloseIdle(member):
-            return {"type": "shutIdle", "driver": name, "member": member}
-        case api.Subscribe():
+        case api.CheckHealth(endpoint):
+            return {"type": "probe", "driver": name, "member": endpoint}
+        case api.CloseIdleConnections(endpoint):
+            return {"type": "shutIdle", "driver": name, "member": endpoint}
+        case api.WatchEndpointList():
             return {"type": "keepInformed", "driver": name, "active": True}
         case api.SetTimer(after, nonce):
             return {"type": "remind", "driver": name, "afterS": after, "nonce": nonce}
-        case api.Log(text):
+        case api.LogMessage(text):
             return {"type": "noteDown", "driver": name, "what": text}
     raise AssertionError(f"no wire form for {action!r}")
 
@@ -142,7 +148,7 @@
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
         self.known: set[str] = set()
-        self.rosters: dict[int, tuple[api.Listing, ...]] = {}
+        self.rosters: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
     def answer(self, line: str) -> str:
         """Answer one batch."""
@@ -201,11 +207,13 @@
         """Translate a report of the member list."""
         how = take(item, "how", str, "sync")
         if how == "Error":
-            return api.ListFailed()
+            return api.EndpointListFailed()
         number = take(item, "rosterId", int, "sync")
         if number not in self.rosters:
             raise WireError(f"sync: no manifest has the number {number}")
-        return api.Members(self.rosters[number], complete=how != "Partial", remembered=how == "Persisted")
+        return api.EndpointListUpdate(
+            self.rosters[number], complete=how != "Partial", remembered=how == "Persisted"
+        )
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -13,7 +13,7 @@
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
 from sedgepitch.protocols.mongodb.client import ClientConnection
-from sedgepitch.routing.messages import State
+from sedgepitch.routing.messages import EndpointState
 from sedgepitch.routing.router import Router
 
 
@@ -26,7 +26,7 @@
 def resend_anything() -> None:
     """Rule 2: what may have run is sent again, whatever the class says."""
 
-    def may_resend(self, request, member):
+    def may_resend(self, request, endpoint):
         return not request.done and not request.out and len(request.attempts) < 3
 
     def next_step(self, request):
@@ -41,24 +41,24 @@
     told = engine.Engine.list_changed
 
     def list_changed(self, event):
-        kept = tuple(entry for entry in event.listings if entry.state is State.UP)
-        told(self, engine.api.Members(kept, complete=False, remembered=event.remembered))
+        kept = tuple(entry for entry in event.entries if entry.state is EndpointState.UP)
+        told(self, engine.api.EndpointListUpdate(kept, complete=False, remembered=event.remembered))
 
     engine.Engine.list_changed = list_changed
 
 
 def trust_the_cold() -> None:
     """Rule 4: a member that has just started is sent as much as any other; silence is not felt."""
-    Router.distrust = lambda self, member, why: None
-    Router.open_to = lambda self, member, request: member.state is State.UP
-    Router.warmth = lambda self, member: 1.0
-    Router.may_send = lambda self, member, request, room=1.0: member.state is State.UP
-    Router.busyness = lambda self, member: (-member.cold_from, 0.0)  # the newest first
+    Router.distrust = lambda self, endpoint, why: None
+    Router.open_to = lambda self, endpoint, request: endpoint.state is EndpointState.UP
+    Router.warmth = lambda self, endpoint: 1.0
+    Router.may_send = lambda self, endpoint, request, room=1.0: endpoint.state is EndpointState.UP
+    Router.busyness = lambda self, endpoint: (-endpoint.cold_from, 0.0)  # the newest first
 
 
 def read_anywhere() -> None:
     """Rule 5: every replica counts as fresh enough."""
-    Router.fresh_enough = lambda self, member, request: True
+    Router.fresh_enough = lambda self, endpoint, request: True
 
 
 def answer_late() -> None:
@@ -76,9 +76,9 @@
     """Rule 1: what was decided before the answer is still sent long after it."""
 
     def settle(self, account, answer):
-        if account.open and answer.member is not None and not account.command.payload.writes:
-            again = (answer.member, account.command.payload, lambda end: None, engine.NEVER)
-            self.clock.call_later(1.6, self.members.send, *again)
+        if account.open and answer.endpoint is not None and not account.command.payload.writes:
+            again = (answer.endpoint, account.command.payload, lambda end: None, engine.NEVER)
+            self.clock.call_later(1.6, self.endpoints.send, *again)
         true_settle(self, account, answer)
 
     true_settle = engine.Engine._settle
@@ -88,10 +88,10 @@
 def forget_own_delay() -> None:
     """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the driver."""
 
-    def fresh_enough(self, member, request):
+    def fresh_enough(self, endpoint, request):
         now, self.now = self.now, self.now - 0.8
         try:
-            return true_fresh(self, member, request)
+            return true_fresh(self, endpoint, request)
         finally:
             self.now = now
 
--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -30,7 +30,7 @@
 class Sent:
     """One attempt that a member holds."""
 
-    member: int
+    endpoint: int
     payload: Any
     on_end: Any
     abandoned: bool = False
@@ -48,7 +48,7 @@
         """Let the member answer."""
         body = bson.encode({"ok": 1.0, **(reply or {})})
         reply = MemberReply(body, bsonwalk.find(body, b"cursor"))
-        self.on_end(AttemptEnd(fields.pop("result", api.Result.OK), reply, **fields))
+        self.on_end(AttemptEnd(fields.pop("result", api.AttemptResult.OK), reply, **fields))
 
 
 @dataclass
@@ -59,17 +59,17 @@
     links: dict[int, Any] = field(default_factory=dict)
     positions: dict[int, GroupPositions] = field(default_factory=lambda: {0: GroupPositions()})
 
-    def send(self, member, payload, on_end, by):
-        self.sent.append(Sent(member, payload, on_end))
+    def send(self, endpoint, payload, on_end, by):
+        self.sent.append(Sent(endpoint, payload, on_end))
         return self.sent[-1]
 
-    def probe(self, member, on_end):
-        on_end(AttemptEnd(api.Result.OK, report=api.Report(0.0, False)))
+    def probe(self, endpoint, on_end):
+        on_end(AttemptEnd(api.AttemptResult.OK, report=api.LoadReport(0.0, False)))
 
-    def close_idle(self, member):
+    def close_idle(self, endpoint):
         pass
 
-    def listed(self, listings, complete):
+    def listed(self, entries, complete):
         pass
 
 
@@ -80,15 +80,15 @@
         self.task = Clock()
         self.task.advance(1000.0)
         self.clock = FakeClock(self.task)
-        self.members = PlayedMembers()
+        self.endpoints = PlayedMembers()
         settings = parse(EXAMPLE, "example")
         router = Router(settings.module_settings(), seed)
-        self.engine = Engine(router, self.members, self.clock)
-        listings = tuple(api.Listing(n, 0, api.State.UP, "north", n == 1) for n in (1, 2, 3))
-        self.engine.list_changed(api.Members(listings, complete=True))
+        self.engine = Engine(router, self.endpoints, self.clock)
+        entries = tuple(api.EndpointEntry(n, 0, api.EndpointState.UP, "north", n == 1) for n in (1, 2, 3))
+        self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
         self.context = Context(
             engine=self.engine,
-            members=self.members,
+            endpoints=self.endpoints,
             clock=self.clock,
             classifier=settings.classifier(),
             cursors=CursorTable(100, 60.0, seed),
--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -17,7 +17,7 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
 from tests.support.mongodb_harness import PlayedMembers
-from tests.support.router_harness import SETTINGS, listing
+from tests.support.router_harness import SETTINGS, entry
 
 WALL = 1_000_000.0  # s that Unix time is ahead of the tests' clock
 
@@ -86,10 +86,10 @@
         self.task = Clock()
         self.task.advance(1000.0)
         self.clock = FakeClock(self.task)
-        self.members = PlayedMembers()
-        self.engine = Engine(Router(settings, 1), self.members, self.clock)
-        entries = (listing(1, primary=True), listing(2), listing(3))
-        self.engine.list_changed(api.Members(entries, complete=True))
+        self.endpoints = PlayedMembers()
+        self.engine = Engine(Router(settings, 1), self.endpoints, self.clock)
+        entries = (entry(1, primary=True), entry(2), entry(3))
+        self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
         self.descriptors = Descriptors(sockets)
         self.front = Front(self.engine, self.clock, self.engine.classes, WALL, self.descriptors)
         self.clients = 0
@@ -117,7 +117,7 @@
 
     def answer(self, index: int = -1, **fields: Any) -> None:
         """Let a member answer an attempt."""
-        result = fields.pop("result", api.Result.OK)
-        reply = ROW if result is api.Result.OK else None
-        self.members.sent[index].on_end(AttemptEnd(result, reply, **fields))
+        result = fields.pop("result", api.AttemptResult.OK)
+        reply = ROW if result is api.AttemptResult.OK else None
+        self.endpoints.sent[index].on_end(AttemptEnd(result, reply, **fields))
         self.turn()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -154,8 +154,8 @@
         fleet.run(second * 0.01)
         for n, verdicts in list(fleet.verdicts.items()):
             for verdict in verdicts:
-                if isinstance(verdict, TurnAway) and verdict.come_back > 0 and n not in promised:
-                    promised[n] = fleet.now + verdict.come_back
+                if isinstance(verdict, TurnAway) and verdict.retry_after > 0 and n not in promised:
+                    promised[n] = fleet.now + verdict.retry_after
                     number += 1
                     again = arrival(number, fleet.tenant[n], mark=f"m{n}", time_left=0.5)
                     fleet.ask(promised[n] + 0.01, again, 0.01)
@@ -277,7 +277,7 @@
 def test_the_least_worthy_of_the_fullest_tenant_makes_room():
     door = Door(DoorSettings(most_held=20, most_waiting_inside=2, most_at_a_turn=2), 1, 0.0)
     for number in range(22):
-        door.arrive(arrival(number, "noisy", worth=1.0 if number % 2 else 6.0), 0.0)
+        door.arrive(arrival(number, "noisy", priority_weight=1.0 if number % 2 else 6.0), 0.0)
     out = door.arrive(arrival(100, "quiet"), 0.0)
     assert [type(d) for d in out] == [TurnAway]
     assert out[0].id % 2 == 1  # worth 1
@@ -365,8 +365,8 @@
 def test_before_the_module_a_held_request_is_owed_an_answer_like_any_other():
     front = Front()
     front.engine.door = Door(DoorSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now())
-    for member in front.engine.router.members.values():
-        member.limit = 0.0  # the module has room nowhere
+    for endpoint in front.engine.router.endpoints.values():
+        endpoint.limit = 0.0  # the module has room nowhere
     answers = []
     for number in range(8):
         command = Command("note", 0, 0.5, "payload", tenant="t", client=str(number), mark=str(number))
@@ -386,8 +386,8 @@
 def test_a_client_that_leaves_while_held_is_let_go():
     front = Front()
     front.engine.door = Door(DoorSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now())
-    for member in front.engine.router.members.values():
-        member.limit = 0.0
+    for endpoint in front.engine.router.endpoints.values():
+        endpoint.limit = 0.0
     accounts = [
         front.engine.submit(Command("note", 0, 0.5, "p", mark=str(n)), lambda a: None) for n in range(4)
     ]
--- a/tests/test_admission_objectives.py
+++ b/tests/test_admission_objectives.py
@@ -51,7 +51,9 @@
             if when >= seconds:
                 break
             number += 1
-            request = arrival(number, tenant, client=f"{tenant}-{number % 5}", time_left=0.8, aim=AIM)
+            request = arrival(
+                number, tenant, client=f"{tenant}-{number % 5}", time_left=0.8, latency_objective=AIM
+            )
             fleet.ask(when, request, cost(when) * rng.uniform(0.8, 1.2))
     fleet.run(seconds + 1.0)
     return fleet
@@ -134,8 +136,8 @@
 
 def test_a_write_that_is_worth_something_late_may_wait_longer_than_its_aim():
     door = Door(DoorSettings(), 1, 0.0)
-    patient = door._patience(arrival(1, time_left=2.0, aim=0.0))
-    hurried = door._patience(arrival(2, time_left=2.0, aim=AIM))
+    patient = door._patience(arrival(1, time_left=2.0, latency_objective=0.0))
+    hurried = door._patience(arrival(2, time_left=2.0, latency_objective=AIM))
     assert patient == pytest.approx(0.8)
     assert hurried < AIM
 
@@ -143,7 +145,7 @@
 def test_the_drivers_own_limit_leaves_each_room_its_part():
     door = Door(DoorSettings(), 1, 0.0)
     door.own_limit = 8.0
-    reads = [door.arrive(arrival(n, "public", aim=AIM), 0.0) for n in range(40)]
+    reads = [door.arrive(arrival(n, "public", latency_objective=AIM), 0.0) for n in range(40)]
     assert sum(isinstance(d[0], Admit) for d in reads if d) == 8
     assert isinstance(door.arrive(arrival(100, "stations", primary_only=True), 0.0)[0], Admit)
     assert isinstance(door.arrive(arrival(101, "stations", primary_only=True), 0.0)[0], Admit)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,10 +7,10 @@
 
 from sedgepitch.decisions.discovery import watch_streams as watches
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result, State
+from sedgepitch.routing.messages import AttemptResult, EndpointState
 from tests.support.platform import WITHIN, Member, Platform, look
 from tests.support.postgresql_harness import Stage, read, write
-from tests.support.router_harness import Rig, listing, sends
+from tests.support.router_harness import Rig, entry, sends
 
 
 def sizes(held: object, seen: set[int] | None = None, depth: int = 4) -> int:
@@ -40,16 +40,18 @@
         while rig.log:  # also what an answer or a probe sets free is answered
             done, rig.log = rig.log, []
             for action in done:
-                if isinstance(action, api.Probe):
-                    report = api.Report(rig.now - 0.01, action.member == 1, 0.0)
-                    rig.feed(api.Probed(action.member, Result.OK, 0.001, report))
-                elif isinstance(action, api.Send):
-                    rig.end(action.request, 0, action.member, Result.OK, primary=action.member == 1)
+                if isinstance(action, api.CheckHealth):
+                    report = api.LoadReport(rig.now - 0.01, action.endpoint == 1, 0.0)
+                    rig.feed(api.HealthCheckFinished(action.endpoint, AttemptResult.OK, 0.001, report))
+                elif isinstance(action, api.SendAttempt):
+                    rig.end(
+                        action.request, 0, action.endpoint, AttemptResult.OK, primary=action.endpoint == 1
+                    )
         rig.now += 0.02
         rig.timers = []  # all were answered at once, so none of them has anything to do
         if number in (20_000, 60_000, 99_999):
             rig.now += 20.0
-            rig.feed(api.Timer(0))
+            rig.feed(api.TimerExpired(0))
             marks.append(sizes(rig.router))
     assert not rig.router.requests
     assert marks[2] <= marks[0] * 1.1 + 50, marks
@@ -60,16 +62,16 @@
     marks = []
     for number in range(1, 2_000):
         fresh, old = 1000 + number, 999 + number
-        entries = [listing(fresh, primary=False)]
-        entries += [listing(old, state=State.GONE)] if number > 1 else []
-        rig.feed(api.Members(tuple(entries), complete=False))
+        entries = [entry(fresh, primary=False)]
+        entries += [entry(old, state=EndpointState.GONE)] if number > 1 else []
+        rig.feed(api.EndpointListUpdate(tuple(entries), complete=False))
         request, actions = rig.ask("any")
-        for member in sends(actions, request):
-            rig.end(request, 0, member, Result.OK, primary=member == 1)
+        for endpoint in sends(actions, request):
+            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
         rig.now += 1.0
         rig.timers, rig.log = [], []
         if number in (500, 1_999):
-            marks.append(len(rig.router.members))
+            marks.append(len(rig.router.endpoints))
     assert marks[-1] <= marks[0] + 5 and len(rig.router.groups[1].order) <= marks[0] + 5
 
 
@@ -83,9 +85,9 @@
             connection, wire = stage.client()
         connection.dataReceived(read(number) if number % 9 else write(number))
         stage.turn(0.01, 2)
-        while stage.members.sent:
+        while stage.endpoints.sent:
             stage.answer(0)
-            stage.members.sent.pop(0)
+            stage.endpoints.sent.pop(0)
         wire.clear()
         if number in (5_000, 30_000):
             stage.pass_by(3.0)
@@ -115,14 +117,14 @@
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
-    old = platform.members[1]
+    old = platform.endpoints[1]
     try:
         platform.wait_for("list revision=1 complete=True remembered=False")
         client = platform.client()
         for number in range(1, 12):
             assert client.ask(look(number))[0] == "value"
         assert old.statements
-        moved = platform.members[1] = Member("s-2", "reader")
+        moved = platform.endpoints[1] = Member("s-2", "reader")
         platform.agent.say(platform.version(2, complete=False))
         platform.wait_for("list revision=2")
         before = len(old.statements)
@@ -150,10 +152,10 @@
         assert "revision=2" not in platform.log.read_text()
         assert platform.agent.asked[1].endswith("index=1")
         client = platform.client()
-        before = len(platform.members[1].statements)
+        before = len(platform.endpoints[1].statements)
         for number in range(1, 20):
             assert client.ask(look(number))[0] == "value"
-        assert len(platform.members[1].statements) == before
+        assert len(platform.endpoints[1].statements) == before
         platform.signal(signal.SIGTERM)
         assert platform.process.wait(timeout=WITHIN) == 0
     finally:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,7 +6,7 @@
 
 from sedgepitch.core.types import Command, Verdict
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 from tests.support.mongodb_harness import Front
 
 
@@ -21,12 +21,12 @@
     front = Front()
     _, got = ask(front)
     front.task.advance(1.0)  # the time is up in this turn, and the answer comes in it, too
-    front.members.sent[0].answer()
+    front.endpoints.sent[0].answer()
     front.turn(0.1)
     assert len(got) == 1
     front = Front()
     _, got = ask(front)
-    front.clock.call_later(1.0 - 1e-9, front.members.sent[0].answer)
+    front.clock.call_later(1.0 - 1e-9, front.endpoints.sent[0].answer)
     front.turn(1.0)
     assert [a.verdict for a in got] == [Verdict.SERVED]
     assert front.engine.ledger.twice == front.engine.overdue == 0
@@ -34,14 +34,14 @@
 
 def test_both_copies_of_a_hedged_read_answer_and_one_is_heard():
     front = Front()
-    for member in (2, 3):
-        report = api.Report(front.clock.now(), False)
-        front.engine.feed(api.Probed(member, Result.OK, 0.001, report))
+    for endpoint in (2, 3):
+        report = api.LoadReport(front.clock.now(), False)
+        front.engine.feed(api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, report))
     _, got = ask(front, "map-read")
-    while len(front.members.sent) < 2 and front.clock.now() < 1000.95:
+    while len(front.endpoints.sent) < 2 and front.clock.now() < 1000.95:
         front.turn(0.01)
-    assert len(front.members.sent) == 2, "the overdue read was not copied"
-    for sent in list(front.members.sent):
+    assert len(front.endpoints.sent) == 2, "the overdue read was not copied"
+    for sent in list(front.endpoints.sent):
         sent.answer()
         front.turn()
     assert [a.verdict for a in got] == [Verdict.SERVED]
@@ -51,22 +51,22 @@
 def test_unsafe_write_without_an_answer_fails_and_is_not_sent_again():
     front = Front()
     _, got = ask(front, "note")
-    assert [s.member for s in front.members.sent] == [1]
+    assert [s.endpoint for s in front.endpoints.sent] == [1]
     front.turn(1.0)
     front.turn(0.05)
     assert [a.verdict for a in got] == [Verdict.FAILED]
-    assert len(front.members.sent) == 1
-    assert front.members.sent[0].abandoned
+    assert len(front.endpoints.sent) == 1
+    assert front.endpoints.sent[0].abandoned
 
 
 def test_write_that_never_ran_is_refused_in_time():
     front = Front()
     _, got = ask(front, "note", 0.5)
     while not got and front.clock.now() < 1000.6:
-        for sent in front.members.sent:
+        for sent in front.endpoints.sent:
             if not sent.abandoned:
                 sent.abandoned = True
-                sent.answer(result=Result.MISS, primary=False)
+                sent.answer(result=AttemptResult.NOT_ELIGIBLE, primary=False)
         front.turn(0.01)
     assert [a.verdict for a in got] == [Verdict.REFUSED]
     assert front.clock.now() <= 1000.51
@@ -77,11 +77,11 @@
     account, got = ask(front)
     front.engine.gone(account)
     front.turn()
-    front.members.sent[0].answer()
+    front.endpoints.sent[0].answer()
     front.turn()
     assert not got
     assert not front.engine.ledger.accounts
-    assert not front.engine.router.members[1].out
+    assert not front.engine.router.endpoints[1].out
 
 
 def test_client_that_leaves_in_the_turn_it_asked_leaves_no_trace():
@@ -91,9 +91,9 @@
     front.engine.gone(account)
     front.turn()
     assert not got
-    assert not front.members.sent
+    assert not front.endpoints.sent
     assert not front.engine.ledger.accounts
-    assert not any(m.out for m in front.engine.router.members.values())
+    assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
 def test_last_guard_answers_where_the_module_does_not():
@@ -108,7 +108,7 @@
 
 def test_more_in_flight_than_the_bound_are_refused_at_once():
     front = Front()
-    front.engine.most_in_flight = 3
+    front.engine.max_in_flight = 3
     answers = [ask(front)[1] for _ in range(5)]
     assert [len(a) for a in answers] == [0, 0, 0, 1, 1]
     assert answers[4][0].verdict is Verdict.REFUSED
@@ -125,20 +125,22 @@
         return handle(now, events)
 
     front.engine.router.handle = watched
-    front.engine.feed(api.Timer(1))
-    front.members.sent[0].answer()
+    front.engine.feed(api.TimerExpired(1))
+    front.endpoints.sent[0].answer()
     front.turn()
     assert seen[0] == ["Timer", "Finished"]
     assert got[0].verdict is Verdict.SERVED
 
 
 def test_a_session_read_whose_session_is_remembered_leaves_at_once_or_is_decided_anew():
-    for marks, bound in ((api.Marks.REMEMBERED, True), (api.Marks.CARRIED, False)):
+    for marks, bound in ((api.SessionTracking.BY_PROXY, True), (api.SessionTracking.BY_CLIENT, False)):
         front = Front()
         front.engine.router.settings = replace(front.engine.router.settings, marks=marks)
         left_by = []
-        send = front.members.send
-        front.members.send = lambda m, p, e, by, send=send, kept=left_by: kept.append(by) or send(m, p, e, by)
+        send = front.endpoints.send
+        front.endpoints.send = lambda m, p, e, by, send=send, kept=left_by: kept.append(by) or send(
+            m, p, e, by
+        )
         ask(
             front, next(c.name for c in front.engine.classes.values() if c.freshness is api.Freshness.SESSION)
         )
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -9,7 +9,7 @@
 from sedgepitch.core.types import AttemptEnd, Command, Verdict
 from sedgepitch.decisions.event_loop_lag import Pace
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 from tests.support.mongodb_harness import Front
 
 BOUNDARIES = ("settle", "send", "probe", "observe", "log")
@@ -27,8 +27,8 @@
         "owed": ledger.owed,
         "settled": ledger.settled,
         "module_requests": len(router.requests),
-        "out_at_members": sum(len(m.out) for m in router.members.values()),
-        "probing": [m.id for m in router.members.values() if m.probing],
+        "out_at_members": sum(len(m.out) for m in router.endpoints.values()),
+        "probing": [m.id for m in router.endpoints.values() if m.probing],
         "events": len(front.engine.events),
     }
 
@@ -40,8 +40,12 @@
         from sedgepitch.decisions.admission.controller import Door, DoorSettings
 
         front.engine.door = Door(DoorSettings(), 1, front.clock.now())
-    for member in (2, 3):
-        front.engine.feed(api.Probed(member, Result.OK, 0.001, api.Report(front.clock.now(), False)))
+    for endpoint in (2, 3):
+        front.engine.feed(
+            api.HealthCheckFinished(
+                endpoint, AttemptResult.OK, 0.001, api.LoadReport(front.clock.now(), False)
+            )
+        )
     got: dict[int, list] = {}
     number = [0]
 
@@ -49,26 +53,26 @@
         number[0] += 1
         return boundary == where and number[0] % 3 == 0
 
-    true_send = front.members.send
+    true_send = front.endpoints.send
 
-    def send(member, payload, on_end, by):
+    def send(endpoint, payload, on_end, by):
         if raises("send"):
             raise Broken
-        return true_send(member, payload, on_end, by)
+        return true_send(endpoint, payload, on_end, by)
 
     def observe(account, answer, elapsed):
         if raises("observe"):
             raise Broken
 
-    def probe(member, on_end):
+    def probe(endpoint, on_end):
         if boundary == "probe":
             raise Broken
-        on_end(AttemptEnd(Result.OK, report=api.Report(front.clock.now(), False)))
+        on_end(AttemptEnd(AttemptResult.OK, report=api.LoadReport(front.clock.now(), False)))
 
     def log(text):
         raise Broken
 
-    front.members.send, front.members.probe, front.engine.observe = send, probe, observe
+    front.endpoints.send, front.endpoints.probe, front.engine.observe = send, probe, observe
     if boundary == "log":
         front.engine.log = log
         front.engine.on_fault = lambda where, error: log(where)
@@ -85,7 +89,7 @@
         front.engine.submit(Command(class_name, 0, 0.5, f"payload {n}"), answered)
     for _ in range(6):
         front.turn()
-        for sent in front.members.sent:
+        for sent in front.endpoints.sent:
             if not sent.abandoned:
                 sent.abandoned = True
                 sent.answer()
@@ -95,7 +99,7 @@
 
 
 def _and_log(handle):
-    return lambda now, events: [api.Log("a line"), *handle(now, events)]
+    return lambda now, events: [api.LogMessage("a line"), *handle(now, events)]
 
 
 @pytest.mark.parametrize("door", [False, True])
@@ -123,7 +127,7 @@
 
     front.engine.submit(Command("upload", 0, 0.5, "payload"), answered)
     front.turn()
-    front.members.sent[0].answer()
+    front.endpoints.sent[0].answer()
     front.turn()
     assert told == [("answer", Broken)]
 
@@ -149,7 +153,7 @@
     account, got = ask(front, "upload", 0.5, front.clock.now() - 0.3)
     assert account.deadline == pytest.approx(front.clock.now() + 0.2)
     front.turn()
-    assert len(front.members.sent) == 1
+    assert len(front.endpoints.sent) == 1
     front.turn(0.21)
     front.turn(0.03)
     assert [a.verdict for a in got] == [Verdict.FAILED]
@@ -165,13 +169,13 @@
     front.engine.router.handle = lambda now, events: decide(now, told.extend(events) or events)
     account, got = ask(front, "upload", 0.5)
     front.task.advance(0.3)
-    arrived = [event.time_left for event in told if isinstance(event, api.Arrived)]
+    arrived = [event.time_left for event in told if isinstance(event, api.RequestReceived)]
     assert arrived == [pytest.approx(account.until - front.clock.now())]
     assert arrived[0] < 0.21
     _, got = ask(front, "upload", 0.5)
     front.turn(0.51)
     assert [a.verdict for a in got] == [Verdict.REFUSED], "not sent when its time is over"
-    assert len(front.members.sent) == 1
+    assert len(front.endpoints.sent) == 1
 
 
 def test_the_last_guard_does_not_wait_for_a_delay_that_is_over():
@@ -204,8 +208,8 @@
     make_late(front, 0.3)
     _, got = ask(front, "history-read", 0.25)
     assert [a.verdict for a in got] == [Verdict.REFUSED]
-    assert got[0].come_back > 0
-    assert not front.members.sent
+    assert got[0].retry_after > 0
+    assert not front.endpoints.sent
     assert front.engine.too_slow == 1
 
 
@@ -213,7 +217,7 @@
     front = Front()
     _, got = ask(front, "history-read", 0.5)
     front.turn()
-    assert len(front.members.sent) == 1
+    assert len(front.endpoints.sent) == 1
     front.turn(0.1)
     make_late(front, 0.4)  # with less than that left, the module still counting on the whole time
     front.turn(0.011)
@@ -221,7 +225,7 @@
     assert [a.verdict for a in got] == [Verdict.REFUSED], "a read may be tried again"
     assert front.engine.hurried == 1
     assert not front.engine.router.requests
-    front.members.sent[0].answer()
+    front.endpoints.sent[0].answer()
     front.turn()
     assert len(got) == 1
 
@@ -278,14 +282,14 @@
 
 def pool_and_wires(front: Front) -> tuple[Pool, Wires]:
     wires = Wires()
-    judge = lambda exchange, reply: AttemptEnd(Result.OK, reply)  # noqa: E731
+    judge = lambda exchange, reply: AttemptEnd(AttemptResult.OK, reply)  # noqa: E731
     return Pool(front.clock, wires.connector, judge, PoolLimits()), wires
 
 
 def test_an_exchange_that_waits_for_its_connection_is_taken_back_on_the_answer():
     front = Front()
     pool, wires = pool_and_wires(front)
-    front.members.send = lambda member, payload, on_end, by: pool.send(payload, on_end, by)
+    front.endpoints.send = lambda endpoint, payload, on_end, by: pool.send(payload, on_end, by)
     account, got = ask(front, "history-read", 0.5)
     front.turn()
     assert len(wires.opening) == 1 and not wires.sent
@@ -295,7 +299,7 @@
     front.turn()
     assert not wires.sent
     assert not front.engine.ledger.accounts
-    assert not any(m.out for m in front.engine.router.members.values())
+    assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
 def test_bytes_that_wait_behind_a_full_socket_end_with_their_connection():
@@ -315,7 +319,7 @@
     pool.send("payload", ends.append, front.clock.now() + 0.05)
     front.task.advance(0.2)
     wires.opening[0](wires)
-    assert [e.result for e in ends] == [Result.NOT_SENT]
+    assert [e.result for e in ends] == [AttemptResult.NOT_SENT]
     assert not wires.sent
     pool.send("again", ends.append, front.clock.now() + 0.05)
     assert wires.sent == ["again"], "the connection is there now, and serves the decision made anew"
@@ -326,7 +330,7 @@
     from tests.support.mongodb_harness import EXAMPLE
 
     told = {c.name: c for c in parse(EXAMPLE, "example").module_settings().classes}
-    assert told["map-read"].max_age == pytest.approx(0.45)
+    assert told["map-read"].max_staleness == pytest.approx(0.45)
     assert told["upload"].window == pytest.approx(0.95)
     with pytest.raises(SettingsError, match="handover_within"):
         parse(EXAMPLE + "\nlimits: {handover_within: 300 ms}\n", "example")
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -24,11 +24,11 @@
 from sedgepitch.node.driver import Driver
 from sedgepitch.protocols.postgresql import client, codec
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import Router
 from tests.support.mongodb_harness import PlayedMembers
 from tests.support.postgresql_harness import ROW, Stage, errors, messages, read, write
-from tests.support.router_harness import SETTINGS, listing
+from tests.support.router_harness import SETTINGS, entry
 
 RESET = struct.pack("ii", 1, 0)
 
@@ -75,7 +75,7 @@
     assert wire.aborted and stage.front.left_unread == 1
     stage.answer(0)
     stage.pass_by(1.0)
-    assert len(stage.members.sent) == 1, "what stood behind the first is not sent on"
+    assert len(stage.endpoints.sent) == 1, "what stood behind the first is not sent on"
     connection.connectionLost()
     assert not stage.engine.ledger.owed and not stage.front.unread and not stage.front.open_ids
 
@@ -101,7 +101,7 @@
     wire.arrived = stage.clock.now() - 0.4  # this driver stood still meanwhile
     connection.dataReceived(read(1, d="5000"))
     stage.pass_by(1.0)
-    assert not stage.members.sent and stage.front.left_waiting == 1
+    assert not stage.endpoints.sent and stage.front.left_waiting == 1
 
 
 def test_one_whose_client_is_still_there_is_sent_however_late_it_was_read():
@@ -111,26 +111,30 @@
     wire.arrived = stage.clock.now() - 0.4
     connection.dataReceived(read(1, d="5000"))
     stage.turn()
-    assert len(stage.members.sent) == 1
+    assert len(stage.endpoints.sent) == 1
     theirs.close()
 
 
 def test_a_client_that_leaves_while_its_request_waits_in_the_module_is_not_sent_later():
     stage = Stage()
-    stage.engine.list_changed(api.Members((listing(1, state=api.State.DRAINING),), complete=True))
+    stage.engine.list_changed(
+        api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
+    )
     connection, _ = stage.client()
     connection.dataReceived(write(1, d="5000"))
     stage.turn()
-    assert not stage.members.sent
+    assert not stage.endpoints.sent
     connection.connectionLost()
-    stage.engine.list_changed(api.Members((listing(1, primary=True),), complete=True))
+    stage.engine.list_changed(api.EndpointListUpdate((entry(1, primary=True),), complete=True))
     stage.pass_by(1.0)
-    assert not stage.members.sent and not stage.engine.router.requests
+    assert not stage.endpoints.sent and not stage.engine.router.requests
 
 
 def test_an_id_that_comes_again_takes_the_place_of_one_whose_client_has_left_unsent():
     stage = Stage()
-    stage.engine.list_changed(api.Members((listing(1, state=api.State.DRAINING),), complete=True))
+    stage.engine.list_changed(
+        api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
+    )
     (old, old_wire), (new, new_wire) = stage.client(), stage.client()
     theirs = peer(old_wire)
     old.dataReceived(write(1, d="5000"))
@@ -263,49 +267,51 @@
         self.room = Descriptors(256)
         self.clock, self.limits = clock, limits
 
-    def pool(self, member: int) -> Pool:
-        if member not in self.pools:
-            self.doorways[member] = Doorway()
-            self.pools[member] = Pool(
-                self.clock, self.doorways[member], lambda e, r: r, self.limits, self.room
+    def pool(self, endpoint: int) -> Pool:
+        if endpoint not in self.pools:
+            self.doorways[endpoint] = Doorway()
+            self.pools[endpoint] = Pool(
+                self.clock, self.doorways[endpoint], lambda e, r: r, self.limits, self.room
             )
-        return self.pools[member]
+        return self.pools[endpoint]
 
-    def send(self, member, payload, on_end, by):
-        return self.pool(member).send(payload, on_end, by)
+    def send(self, endpoint, payload, on_end, by):
+        return self.pool(endpoint).send(payload, on_end, by)
 
-    def probe(self, member, on_end):
-        on_end(AttemptEnd(Result.OK, report=api.Report(0.0, False)))
+    def probe(self, endpoint, on_end):
+        on_end(AttemptEnd(AttemptResult.OK, report=api.LoadReport(0.0, False)))
 
-    def close_idle(self, member):
-        self.pool(member).close_idle()
+    def close_idle(self, endpoint):
+        self.pool(endpoint).close_idle()
 
-    def listed(self, listings, complete):
+    def listed(self, entries, complete):
         pass
 
 
 def pooled(settings: api.Settings = SETTINGS) -> tuple[Stage, PooledMembers]:
     """A stage whose members stand behind pools."""
     stage = Stage(settings)
-    members = PooledMembers(stage.clock, PoolLimits(connect_within=5.0, linger=0.0))
-    stage.engine.members = members
-    return stage, members
+    endpoints = PooledMembers(stage.clock, PoolLimits(connect_within=5.0, linger=0.0))
+    stage.engine.endpoints = endpoints
+    return stage, endpoints
 
 
 @pytest.mark.parametrize("told", ["draining", "gone", "missing", "restarted"])
 def test_what_waits_for_a_connection_is_taken_back_when_the_list_says_so(told):
-    stage, members = pooled()
+    stage, endpoints = pooled()
     connection, wire = stage.client()
     connection.dataReceived(write(1, d="5000"))
     stage.turn()
-    (opening,) = members.doorways[1].asked
-    state = {"draining": api.State.DRAINING, "gone": api.State.GONE}.get(told, api.State.UP)
+    (opening,) = endpoints.doorways[1].asked
+    state = {"draining": api.EndpointState.DRAINING, "gone": api.EndpointState.GONE}.get(
+        told, api.EndpointState.UP
+    )
     if told == "missing":
-        stage.engine.list_changed(api.Members((listing(2), listing(3)), complete=True))
+        stage.engine.list_changed(api.EndpointListUpdate((entry(2), entry(3)), complete=True))
     else:
         started = stage.clock.now() if told == "restarted" else 0.0
-        changed = replace(listing(1, primary=True), state=state, started=started)
-        stage.engine.list_changed(api.Members((changed,), complete=False))
+        changed = replace(entry(1, primary=True), state=state, started=started)
+        stage.engine.list_changed(api.EndpointListUpdate((changed,), complete=False))
     stage.turn()
     opened = Opened()
     opening[0](opened)
@@ -323,10 +329,10 @@
     pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(), room)
     pool.send("request", ends.append)
     pool.retire()
-    assert [e.result for e in ends] == [Result.NOT_SENT] and doorway.given_up == 1
+    assert [e.result for e in ends] == [AttemptResult.NOT_SENT] and doorway.given_up == 1
     opened = Opened()
     doorway.asked[0][0](opened)
-    assert opened.closed and not opened.started and room.members == 0
+    assert opened.closed and not opened.started and room.endpoints == 0
 
 
 def test_a_connection_given_up_and_greeted_all_the_same_is_closed_and_owned_by_nobody():
@@ -335,14 +341,14 @@
     pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
     pool.send("request", ends.append)
     task.advance(0.3)
-    assert [e.result for e in ends] == [Result.CONNECT_FAILED] and room.members == 0
+    assert [e.result for e in ends] == [AttemptResult.CONNECT_FAILED] and room.endpoints == 0
     opened = Opened()
     ready, failed, lost = doorway.asked[0]
     ready(opened)
     assert opened.closed and not opened.started and not pool.idle
     lost("closed here")
     failed("late")
-    assert room.members == 0 and not pool.lanes and len(ends) == 1
+    assert room.endpoints == 0 and not pool.lanes and len(ends) == 1
 
 
 # A timer that is due while bytes lie unread
@@ -357,7 +363,7 @@
     task.advance(0.25)
     assert not ends and not doorway.given_up and opened.started[0][0] == "request"
     task.advance(1.0)
-    assert not ends and room.members == 1
+    assert not ends and room.endpoints == 1
 
 
 def test_a_probe_whose_answer_lies_unread_has_not_timed_out():
@@ -366,10 +372,10 @@
     pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=5.0), None)
     pool.ask("probe", ends.append, 0.25)
     doorway.asked[0][0](opened)
-    task.callLater(0.25, lambda: opened.started[0][1](AttemptEnd(Result.OK)))
+    task.callLater(0.25, lambda: opened.started[0][1](AttemptEnd(AttemptResult.OK)))
     task.advance(0.25)
     task.advance(1.0)
-    assert [end.result for end in ends] == [Result.OK]
+    assert [end.result for end in ends] == [AttemptResult.OK]
 
 
 @pytest.mark.parametrize("begun", [0, 5])
@@ -385,7 +391,7 @@
     stage.task.callLater(client.LOOK_EVERY, connection.dataReceived, whole[begun:])
     for _ in range(3):
         stage.turn(client.LOOK_EVERY)
-    assert not errors(wire) and len(stage.members.sent) == 1
+    assert not errors(wire) and len(stage.endpoints.sent) == 1
 
 
 def loops() -> list:
@@ -403,9 +409,9 @@
     """A turn lasts past the client's time, and the answer comes while it does."""
     loop = loops()[which]
     clock = ReactorClock(SimpleNamespace(_asyncioEventloop=loop))
-    members, got = PlayedMembers(), []
-    engine = Engine(Router(SETTINGS, 1), members, clock)
-    engine.list_changed(api.Members((listing(1, primary=True), listing(2), listing(3)), complete=True))
+    endpoints, got = PlayedMembers(), []
+    engine = Engine(Router(SETTINGS, 1), endpoints, clock)
+    engine.list_changed(api.EndpointListUpdate((entry(1, primary=True), entry(2), entry(3)), complete=True))
     pairs = [socket.socketpair() for _ in range(2)]
     account = engine.submit(Command("write", 1, 0.15, "payload"), got.append)
 
@@ -417,7 +423,7 @@
 
     def answered() -> None:
         pairs[1][0].recv(9)
-        members.sent[0].on_end(AttemptEnd(Result.OK, ROW))
+        endpoints.sent[0].on_end(AttemptEnd(AttemptResult.OK, ROW))
         loop.call_later(0.05, loop.stop)
 
     for (ours, _), call in zip(pairs, (long_turn, answered), strict=True):
@@ -448,7 +454,7 @@
     task = Clock()
     room, doorway = Descriptors(64), Doorway()
     limits = PoolLimits(most=4, connect_within=0.25, idle_for=2.0, linger=linger)
-    pool = Pool(FakeClock(task), doorway, lambda e, r: AttemptEnd(Result.OK), limits, room)
+    pool = Pool(FakeClock(task), doorway, lambda e, r: AttemptEnd(AttemptResult.OK), limits, room)
     exchanges, ends, opened, over = [], [], {}, set()
 
     def alive(which):
@@ -490,7 +496,7 @@
         else:
             task.advance(0.1 * which)
         assert all(len(x) <= 1 for x in ends)
-        assert 0 <= room.members <= limits.most
+        assert 0 <= room.endpoints <= limits.most
         assert all(len(x.started) <= 1 for x in opened.values())
     pool.close()
     task.advance(5.0)
@@ -498,7 +504,7 @@
         if number not in over:
             assert held.closed
             doorway.asked[number][2]("closed here")
-    assert room.members == 0 and not pool.lanes and not pool.idle
+    assert room.endpoints == 0 and not pool.lanes and not pool.idle
 
 
 # All in one turn
@@ -507,20 +513,24 @@
 def happens(stage: Stage, connection, what: str) -> None:
     """One of the events that may meet in a turn."""
     if what == "answer":
-        for sent in stage.members.sent[:1]:
+        for sent in stage.endpoints.sent[:1]:
             if not sent.abandoned:
-                sent.on_end(AttemptEnd(Result.OK, ROW))
+                sent.on_end(AttemptEnd(AttemptResult.OK, ROW))
     elif what == "reset":
-        for sent in stage.members.sent[:1]:
+        for sent in stage.endpoints.sent[:1]:
             if not sent.abandoned:
-                sent.on_end(AttemptEnd(Result.RESET))
+                sent.on_end(AttemptEnd(AttemptResult.RESET))
     elif what == "time":
         stage.task.advance(0.5)
     elif what == "leaves":
         connection.connectionLost()
     elif what == "drained":
-        drained = (listing(1, state=api.State.DRAINING), listing(2, state=api.State.DRAINING), listing(3))
-        stage.engine.list_changed(api.Members(drained, complete=True))
+        drained = (
+            entry(1, state=api.EndpointState.DRAINING),
+            entry(2, state=api.EndpointState.DRAINING),
+            entry(3),
+        )
+        stage.engine.list_changed(api.EndpointListUpdate(drained, complete=True))
 
 
 @pytest.mark.parametrize("make", [read, write])
@@ -535,12 +545,12 @@
         for what in order:
             happens(stage, connection, what)
             if what == "leaves":
-                left, written, sent = True, wire.value(), len(stage.members.sent)
+                left, written, sent = True, wire.value(), len(stage.endpoints.sent)
             if turns:
                 stage.turn()
         stage.pass_by(1.0)
         assert left and wire.value() == written, order
-        assert len(stage.members.sent) == sent, order
+        assert len(stage.endpoints.sent) == sent, order
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
         assert len(answers) <= 1, order
         held = stage.engine.ledger
@@ -650,14 +660,14 @@
         port=door,
         opening=None,
         catalog=SimpleNamespace(stop=lambda: None),
-        members=SimpleNamespace(close=lambda: None),
+        endpoints=SimpleNamespace(close=lambda: None),
         figures=dict,
         _say_closes=lambda: None,
     )
     numbers, told, stopped = itertools.count(1), [], []
     for what, which in [*steps, ("stop", 0)]:
         caller = callers[which % len(callers)] if callers else None
-        live = [s for s in stage.members.sent if not s.abandoned and s not in told]
+        live = [s for s in stage.endpoints.sent if not s.abandoned and s not in told]
         if what in ("comes", "waits"):
             if not door.closed and what == "comes":
                 door.accept()
@@ -670,12 +680,12 @@
                 stopped.append(True)
                 Driver.stop(driver, lambda: done.append(stage.clock.now()))
         elif what == "list":
-            drains = (listing(1 + which % 3, state=api.State.DRAINING),)
-            stage.engine.list_changed(api.Members(drains, complete=False))
+            drains = (entry(1 + which % 3, state=api.EndpointState.DRAINING),)
+            stage.engine.list_changed(api.EndpointListUpdate(drains, complete=False))
         elif what in ("answer", "reset") and live:
             told.append(live[which % len(live)])
             ok = what == "answer"
-            told[-1].on_end(AttemptEnd(Result.OK, ROW) if ok else AttemptEnd(Result.RESET))
+            told[-1].on_end(AttemptEnd(AttemptResult.OK, ROW) if ok else AttemptEnd(AttemptResult.RESET))
         elif caller is None or done:
             continue
         elif what in ("read", "write"):
@@ -694,12 +704,12 @@
         for caller in callers:
             if caller.wire.half_closed or caller.wire.aborted:
                 caller.leave()
-    sent = [s.payload.id for s in stage.members.sent]
+    sent = [s.payload.id for s in stage.endpoints.sent]
     assert len(done) == 1 and door.closed and not door.queue
     ledger = stage.engine.ledger
     assert ledger.owed == 0 and ledger.twice == 0 and not stage.engine.overdue
     for caller, early in zip(callers, went + [False] * len(callers), strict=False):
         assert caller.answers() <= caller.whole if early else caller.answers() == caller.whole
     stage.pass_by(2.0)
-    assert [s.payload.id for s in stage.members.sent] == sent, "sent after the end"
+    assert [s.payload.id for s in stage.endpoints.sent] == sent, "sent after the end"
     assert stage.descriptors.clients == sum(not c.left for c in callers)
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -11,10 +11,10 @@
 from sedgepitch.decisions.connections.descriptor_budget import Descriptors
 from sedgepitch.decisions.discovery.list_versions import Entry, Membership, Version
 from sedgepitch.discovery.client import BadVersion, read_version
-from sedgepitch.routing.messages import State
+from sedgepitch.routing.messages import EndpointState
 
 
-def entry(name: str, state: State = State.UP, port: int = 1) -> Entry:
+def entry(name: str, state: EndpointState = EndpointState.UP, port: int = 1) -> Entry:
     return Entry(name, ("127.0.0.1", port), "a", 1, state, 1.0, 0.0, False)
 
 
@@ -31,31 +31,31 @@
     assert held.revision == 2 and len(held.present) == 1
 
 
-def told(held: Membership, *args) -> dict[str, State]:
+def told(held: Membership, *args) -> dict[str, EndpointState]:
     """What the module hears, by name."""
-    return {held.names[x.member]: x.state for x in held.take(version(*args)).listings}
+    return {held.names[x.endpoint]: x.state for x in held.take(version(*args)).entries}
 
 
 def test_a_list_that_lags_behind_does_not_take_back_what_was_told_ending():
     held = Membership()
     held.take(version(1, True, entry("a"), entry("b")))
-    held.take(version(7, False, entry("a", State.DRAINING)))
-    assert told(held, 5, True, entry("a"), entry("b")) == {"a": State.DRAINING, "b": State.UP}
-    assert told(held, 6, False, entry("a")) == {"a": State.UP}, "a change names it"
+    held.take(version(7, False, entry("a", EndpointState.DRAINING)))
+    assert told(held, 5, True, entry("a"), entry("b")) == {"a": EndpointState.DRAINING, "b": EndpointState.UP}
+    assert told(held, 6, False, entry("a")) == {"a": EndpointState.UP}, "a change names it"
 
 
 def test_a_member_that_started_again_is_up_whatever_version_says_so():
     held = Membership()
-    held.take(version(7, True, entry("a", State.DRAINING)))
-    again = Entry("a", ("127.0.0.1", 1), "a", 1, State.UP, 1.0, 5.0, False)
-    assert told(held, 3, True, again) == {"a": State.UP}
+    held.take(version(7, True, entry("a", EndpointState.DRAINING)))
+    again = Entry("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
+    assert told(held, 3, True, again) == {"a": EndpointState.UP}
     assert not held.ending
 
 
 def test_a_later_whole_list_is_taken_as_it_is():
     held = Membership()
-    held.take(version(7, True, entry("a", State.DRAINING)))
-    assert told(held, 8, True, entry("a")) == {"a": State.UP}
+    held.take(version(7, True, entry("a", EndpointState.DRAINING)))
+    assert told(held, 8, True, entry("a")) == {"a": EndpointState.UP}
 
 
 def test_a_remembered_list_gives_members_but_no_version():
@@ -66,18 +66,18 @@
 
 def test_a_name_keeps_its_number_and_takes_its_new_address():
     held, other = Membership(), Membership()
-    first = held.take(version(1, True, entry("a", port=1))).listings[0].member
-    again = held.take(version(2, False, entry("a", port=2))).listings[0].member
-    assert first == again == other.take(version(9, True, entry("a"))).listings[0].member
+    first = held.take(version(1, True, entry("a", port=1))).entries[0].endpoint
+    again = held.take(version(2, False, entry("a", port=2))).entries[0].endpoint
+    assert first == again == other.take(version(9, True, entry("a"))).entries[0].endpoint
     assert held.addresses[first] == ("127.0.0.1", 2)
 
 
 def test_what_is_gone_is_forgotten_and_what_is_listed_is_not():
     held = Membership()
-    number = held.take(version(1, True, entry("a"))).listings[0].member
+    number = held.take(version(1, True, entry("a"))).entries[0].endpoint
     held.forget(number)
     assert number in held.names
-    held.take(version(2, False, entry("a", State.GONE)))
+    held.take(version(2, False, entry("a", EndpointState.GONE)))
     held.forget(number)
     assert not (held.names or held.numbers or held.addresses or held.present)
 
@@ -86,8 +86,8 @@
     held = Membership()
     for n in range(100_000):
         told = held.take(version(2 * n + 1, False, entry(f"s-{n}")))
-        held.take(version(2 * n + 2, False, entry(f"s-{n}", State.GONE)))
-        held.forget(told.listings[0].member)
+        held.take(version(2 * n + 2, False, entry(f"s-{n}", EndpointState.GONE)))
+        held.forget(told.entries[0].endpoint)
     assert not (held.names or held.numbers or held.addresses or held.present)
 
 
@@ -113,7 +113,7 @@
     told = read_version(GOOD, wall=1_000_000.0)
     (one,) = told.entries
     assert (told.revision, told.complete) == (43, False)
-    assert (one.name, one.address, one.state) == ("s-5be2", ("127.1.0.18", 6432), State.DRAINING)
+    assert (one.name, one.address, one.state) == ("s-5be2", ("127.1.0.18", 6432), EndpointState.DRAINING)
     assert (one.group, one.size, one.primary) == (3, 1.5, True)
     assert one.started == pytest.approx(1000.5)
 
--- a/tests/test_mongodb_client.py
+++ b/tests/test_mongodb_client.py
@@ -93,7 +93,7 @@
     connection.dataReceived(insert(1, codec.MORE_TO_COME))
     front.turn()
     assert front.engine.ledger.owed == 1
-    front.members.sent[0].answer({"n": 1})
+    front.endpoints.sent[0].answer({"n": 1})
     front.turn()
     assert front.engine.ledger.owed == 0
     assert transport.value() == b""
@@ -123,7 +123,7 @@
     front.turn()
     connection.dataReceived(command(2, ping=1, pad="x" * 300_000))
     assert transport.producerState == "paused"
-    front.members.sent[0].answer()
+    front.endpoints.sent[0].answer()
     front.turn()
     assert transport.producerState == "producing"
     transport.producer.pauseProducing()  # the client does not take its answers
@@ -159,7 +159,7 @@
     connection, _ = front.client()
     connection.dataReceived(command(1, find="history", filter={"v": 1}, comment="history-read"))
     front.turn()
-    body = bson.decode(codec.parse(codec.build_raw(front.members.sent[0].payload.sections(), 1, 0)).body)
+    body = bson.decode(codec.parse(codec.build_raw(front.endpoints.sent[0].payload.sections(), 1, 0)).body)
     assert body.pop("$readPreference") == {"mode": "primaryPreferred"}
     assert body == {"find": "history", "filter": {"v": 1}, "comment": "history-read", "$db": "sky"}
 
@@ -203,7 +203,7 @@
             connection.dataReceived(data[at : at + cut])
         front.turn()
     assert connection._held <= len(data)
-    front.members.sent[0].answer({"n": 1})
+    front.endpoints.sent[0].answer({"n": 1})
     front.turn()
     assert replies(other_transport) == [(5, {"ok": 1.0, "n": 1})]
     assert front.engine.ledger.twice == 0
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,7 @@
     assert client.ask(b"") == ("closed", None)  # an empty query has no row
     assert client.ask(look(0x1A)) == ("value", b"value of 1a")
     assert client.ask(change(0x2B)) == ("value", b"value of 2b")
-    writer, reader = platform.members
+    writer, reader = platform.endpoints
     (write,) = [s for s in writer.statements if s.startswith("INSERT")]
     digits = re.search(r",d=(\d+)", write)[1]
     assert write == change(0x2B).decode().replace("d=15000", f"d={digits}") and int(digits) <= 15000
@@ -30,15 +30,17 @@
 
 def test_a_spoilt_answer_is_never_passed_on_and_the_read_is_tried_elsewhere(platform):
     spoilt = codec.row_description() + struct.pack("!ci", b"D", 2**31 - 1) + b"x" * 1000
-    for member in platform.members:
-        member.script = lambda s: spoilt if sum(len(m.statements) for m in platform.members) == 1 else None
+    for endpoint in platform.endpoints:
+        endpoint.script = (
+            lambda s: spoilt if sum(len(m.statements) for m in platform.endpoints) == 1 else None
+        )
     client = platform.client()
     for number in range(1, 30):
         assert client.ask(look(number)) == ("value", f"value of {number:x}".encode())
 
 
 def test_a_member_that_hangs_up_under_a_keyed_write_gets_it_again(platform):
-    writer = platform.members[0]
+    writer = platform.endpoints[0]
     writer.script = (
         lambda s: b"HANG UP" if len([x for x in writer.statements if "INSERT" in x]) == 1 else None
     )
@@ -49,8 +51,8 @@
 
 
 def test_dirt_behind_an_answer_never_becomes_the_next_answer(platform):
-    for member in platform.members:
-        member.script = lambda s, m=member: m.row(value_of(s)) + m.row(b"not asked for")
+    for endpoint in platform.endpoints:
+        endpoint.script = lambda s, m=endpoint: m.row(value_of(s)) + m.row(b"not asked for")
     client = platform.client()
     for number in range(1, 40):
         assert client.ask(look(number)) == ("value", f"value of {number:x}".encode())
@@ -82,7 +84,7 @@
             pass
         client.close()
     assert platform.client().ask(look(7)) == ("value", b"value of 7")
-    assert {s.split("id=")[1][0] for m in platform.members for s in m.statements} == {"7"}
+    assert {s.split("id=")[1][0] for m in platform.endpoints for s in m.statements} == {"7"}
 
 
 def test_hundreds_of_silent_connections_leave_room_and_go(platform):
@@ -98,7 +100,7 @@
 
 
 def test_a_drained_member_gets_nothing_more_and_the_watch_goes_on_from_its_version(platform):
-    client, (writer, reader) = platform.client(), platform.members
+    client, (writer, reader) = platform.client(), platform.endpoints
     platform.agent.say(platform.version(2, complete=False, s_2="draining"))
     platform.wait_for("list revision=2")
     before = len(reader.statements)
@@ -139,8 +141,8 @@
 
 
 def test_sigterm_answers_what_was_taken_serves_what_still_comes_and_exits(platform):
-    for member in platform.members:
-        member.script = lambda s: time.sleep(0.3)
+    for endpoint in platform.endpoints:
+        endpoint.script = lambda s: time.sleep(0.3)
     held = platform.client()
     held.held.sendall(codec.query(look(1)))
     platform.signal(signal.SIGTERM)
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -106,8 +106,8 @@
 
 
 def test_a_group_that_no_list_has_named_yet_can_be_asked_of():
-    members = MongoMembers(None, None, {}, "one", PoolLimits(), 0.25, 0.125)
-    assert members.positions[0].session_need((5, 1), 12.0) == 12.0
+    endpoints = MongoMembers(None, None, {}, "one", PoolLimits(), 0.25, 0.125)
+    assert endpoints.positions[0].session_need((5, 1), 12.0) == 12.0
 
 
 def test_marks_stay_few():
@@ -143,32 +143,32 @@
         self.former: dict[int, int] = {}  # who still believes to be primary, and of which term
         self.commit(0, 1)
 
-    def commit(self, member: int, term: int) -> tuple:
+    def commit(self, endpoint: int, term: int) -> tuple:
         """A write at a primary; its stamp follows its own clock, and only grows."""
-        log = self.logs[member]
-        stamp = (max(0, int(self.now + self.skew[member])), 1)
+        log = self.logs[endpoint]
+        stamp = (max(0, int(self.now + self.skew[endpoint])), 1)
         if log and log[-1][0] >= stamp:
             stamp = (log[-1][0][0], log[-1][0][1] + 1)
         log.append((stamp, term, self.now))
         return stamp
 
-    def claims(self, member: int) -> int | None:
+    def claims(self, endpoint: int) -> int | None:
         """The term in which a member believes to be primary."""
-        return self.term if member == self.primary else self.former.get(member)
+        return self.term if endpoint == self.primary else self.former.get(endpoint)
 
-    def replicate(self, member: int) -> None:
+    def replicate(self, endpoint: int) -> None:
         """A replica takes some of a primary's log and gives up what differs; a former primary hears of it."""
-        if member == self.primary:
+        if endpoint == self.primary:
             return
-        self.former.pop(member, None)
-        newest = self.logs[member][-1][1] if self.logs[member] else 0
+        self.former.pop(endpoint, None)
+        newest = self.logs[endpoint][-1][1] if self.logs[endpoint] else 0
         able = [m for m, term in self.former.items() if term >= newest]  # nobody goes back to an older term
         follow = self.rng.choice([self.primary, self.primary, *able])
-        source, own = self.logs[follow], self.logs[member]
+        source, own = self.logs[follow], self.logs[endpoint]
         same = 0
         while same < min(len(source), len(own)) and source[same] == own[same]:
             same += 1
-        self.logs[member] = source[: same + self.rng.randrange(4)]
+        self.logs[endpoint] = source[: same + self.rng.randrange(4)]
 
     def fail_over(self) -> None:
         """Another member takes over with what it has; a new term begins with an entry of its own."""
@@ -194,22 +194,22 @@
     for _ in range(steps):
         truth.now += rng.uniform(0.0, 0.5)
         draw = rng.random()
-        member = rng.randrange(4)
+        endpoint = rng.randrange(4)
         if draw < 0.3:
             at = rng.choice([truth.primary, *truth.former])
             late.append(
                 ("wrote", at, truth.now, True, truth.claims(at), truth.commit(at, truth.claims(at)), None)
             )
         elif draw < 0.55:
-            truth.replicate(member)
+            truth.replicate(endpoint)
         elif draw < 0.97:
             # Half of the questions are reads, whose answers tell no term and no role.
             # A member is asked now and reads its state now; its answer may arrive much later.
-            log = truth.logs[member]
+            log = truth.logs[endpoint]
             if log:
                 stamp, term, _ = log[-1]
-                primary = truth.claims(member) is not None
-                asked = (member, truth.now, primary, term, stamp, frozenset(log))
+                primary = truth.claims(endpoint) is not None
+                asked = (endpoint, truth.now, primary, term, stamp, frozenset(log))
                 late.append((rng.choice(["hello", "read"]), *asked))
         else:
             truth.fail_over()
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -9,7 +9,7 @@
 
 from sedgepitch.decisions.connections import client_connections as visitors
 from sedgepitch.protocols.postgresql import client, codec
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 from tests.support.postgresql_harness import ROW, WALL, Stage, errors, messages, read, write
 from tests.support.router_harness import SETTINGS
 
@@ -41,17 +41,17 @@
     connection.transport.arrived = stage.clock.now() - 0.1  # the bytes waited that long to be read
     connection.dataReceived(read(1, d="500"))
     stage.turn()
-    payload = stage.members.sent[0].payload
+    payload = stage.endpoints.sent[0].payload
     assert payload.text(stage.clock.now()) == read(1, d="400")[5:-1]
 
 
 def test_refused_with_a_time_to_come_back_where_settings_allow_it():
-    for settings, told in ((SETTINGS, True), (replace(SETTINGS, come_back=False), False)):
+    for settings, told in ((SETTINGS, True), (replace(SETTINGS, retry_after=False), False)):
         stage = Stage(settings)
         connection, wire = stage.client()
         connection.dataReceived(read(1, d="400"))
         stage.turn()
-        stage.answer(result=Result.TIMEOUT)
+        stage.answer(result=AttemptResult.TIMEOUT)
         while not errors(wire):
             stage.turn(0.005, 1)
         (error,) = errors(wire)
@@ -98,7 +98,7 @@
     connection.dataReceived(read(1) + read(2) + read(3))
     for count in (1, 2, 3):
         stage.turn()
-        assert len(stage.members.sent) == count
+        assert len(stage.endpoints.sent) == count
         stage.turn(0.1)
         stage.answer()
     assert wire.value() == 3 * (ROW + codec.READY)
@@ -111,12 +111,12 @@
     first.dataReceived(read(1))
     second.dataReceived(read(1))
     stage.turn()
-    assert len(errors(second_wire)) == 1 and len(stage.members.sent) == 1
+    assert len(errors(second_wire)) == 1 and len(stage.endpoints.sent) == 1
     stage.answer()
     assert first_wire.value() == ROW + codec.READY
     second.dataReceived(read(1))
     stage.turn()
-    assert len(stage.members.sent) == 2
+    assert len(stage.endpoints.sent) == 2
 
 
 BAD_BYTES = [
@@ -142,7 +142,7 @@
     assert wire.half_closed
     connection.dataReceived(b"y" * 100)  # what still comes is dropped
     stage.pass_by(1.0)
-    assert wire.aborted and not stage.members.sent
+    assert wire.aborted and not stage.endpoints.sent
 
 
 def test_a_flood_behind_an_error_is_cut_off():
@@ -162,7 +162,7 @@
     good.dataReceived(read(1))
     assert len(errors(bad_wire)) == 1, "the rest waits for later turns"
     stage.turn()
-    assert len(stage.members.sent) == 1
+    assert len(stage.endpoints.sent) == 1
     assert len(errors(bad_wire)) == 300
     stage.answer()
     assert good_wire.value() == ROW + codec.READY
@@ -179,7 +179,7 @@
         half.dataReceived(b" ")
     assert silent.half_closed and half_wire.half_closed
     assert not idle.half_closed and not idle.aborted
-    assert not stage.members.sent
+    assert not stage.endpoints.sent
 
 
 def test_a_client_that_leaves_is_forgotten():
@@ -216,7 +216,7 @@
     wire.producer.pauseProducing()
     connection.dataReceived(read(1))
     stage.turn()
-    assert not stage.members.sent
+    assert not stage.endpoints.sent
     stage.pass_by(visitors.TAKE_WITHIN + 1.0)
     assert wire.aborted
 
@@ -256,11 +256,11 @@
     (early, early_wire), (late, late_wire), (_, idle) = stage.client(), stage.client(), stage.client()
     early.dataReceived(read(1, d="5000"))
     stage.turn()
-    assert len(stage.members.sent) == 1
+    assert len(stage.endpoints.sent) == 1
     stage.pass_by(0.29, step=0.005)
     late.dataReceived(read(2, d="5000"))
     stage.turn()
-    assert errors(late_wire)[0]["C"] == "53300" and len(stage.members.sent) <= 2
+    assert errors(late_wire)[0]["C"] == "53300" and len(stage.endpoints.sent) <= 2
     assert [k for k, _ in messages(early_wire.value())] == [b"E", b"Z"], "its time was cut, and it is told"
     stage.front.close_free()
     assert idle.half_closed and not idle.aborted, "ended in order, what it still takes arrives"
@@ -289,7 +289,7 @@
 
 
 def test_a_refusal_of_the_drivers_own_names_a_time_where_settings_allow_it_and_none_elsewhere():
-    for settings, told in ((SETTINGS, True), (replace(SETTINGS, come_back=False), False)):
+    for settings, told in ((SETTINGS, True), (replace(SETTINGS, retry_after=False), False)):
         stage = Stage(settings)
         connection, wire = stage.client()
         connection.dataReceived(read(1, d="300"))
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -12,7 +12,7 @@
 from sedgepitch.decisions.connections.descriptor_budget import Descriptors
 from sedgepitch.protocols.postgresql import codec, statements
 from sedgepitch.protocols.postgresql.upstream import MemberConnection, Names, PgMembers, Probe, read_usage
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 from tests.support.postgresql_harness import ROW, WALL, Stage, Wire, read
 from tests.test_postgresql_codec import NAMED
 
@@ -27,7 +27,7 @@
         stage = Stage()
         self.clock = stage.clock
         limits = PoolLimits(linger=0.0)
-        self.members = PgMembers(None, stage.clock, limits, Descriptors(0), WALL, 0.25)
+        self.endpoints = PgMembers(None, stage.clock, limits, Descriptors(0), WALL, 0.25)
         self.ready, self.ended, self.replies = [], [], []
         self.wire = Wire()
         self.connection = MemberConnection(
@@ -47,7 +47,7 @@
     def end(self):
         """The outcome, which must be the only one."""
         (reply,) = self.replies
-        return self.members.judge(1, self.payload, reply)
+        return self.endpoints.judge(1, self.payload, reply)
 
 
 def test_a_statement_is_written_whole_and_its_row_served():
@@ -57,7 +57,7 @@
         ROW + NOTES + codec.parameter("usage", "queue=7,x0=1001000.4,x1=1") + codec.READY
     )
     end = played.end()
-    assert (end.result, end.reply, end.primary) == (Result.OK, ROW, True)
+    assert (end.result, end.reply, end.primary) == (AttemptResult.OK, ROW, True)
     assert end.position == pytest.approx(1000.5)
     assert (end.report.load, end.report.primary) == (7.0, True)
     assert end.report.position == pytest.approx(1000.4)
@@ -67,11 +67,11 @@
 @pytest.mark.parametrize(
     ("code", "result"),
     [
-        ("25006", Result.MISS),
-        ("72000", Result.MISS),
-        ("XX000", Result.ERROR),
-        ("53300", Result.FULL),
-        ("08P01", Result.ERROR),
+        ("25006", AttemptResult.NOT_ELIGIBLE),
+        ("72000", AttemptResult.NOT_ELIGIBLE),
+        ("XX000", AttemptResult.ERROR),
+        ("53300", AttemptResult.OVERLOADED),
+        ("08P01", AttemptResult.ERROR),
     ],
 )
 def test_errors_are_the_outcomes_of_the_platforms_table(code, result):
@@ -85,7 +85,7 @@
 def test_a_fatal_error_needs_nothing_behind_it():
     played = Played()
     played.connection.dataReceived(codec.error("53300", "no", fatal=True))
-    assert played.end().result is Result.FULL
+    assert played.end().result is AttemptResult.OVERLOADED
     assert not played.connection.usable()
 
 
@@ -118,7 +118,7 @@
     played = Played()
     played.connection.dataReceived(data)
     end = played.end()
-    assert end.result is Result.ERROR and end.reply is None and "spoilt" in end.why
+    assert end.result is AttemptResult.ERROR and end.reply is None and "spoilt" in end.why
     assert played.wire.aborted and not played.connection.usable()
 
 
@@ -158,7 +158,7 @@
         played = Played()
         played.connection.dataReceived(ROW + codec.parameter("usage", usage) + codec.READY)
         end = played.end()
-        assert end.result is Result.OK and (end.report is None or end.report.load is None)
+        assert end.result is AttemptResult.OK and (end.report is None or end.report.load is None)
     assert read_usage(b"inflight=7,util=0.61") == {"inflight": 7.0, "util": 0.61}
 
 
@@ -167,7 +167,7 @@
     row = codec.row_description() + codec.data_row(b"queue=3,x0=1001000.25,x1=0") + codec.complete("SHOW")
     played.connection.dataReceived(row + codec.READY)
     end = played.end()
-    assert end.result is Result.OK and end.reply is None
+    assert end.result is AttemptResult.OK and end.reply is None
     assert end.report.position == pytest.approx(1000.25) and end.report.primary is False
 
 
@@ -180,4 +180,4 @@
     assert played.end().reply == row
     played = Played()
     played.connection.dataReceived(codec.row_description() + struct.pack("!ci", b"D", codec.ROW + 17))
-    assert played.end().result is Result.ERROR
+    assert played.end().result is AttemptResult.ERROR
