--- a/tests/test_request_classes.py
+++ b/tests/test_request_classes.py
@@ -7,12 +7,12 @@
 from sedgepitch.decisions.cursors import CursorTable, may_go_on
 from sedgepitch.decisions.request_classes import Classifier, Facts, Match, Rule, variants
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Effect, Freshness
+from sedgepitch.routing.messages import Freshness, Idempotency
 from tests.support.router_harness import make_class
 
 CLASSES = (
-    make_class("upload", Freshness.WRITE, effect=Effect.KEYED, window=1.2),
-    make_class("map", Freshness.BOUNDED, max_age=0.5),
+    make_class("upload", Freshness.WRITE, idempotency=Idempotency.KEYED, deduplication_window=1.2),
+    make_class("map", Freshness.BOUNDED, max_staleness=0.5),
     make_class("old", Freshness.ANY),
     make_class("own", Freshness.SESSION),
     make_class("now", Freshness.FRESH),
@@ -76,7 +76,7 @@
 
 def test_unsafe_variant_of_keyed_writes_alone_drops_the_key():
     made = {c.name: c for c in variants(CLASSES)}
-    assert made["upload/unsafe"].effect is api.Effect.UNSAFE
+    assert made["upload/unsafe"].idempotency is api.Idempotency.NONE
     assert "map/unsafe" not in made
 
 
@@ -85,8 +85,8 @@
     first, _ = table.opened(1, 1001, "sky.a", 0.0)
     second, _ = table.opened(2, 1001, "sky.a", 0.0)
     assert first.id != second.id
-    assert table.use(first.id, "sky.a", 1.0).member == 1
-    assert table.use(second.id, "sky.a", 1.0).member == 2
+    assert table.use(first.id, "sky.a", 1.0).endpoint == 1
+    assert table.use(second.id, "sky.a", 1.0).endpoint == 2
     assert table.use(first.id, "sky.b", 1.0) is None
     assert table.use(1001, "sky.a", 1.0) is None
 
@@ -99,7 +99,7 @@
     assert [c.member_id for c in ended] == [1]
     assert [c.member_id for c in table.expire(64.0)] == [2]
     assert table.use(opened[0].id, "sky.a", 70.0) is None
-    assert len(table.end_where(lambda c: c.member == 1)) == 2
+    assert len(table.end_where(lambda c: c.endpoint == 1)) == 2
     assert not table.cursors
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -194,11 +194,11 @@
 
 def test_statements_sent_ahead_are_each_answered_before_the_driver_ends(platform):
     hang = threading.Event()
-    for member in platform.members:
-        member.script = lambda s: hang.wait(WITHIN) and None
+    for endpoint in platform.endpoints:
+        endpoint.script = lambda s: hang.wait(WITHIN) and None
     held = platform.client()
     held.held.sendall(codec.query(look(1)) + codec.query(look(2)) + codec.query(look(3)))
-    until(lambda: any(m.statements for m in platform.members))
+    until(lambda: any(m.statements for m in platform.endpoints))
     platform.signal(signal.SIGTERM)
     platform.signal(signal.SIGTERM)
     platform.signal(signal.SIGHUP)
@@ -244,11 +244,11 @@
 
 def test_a_client_that_sends_much_at_once_and_goes_leaves_nothing_that_is_sent_on_later(platform):
     hang = threading.Event()
-    for member in platform.members:
-        member.script = lambda s: hang.wait(WITHIN) and None
+    for endpoint in platform.endpoints:
+        endpoint.script = lambda s: hang.wait(WITHIN) and None
     client = platform.client()
     client.held.sendall(codec.query(look(1)))
-    until(lambda: any(m.statements for m in platform.members))
+    until(lambda: any(m.statements for m in platform.endpoints))
     for number in range(2, 3000):
         client.held.sendall(codec.query(look(number)))
     client.close()
@@ -257,7 +257,7 @@
     other = platform.client()
     for number in range(5000, 5010):
         assert other.ask(look(number))[0] == "value"
-    sent = {re.search(r"id=(\w+)", s)[1] for m in platform.members for s in m.statements}
+    sent = {re.search(r"id=(\w+)", s)[1] for m in platform.endpoints for s in m.statements}
     assert sent - {f"{n:x}" for n in range(5000, 5010)} == {"1"}
 
 
@@ -269,7 +269,7 @@
     time.sleep(0.3)  # what is tested is a driver that stood still for that long
     platform.process.send_signal(signal.SIGCONT)
     assert platform.client().ask(look(2)) == ("value", b"value of 2")
-    assert not [s for m in platform.members for s in m.statements if "id=1," in s]
+    assert not [s for m in platform.endpoints for s in m.statements if "id=1," in s]
 
 
 def test_a_closed_port_cuts_nobody_off_who_was_connected():
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -7,24 +7,30 @@
 import pytest
 
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Checks, Effect, Result, State
+from sedgepitch.routing.messages import AttemptResult, EndpointState, Idempotency, StaleReadHandling
 from sedgepitch.routing.router import Router
-from tests.support.router_harness import SETTINGS, Rig, finals, listing, placed, sends
+from tests.support.router_harness import SETTINGS, Rig, entry, finals, placed, sends
 
 
 def serve(
-    rig: Rig, name: str, count: int, elapsed: dict[int, float], result: Result = Result.OK
+    rig: Rig, name: str, count: int, elapsed: dict[int, float], result: AttemptResult = AttemptResult.OK
 ) -> list[int]:
     """Ask, answer each after its member's own time, and return who was sent to."""
     used = []
     for _ in range(count):
         request, actions = rig.ask(name)
         rig.run(0.02)
-        for member in sends(actions, request):
-            used.append(member)
+        for endpoint in sends(actions, request):
+            used.append(endpoint)
             rig.feed(
-                api.Finished(
-                    request, 0, member, result, elapsed[member], result is Result.OK, primary=member == 1
+                api.AttemptFinished(
+                    request,
+                    0,
+                    endpoint,
+                    result,
+                    elapsed[endpoint],
+                    result is AttemptResult.OK,
+                    primary=endpoint == 1,
                 )
             )
     return used
@@ -45,7 +51,7 @@
 
 
 def test_side_holds_without_a_sample_of_the_primary():
-    rig = Rig(members=(listing(2), listing(3)))
+    rig = Rig(endpoints=(entry(2), entry(3)))
     serve(rig, "any", 600, {2: 0.05, 3: 0.05})
     assert rig.router.groups[1].side_replicas
 
@@ -57,11 +63,11 @@
     for _ in range(100):
         request, actions = rig.ask("any")
         rig.run(0.01)
-        for member in sends(actions, request):
-            if member == 2:
+        for endpoint in sends(actions, request):
+            if endpoint == 2:
                 stuck.append(request)
             else:
-                rig.end(request, 0, member, Result.OK, primary=member == 1)
+                rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
     assert 0 < len(stuck) < 25
     assert any(len(sends(rig.log, request)) == 2 for request in stuck)
 
@@ -70,8 +76,14 @@
     """Answer every attempt of a request, with errors from one member."""
     attempt = 0
     while attempt < len(sends(rig.log, request)):
-        member = sends(rig.log, request)[attempt]
-        rig.end(request, attempt, member, Result.ERROR if member == bad else Result.OK, primary=member == 1)
+        endpoint = sends(rig.log, request)[attempt]
+        rig.end(
+            request,
+            attempt,
+            endpoint,
+            AttemptResult.ERROR if endpoint == bad else AttemptResult.OK,
+            primary=endpoint == 1,
+        )
         attempt += 1
 
 
@@ -80,11 +92,11 @@
     for _ in range(200):
         answer(rig, rig.ask("any")[0], bad=3)
         rig.run(0.01)
-    assert rig.router.members[3].suspect == "failing"
+    assert rig.router.endpoints[3].suspect == "failing"
     for _ in range(500):
         answer(rig, rig.ask("any")[0])
         rig.run(0.02)
-    assert rig.router.members[3].suspect == ""
+    assert rig.router.endpoints[3].suspect == ""
 
 
 def test_requests_that_fail_everywhere_are_no_members_fault():
@@ -94,9 +106,9 @@
         request, _ = rig.ask("any")
         attempt = 0
         while attempt < len(sends(rig.log, request)):
-            member = sends(rig.log, request)[attempt]
-            result = Result.ERROR if number % 5 < 2 else Result.OK
-            rig.end(request, attempt, member, result, primary=member == 1)
+            endpoint = sends(rig.log, request)[attempt]
+            result = AttemptResult.ERROR if number % 5 < 2 else AttemptResult.OK
+            rig.end(request, attempt, endpoint, result, primary=endpoint == 1)
             attempt += 1
         assert attempt <= 2
         rig.run(0.02)
@@ -108,14 +120,14 @@
     request = 0
     while 3 not in sends(rig.log, request):
         request, _ = rig.ask("any")
-    rig.end(request, 0, 3, Result.RESET)
+    rig.end(request, 0, 3, AttemptResult.RESET)
     for _ in range(2):  # it is asked, and its process does not run
-        rig.feed(api.Probed(3, Result.CONNECT_FAILED, 0.001))
+        rig.feed(api.HealthCheckFinished(3, AttemptResult.CONNECT_FAILED, 0.001))
     start = len(rig.log)
     rig.run(0.7)
     rig.ask("any")
-    assert api.Probe(3) in rig.log[start:] and 3 not in sends(rig.log[start:])
-    rig.feed(api.Probed(3, Result.OK, 0.001))
+    assert api.CheckHealth(3) in rig.log[start:] and 3 not in sends(rig.log[start:])
+    rig.feed(api.HealthCheckFinished(3, AttemptResult.OK, 0.001))
     for _ in range(20):
         rig.ask("any")
     assert sends(rig.log[start:]).count(3) == 1
@@ -123,7 +135,7 @@
 
 def test_a_trial_is_a_copy_so_that_nothing_is_lost_by_it():
     rig = Rig()
-    rig.router.distrust(rig.router.members[3], "silent")
+    rig.router.distrust(rig.router.endpoints[3], "silent")
     rig.run(0.7)
     request, actions = rig.ask("any")
     assert sorted(sends(actions, request))[-1] == 3 and len(sends(actions, request)) == 2
@@ -131,13 +143,13 @@
 
 def test_probes_that_always_fail_do_not_keep_a_member_out():
     rig = Rig()
-    rig.router.distrust(rig.router.members[3], "down")
+    rig.router.distrust(rig.router.endpoints[3], "down")
     start = len(rig.log)
     for _ in range(800):
         request, actions = rig.ask("any", ttl=0.3)
         for action in actions + rig.run(0.02):
-            if isinstance(action, api.Probe):
-                rig.feed(api.Probed(action.member, Result.TIMEOUT, 0.25))
+            if isinstance(action, api.CheckHealth):
+                rig.feed(api.HealthCheckFinished(action.endpoint, AttemptResult.TIMEOUT, 0.25))
         answer(rig, request)
     assert 3 in sends(rig.log[start:])
 
@@ -148,44 +160,46 @@
     waiting: list[tuple[float, int, int]] = []
     for _ in range(400):
         request, actions = rig.ask("any")
-        for member in sends(actions, request):
-            used.append(member)
-            waiting.append((rig.now + (0.25 if member == 3 else 0.02), request, member))
+        for endpoint in sends(actions, request):
+            used.append(endpoint)
+            waiting.append((rig.now + (0.25 if endpoint == 3 else 0.02), request, endpoint))
         rig.run(0.01)
         for due in [w for w in waiting if w[0] <= rig.now]:
             waiting.remove(due)
             took = 0.25 if due[2] == 3 else 0.02
-            rig.feed(api.Finished(due[1], 0, due[2], Result.OK, took, True, primary=due[2] == 1))
+            rig.feed(
+                api.AttemptFinished(due[1], 0, due[2], AttemptResult.OK, took, True, primary=due[2] == 1)
+            )
     assert used.count(3) < used.count(2) / 2
 
 
 def test_writes_find_the_new_primary_after_a_switch():
     rig = Rig()
     request, _ = rig.ask("write", ttl=1.9)
-    rig.end(request, 0, 1, Result.MISS, primary=False)
+    rig.end(request, 0, 1, AttemptResult.NOT_ELIGIBLE, primary=False)
     rig.run(0.05)
     assert sends(rig.log, request)[:2] == [1, 2]
-    rig.end(request, 1, 2, Result.MISS, primary=False)
+    rig.end(request, 1, 2, AttemptResult.NOT_ELIGIBLE, primary=False)
     assert sends(rig.log, request)[2] == 3
-    rig.end(request, 2, 3, Result.OK, primary=True)
+    rig.end(request, 2, 3, AttemptResult.OK, primary=True)
     later, actions = rig.ask("write")
     assert sends(actions, later) == [3]
 
 
 def test_fresh_reads_without_a_primary_get_a_timely_refusal():
-    rig = Rig(members=(listing(1), listing(2)))
+    rig = Rig(endpoints=(entry(1), entry(2)))
     request, actions = rig.ask("fresh")
     assert sends(actions, request) == []
     rig.run(0.3)
     answer = finals(rig.log, request)[0]
-    assert isinstance(answer, api.Refuse) and answer.come_back > 0
+    assert isinstance(answer, api.Reject) and answer.retry_after > 0
 
 
 @pytest.mark.parametrize("first", [True, False])
 def test_a_late_list_does_not_overrule_an_answer(first):
-    rig = Rig(members=(listing(1, primary=first), listing(2)))
+    rig = Rig(endpoints=(entry(1, primary=first), entry(2)))
     rig.heard(2, 0.0, primary=True)
-    rig.feed(api.Members((listing(1, primary=True),), complete=False))
+    rig.feed(api.EndpointListUpdate((entry(1, primary=True),), complete=False))
     request, actions = rig.ask("write")
     assert sends(actions, request) == [2]
 
@@ -196,22 +210,24 @@
         request, _ = rig.ask("any")
         attempt = 0
         while attempt < len(sends(rig.log, request)) and not finals(rig.log, request):
-            rig.end(request, attempt, sends(rig.log, request)[attempt], Result.ERROR)
+            rig.end(request, attempt, sends(rig.log, request)[attempt], AttemptResult.ERROR)
             attempt += 1
         rig.run(0.01)
     assert len(sends(rig.log)) <= 300 * 1.2 + 10
 
 
 def test_overload_refuses_the_least_worth_first():
-    worth = {"any": 0.2, "bounded": 6.0}
-    classes = tuple(replace(c, worth=worth.get(c.name, c.worth)) for c in SETTINGS.classes)
+    priority_weight = {"any": 0.2, "bounded": 6.0}
+    classes = tuple(
+        replace(c, priority_weight=priority_weight.get(c.name, c.priority_weight)) for c in SETTINGS.classes
+    )
     rig = Rig(replace(SETTINGS, classes=classes))
-    for member in (1, 2, 3):
-        rig.heard(member, 0.01, primary=member == 1)
+    for endpoint in (1, 2, 3):
+        rig.heard(endpoint, 0.01, primary=endpoint == 1)
     for _ in range(200):
         rig.ask("any")
         rig.ask("bounded")
-    sent = {a.request for a in rig.log if isinstance(a, api.Send)}
+    sent = {a.request for a in rig.log if isinstance(a, api.SendAttempt)}
     assert sum(r % 2 == 0 for r in sent) > sum(r % 2 == 1 for r in sent)
 
 
@@ -219,10 +235,10 @@
     rig = Rig()
     rig.heard(2, 0.3)
     rig.run(0.3)
-    rig.router.members[3].probed_at = rig.now
+    rig.router.endpoints[3].probed_at = rig.now
     request, actions = rig.ask("bounded")
     if 1 not in sends(actions, request):
-        assert api.Probe(2) in actions and sends(actions, request) == []
+        assert api.CheckHealth(2) in actions and sends(actions, request) == []
         rig.heard(2, 0.2)
         assert sends(rig.log, request) == [2]
 
@@ -231,20 +247,20 @@
     rig = Rig()
     held = [rig.ask("any")[0] for _ in range(8)]
     by_member = {m: [r for r in held if sends(rig.log, r) == [m]] for m in (2, 3)}
-    member = max(by_member, key=lambda m: len(by_member[m]))
-    rig.end(by_member[member][0], 0, member, Result.OK, primary=False)
-    rig.end(by_member[member][1], 0, member, Result.CONNECT_FAILED)
-    assert rig.router.members[member].suspect == ""
+    endpoint = max(by_member, key=lambda m: len(by_member[m]))
+    rig.end(by_member[endpoint][0], 0, endpoint, AttemptResult.OK, primary=False)
+    rig.end(by_member[endpoint][1], 0, endpoint, AttemptResult.CONNECT_FAILED)
+    assert rig.router.endpoints[endpoint].suspect == ""
 
 
 def test_subscription_is_asked_for_and_retried_with_back_off():
     rig = Rig(replace(SETTINGS, subscribe=True))
-    assert rig.log.count(api.Subscribe()) == 1
+    assert rig.log.count(api.WatchEndpointList()) == 1
     times = []
     for _ in range(3):
-        rig.feed(api.ListFailed())
+        rig.feed(api.EndpointListFailed())
         before = rig.now
-        while rig.log.count(api.Subscribe()) < len(times) + 2:
+        while rig.log.count(api.WatchEndpointList()) < len(times) + 2:
             rig.run(0.01)
         times.append(rig.now - before)
     assert times[0] < times[-1] <= 6.0
@@ -253,24 +269,24 @@
 def test_late_events_about_what_is_over_change_nothing():
     rig = Rig()
     request, actions = rig.ask("any")
-    member = sends(actions, request)[0]
-    rig.end(request, 0, member, Result.OK, primary=False)
+    endpoint = sends(actions, request)[0]
+    rig.end(request, 0, endpoint, AttemptResult.OK, primary=False)
     for event in (
-        api.Finished(request, 0, member, Result.ERROR, 0.1, False),
-        api.Finished(999, 0, 77, Result.OK, 0.1, True),
-        api.Probed(77, Result.OK, 0.1),
-        api.ClientGone(request),
-        api.Timer(12345),
+        api.AttemptFinished(request, 0, endpoint, AttemptResult.ERROR, 0.1, False),
+        api.AttemptFinished(999, 0, 77, AttemptResult.OK, 0.1, True),
+        api.HealthCheckFinished(77, AttemptResult.OK, 0.1),
+        api.ClientDisconnected(request),
+        api.TimerExpired(12345),
     ):
         assert rig.feed(event) == []
 
 
 def test_a_restarted_member_is_taken_back_as_cold():
     rig = Rig()
-    rig.router.distrust(rig.router.members[2], "down")
+    rig.router.distrust(rig.router.endpoints[2], "down")
     rig.run(1.0)
-    rig.feed(api.Members((listing(2, started=rig.now),), complete=False))
-    assert rig.router.warmth(rig.router.members[2]) < 0.3
+    rig.feed(api.EndpointListUpdate((entry(2, started=rig.now),), complete=False))
+    assert rig.router.warmth(rig.router.endpoints[2]) < 0.3
 
 
 def test_the_same_events_give_the_same_actions():
@@ -284,7 +300,11 @@
 
 def test_all_members_drained_means_a_timely_answer():
     rig = Rig()
-    rig.feed(api.Members(tuple(listing(m, state=State.DRAINING) for m in (1, 2, 3)), complete=True))
+    rig.feed(
+        api.EndpointListUpdate(
+            tuple(entry(m, state=EndpointState.DRAINING) for m in (1, 2, 3)), complete=True
+        )
+    )
     request, _ = rig.ask("any")
     assert len(finals(rig.run(0.5), request)) == 1 and sends(rig.log, request) == []
 
@@ -293,7 +313,7 @@
     ("changes", "name"),
     [
         ({"classes": ()}, "settings.classes"),
-        ({"classes": (replace(SETTINGS.classes[0], aim=0.0),)}, "aim"),
+        ({"classes": (replace(SETTINGS.classes[0], latency_objective=0.0),)}, "aim"),
         ({"tick": -1.0}, "settings.tick"),
         ({"most_attempts": 0}, "settings.most_attempts"),
     ],
@@ -309,7 +329,7 @@
 def test_an_idle_router_sets_no_timer():
     rig = Rig()
     request, actions = rig.ask("any")
-    rig.end(request, 0, sends(actions, request)[0], Result.OK, primary=False)
+    rig.end(request, 0, sends(actions, request)[0], AttemptResult.OK, primary=False)
     rig.run(5.0)
     assert rig.timers == []
 
@@ -323,11 +343,11 @@
     first = sends(actions, request)[0]
     rig.run(0.5)
     assert len(sends(rig.log, request)) == 2 and not rig.router.groups[1].suspects
-    rig.end(request, 1, sends(rig.log, request)[1], Result.OK, primary=False)
-    rig.end(request, 0, first, Result.TIMEOUT, final=True)
+    rig.end(request, 1, sends(rig.log, request)[1], AttemptResult.OK, primary=False)
+    rig.end(request, 0, first, AttemptResult.TIMEOUT, final=True)
     rig.run(3.0)
     request, actions = rig.ask("any")
-    assert api.CloseIdle(sends(actions, request)[0]) in actions
+    assert api.CloseIdleConnections(sends(actions, request)[0]) in actions
 
 
 def test_silence_everywhere_is_not_blamed_on_members():
@@ -342,22 +362,24 @@
     rig = Rig()
     serve(rig, "any", 60, {1: 0.02, 2: 0.02, 3: 0.02})
     request, actions = rig.ask("any")
-    member = rig.router.members[sends(actions, request)[0]]
-    before = member.strain
+    endpoint = rig.router.endpoints[sends(actions, request)[0]]
+    before = endpoint.strain
     rig.now += 1.0  # timers were due meanwhile; all comes at once
-    rig.feed(api.Finished(request, 0, member.id, Result.OK, 1.0, True, primary=member.id == 1))
-    assert member.strain == before and not member.suspect
+    rig.feed(
+        api.AttemptFinished(request, 0, endpoint.id, AttemptResult.OK, 1.0, True, primary=endpoint.id == 1)
+    )
+    assert endpoint.strain == before and not endpoint.suspect
 
 
 def test_a_limit_below_one_is_a_chance():
     rig = Rig()
-    for member in rig.router.members.values():
-        member.limit = 0.3
+    for endpoint in rig.router.endpoints.values():
+        endpoint.limit = 0.3
     sent = [len(sends(rig.ask("any", ttl=0.3)[1])) for _ in range(1)]
     for seed in range(200):
         other = Rig(seed=seed)
-        for member in other.router.members.values():
-            member.limit = 0.3
+        for endpoint in other.router.endpoints.values():
+            endpoint.limit = 0.3
         sent.append(len(sends(other.ask("any", ttl=0.3)[1])))
     assert 0 < sum(sent) < 0.6 * len(sent)
 
@@ -368,8 +390,8 @@
         rig = Rig(replace(SETTINGS, drivers=200), seed=seed)
         for _ in range(3):
             request, _ = rig.ask(name)
-            (member,) = sends(rig.log, request)
-            rig.end(request, 0, member, Result.OK, primary=member == 1)
+            (endpoint,) = sends(rig.log, request)
+            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
             rig.run(1.0)
 
 
@@ -381,7 +403,7 @@
 
 def test_a_slow_zone_loses_the_ties():
     # slow_link, false_reports: latency by zone tells what few answers of one member cannot.
-    rig = Rig(members=(listing(1, primary=True), listing(2), listing(3, zone="b")))
+    rig = Rig(endpoints=(entry(1, primary=True), entry(2), entry(3, zone="b")))
     used = serve(rig, "any", 300, {1: 0.02, 2: 0.02, 3: 0.19})
     assert used[100:].count(3) < used[100:].count(2) / 2
 
@@ -390,7 +412,7 @@
     rig = Rig()
     request, _ = rig.ask("write", ttl=1.9)
     for attempt in range(2):
-        rig.end(request, attempt, 1, Result.FULL, primary=True)
+        rig.end(request, attempt, 1, AttemptResult.OVERLOADED, primary=True)
     assert len(sends(rig.log, request)) == 2
     rig.run(0.3)
     assert len(sends(rig.log, request)) == 3
@@ -398,9 +420,11 @@
 
 def test_a_strained_primary_keeps_its_room_for_writes():
     rig = Rig()
-    rig.router.members[1].strain = 0.9
+    rig.router.endpoints[1].strain = 0.9
     rig.feed(
-        api.Members((listing(2, state=State.DRAINING), listing(3, state=State.DRAINING)), complete=False)
+        api.EndpointListUpdate(
+            (entry(2, state=EndpointState.DRAINING), entry(3, state=EndpointState.DRAINING)), complete=False
+        )
     )
     request, used = placed(rig, "any")
     assert used == [] and len(finals(rig.log, request)) == 1
@@ -409,10 +433,10 @@
 
 def primary_alone(rig: Rig, limit: float) -> object:
     """Only the primary may be used, with that limit."""
-    drained = (listing(2, state=State.DRAINING), listing(3, state=State.DRAINING))
-    rig.feed(api.Members(drained, complete=False))
-    rig.router.members[1].limit = limit
-    return rig.router.members[1]
+    drained = (entry(2, state=EndpointState.DRAINING), entry(3, state=EndpointState.DRAINING))
+    rig.feed(api.EndpointListUpdate(drained, complete=False))
+    rig.router.endpoints[1].limit = limit
+    return rig.router.endpoints[1]
 
 
 @pytest.mark.parametrize("name", ["write", "fresh"])
@@ -421,9 +445,9 @@
     for seed in range(40):
         rig = Rig(seed=seed)
         primary_alone(rig, 2.0)
-        while len(rig.router.members[1].out) < 2 and rig.ids < 30:
+        while len(rig.router.endpoints[1].out) < 2 and rig.ids < 30:
             placed(rig, "any", ttl=0.9)
-        held.append(len(rig.router.members[1].out))
+        held.append(len(rig.router.endpoints[1].out))
         assert sends(rig.ask(name)[1]) == [1], seed
     assert max(held) == 2
 
@@ -443,12 +467,12 @@
         used = 0
         for seed in range(300):
             rig = Rig(replace(SETTINGS, drivers=drivers, probes=False), seed=seed)
-            primary = primary_alone(rig, 8.0) if alone else rig.router.members[1]
+            primary = primary_alone(rig, 8.0) if alone else rig.router.endpoints[1]
             for _ in range(before):
                 primary.limit = 1.5
                 request, _ = rig.ask("write")
                 rig.run(took)
-                rig.feed(api.Finished(request, 0, 1, Result.OK, took, True, primary=True))
+                rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.OK, took, True, primary=True))
             primary.limit, primary.strain = 8.0, 0.0
             rig.router.zone_strain.clear()
             used += placed(rig, "bounded")[1] == [1]  # nothing is known of the replicas' positions
@@ -475,8 +499,10 @@
 
 def test_a_write_that_is_safe_is_not_copied_to_a_replica():
     """A replica that turns away what it does not hold would get the copy."""
-    safe = tuple(replace(c, effect=Effect.SAFE) if c.name == "write" else c for c in SETTINGS.classes)
-    rig = Rig(replace(SETTINGS, classes=safe, checks=Checks.BOUNCE))
+    safe = tuple(
+        replace(c, idempotency=Idempotency.IDEMPOTENT) if c.name == "write" else c for c in SETTINGS.classes
+    )
+    rig = Rig(replace(SETTINGS, classes=safe, checks=StaleReadHandling.REJECT))
     request, _ = rig.ask("write", ttl=1.9)
     rig.run(1.8)
     assert set(sends(rig.log, request)) == {1}
@@ -485,8 +511,8 @@
 @pytest.mark.parametrize("most", [1, 2, 4, 6])
 def test_a_primary_is_found_in_a_group_of_more_members_than_a_request_has_attempts(most):
     """Neither the list nor probes tell roles."""
-    settings = replace(SETTINGS, probes=False, list_names_primary=False, most_attempts=most)
-    rig = Rig(settings, members=[listing(m) for m in range(1, 13)])
+    settings = replace(SETTINGS, probes=False, list_reports_primary=False, max_attempts=most)
+    rig = Rig(settings, endpoints=[entry(m) for m in range(1, 13)])
     for _ in range(20):
         request, actions = rig.ask("write", ttl=0.9)
         for attempt in range(most):
@@ -494,14 +520,20 @@
             if not tried or finals(actions, request):
                 break
             found = tried[-1] == 12
-            actions = rig.end(request, attempt, tried[-1], Result.OK if found else Result.MISS, primary=found)
+            actions = rig.end(
+                request,
+                attempt,
+                tried[-1],
+                AttemptResult.OK if found else AttemptResult.NOT_ELIGIBLE,
+                primary=found,
+            )
         rig.run(1.0)
-    assert rig.router.groups[1].primary is rig.router.members[12]
+    assert rig.router.groups[1].primary is rig.router.endpoints[12]
 
 
 def test_a_grown_fleet_without_a_warm_member_is_used():
-    rig = Rig(members=(listing(1, primary=True),))
-    rig.feed(api.Members(tuple(listing(m, started=rig.now) for m in (2, 3, 4)), complete=False))
+    rig = Rig(endpoints=(entry(1, primary=True),))
+    rig.feed(api.EndpointListUpdate(tuple(entry(m, started=rig.now) for m in (2, 3, 4)), complete=False))
     rig.run(5.0)
     used = serve(rig, "any", 200, {1: 0.02, 2: 0.02, 3: 0.02, 4: 0.02})
     assert {2, 3, 4} <= set(used)
@@ -511,12 +543,12 @@
     # 400 drivers with one write waiting each must not ask every member at every look.
     asked = 0
     for seed in range(50):
-        rig = Rig(members=tuple(listing(m) for m in range(1, 9)), seed=seed)
+        rig = Rig(endpoints=tuple(entry(m) for m in range(1, 9)), seed=seed)
         rig.ask("write", ttl=1.0)
         for attempt in range(4):
-            rig.end(1, attempt, sends(rig.log, 1)[attempt], Result.MISS, primary=False)
+            rig.end(1, attempt, sends(rig.log, 1)[attempt], AttemptResult.NOT_ELIGIBLE, primary=False)
         rig.run(1.0)
-        asked += sum(isinstance(a, api.Probe) for a in rig.log)
+        asked += sum(isinstance(a, api.CheckHealth) for a in rig.log)
     assert 0 < asked <= 50 * 5
 
 
@@ -524,36 +556,40 @@
     rig = Rig()
     assert rig.feed() == []
     rig.now += 3600.0  # the clock jumps ahead
-    assert rig.feed() == [] or all(not isinstance(a, api.Send) for a in rig.log[-1:])
-    rig.feed(*(api.Arrived(1000 + n, "any", 1, 0.5) for n in range(2000)))
+    assert rig.feed() == [] or all(not isinstance(a, api.SendAttempt) for a in rig.log[-1:])
+    rig.feed(*(api.RequestReceived(1000 + n, "any", 1, 0.5) for n in range(2000)))
     rig.run(1.0)
-    answered = sum(isinstance(a, api.Refuse) for a in rig.log)
+    answered = sum(isinstance(a, api.Reject) for a in rig.log)
     assert answered + len(sends(rig.log)) >= 2000
     empty = Rig()
-    empty.feed(api.Members((), complete=True))
+    empty.feed(api.EndpointListUpdate((), complete=True))
     request, _ = empty.ask("any")
     empty.run(0.5)
     assert len(finals(empty.log, request)) == 1
-    unknown = empty.feed(api.Arrived(77, "any", 9, 0.5))
-    assert unknown == [api.Refuse(77, 0.0)]
+    unknown = empty.feed(api.RequestReceived(77, "any", 9, 0.5))
+    assert unknown == [api.Reject(77, 0.0)]
 
 
 def test_reported_load_is_priced_by_what_it_has_meant_in_latency():
     rig = Rig()
-    for member, load in ((2, 2.0), (3, 40.0)):
+    for endpoint, load in ((2, 2.0), (3, 40.0)):
         for _ in range(20):
             request, actions = rig.ask("any")
             used = sends(actions, request)[0]
-            report = api.Report(rig.now, used == 1, load if used == member else 2.0)
+            report = api.LoadReport(rig.now, used == 1, load if used == endpoint else 2.0)
             took = 0.02 + 0.01 * report.load
-            rig.feed(api.Finished(request, 0, used, Result.OK, took, True, primary=used == 1, report=report))
+            rig.feed(
+                api.AttemptFinished(
+                    request, 0, used, AttemptResult.OK, took, True, primary=used == 1, report=report
+                )
+            )
             rig.run(0.05)
-    rig.feed(api.Probed(3, Result.OK, 0.001, api.Report(rig.now, False, 60.0)))
-    rig.feed(api.Probed(2, Result.OK, 0.001, api.Report(rig.now, False, 1.0)))
-    assert rig.router.queueing(rig.router.members[3]) > 0.2
+    rig.feed(api.HealthCheckFinished(3, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 60.0)))
+    rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 1.0)))
+    assert rig.router.queueing(rig.router.endpoints[3]) > 0.2
     assert all(sends(rig.ask("any")[1]) != [3] for _ in range(3))
     rig.run(2.0)  # a report is a hint while it is recent
-    assert rig.router.queueing(rig.router.members[3]) == 0.0
+    assert rig.router.queueing(rig.router.endpoints[3]) == 0.0
 
 
 def test_a_strained_zone_eases_off_the_limits_of_members_not_heard_of_lately():
@@ -571,18 +607,18 @@
 def test_a_suspect_gets_what_no_trusted_member_takes():
     # cut and healed: all but one were found down while a zone was cut off; probes are answered again.
     rig = Rig()
-    for member in (2, 3):
-        rig.router.distrust(rig.router.members[member], "silent")
-    rig.router.members[1].limit = 0.1  # and the one that is trusted is full
+    for endpoint in (2, 3):
+        rig.router.distrust(rig.router.endpoints[endpoint], "silent")
+    rig.router.endpoints[1].limit = 0.1  # and the one that is trusted is full
     rig.run(5.0)
     used = set()
     for _ in range(4):
         request, actions = rig.ask("any")
         used |= set(sends(actions, request))
-        for member in sends(actions, request):
-            rig.end(request, 0, member, Result.OK, primary=member == 1)
+        for endpoint in sends(actions, request):
+            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
     assert used & {2, 3}
-    assert any(not rig.router.members[m].suspect for m in (2, 3))
+    assert any(not rig.router.endpoints[m].suspect for m in (2, 3))
 
 
 def test_a_probe_in_vain_keeps_reads_from_a_member_while_others_answer():
@@ -592,13 +628,13 @@
     request, _ = rig.ask("any")
     (served,) = sends(rig.log, request)
     other = 5 - served if served != 1 else 2
-    rig.end(request, 0, served, Result.OK, primary=served == 1)
-    rig.feed(api.Probed(other, Result.TIMEOUT, 0.25))
-    assert rig.router.members[other].suspect == "silent"
+    rig.end(request, 0, served, AttemptResult.OK, primary=served == 1)
+    rig.feed(api.HealthCheckFinished(other, AttemptResult.TIMEOUT, 0.25))
+    assert rig.router.endpoints[other].suspect == "silent"
 
 
 def test_a_probe_in_vain_while_nobody_answers_blames_no_member():
     rig = Rig()
     rig.run(1.0)
-    rig.feed(api.Probed(2, Result.TIMEOUT, 0.25))
-    assert not rig.router.members[2].suspect
+    rig.feed(api.HealthCheckFinished(2, AttemptResult.TIMEOUT, 0.25))
+    assert not rig.router.endpoints[2].suspect
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -5,10 +5,10 @@
 from dataclasses import replace
 
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result
+from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import SESSIONS
 from tests.support.mongodb_harness import Front
-from tests.support.router_harness import SETTINGS, Rig, finals, listing, sends
+from tests.support.router_harness import SETTINGS, Rig, entry, finals, sends
 from tests.test_engine import ask
 from tests.test_router_faults import serve
 
@@ -42,7 +42,7 @@
 
 
 def test_no_second_copy_of_what_may_not_be_repeated_or_where_none_is_allowed():
-    for settings, name in ((SETTINGS, "unsafe"), (replace(SETTINGS, second_copies=False), "write")):
+    for settings, name in ((SETTINGS, "unsafe"), (replace(SETTINGS, hedging=False), "write")):
         rig = Rig(settings)
         answered_after(rig, "write", 60)
         request = hang(rig, name)
@@ -60,116 +60,125 @@
         if overtaken:
             answered_after(rig, "write", 8)
         rig.run(0.6)
-        rig.feed(api.Finished(request, 0, 1, Result.TIMEOUT, 0.6, False))
+        rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.TIMEOUT, 0.6, False))
         assert finals(rig.log, request)
-    return rig.router.members[1].limit
+    return rig.router.endpoints[1].limit
 
 
 def test_time_outs_of_what_was_overtaken_cut_no_limit_and_those_of_what_waits_do():
-    members = (listing(1, primary=True),)
-    lost = limit_after(Rig(members=members), overtaken=True)
-    held = limit_after(Rig(members=members), overtaken=False)
+    endpoints = (entry(1, primary=True),)
+    lost = limit_after(Rig(endpoints=endpoints), overtaken=True)
+    held = limit_after(Rig(endpoints=endpoints), overtaken=False)
     assert lost >= 24.0 > held
 
 
 def test_an_attempt_of_an_answered_request_ends_with_the_clients_time():
     front = Front()
-    for member in (2, 3):
-        front.engine.feed(api.Probed(member, Result.OK, 0.001, api.Report(front.clock.now(), False)))
+    for endpoint in (2, 3):
+        front.engine.feed(
+            api.HealthCheckFinished(
+                endpoint, AttemptResult.OK, 0.001, api.LoadReport(front.clock.now(), False)
+            )
+        )
     _, got = ask(front, "map-read")
-    while len(front.members.sent) < 2 and front.clock.now() < 1000.95:
+    while len(front.endpoints.sent) < 2 and front.clock.now() < 1000.95:
         front.turn(0.01)
-    silent, quick = front.members.sent
+    silent, quick = front.endpoints.sent
     quick.answer()
     front.turn()
     assert len(got) == 1 and not silent.abandoned
-    assert front.engine.ledger.accounts and front.engine.router.members[silent.member].out
+    assert front.engine.ledger.accounts and front.engine.router.endpoints[silent.endpoint].out
     front.turn(1.0)
     assert silent.abandoned
     assert not front.engine.ledger.accounts
-    assert not any(m.out for m in front.engine.router.members.values())
+    assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
 def test_a_member_long_gone_is_forgotten_and_sessions_are_kept_only_where_they_are_needed():
     rig = Rig()
     answered_after(rig, "write", 60)
-    rig.end(rig.ask("write", session="s")[0], 0, 1, Result.OK, position=rig.now)
+    rig.end(rig.ask("write", session="s")[0], 0, 1, AttemptResult.OK, position=rig.now)
     assert not rig.router.groups[1].sessions
-    rig.feed(api.Members((listing(1, primary=True), listing(2)), complete=True))
+    rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(2)), complete=True))
     for _ in range(10):
         answered_after(rig, "write", 60)
         rig.run(6.0)
-    assert set(rig.router.members) == {1, 2, 3}, "it may come back"
+    assert set(rig.router.endpoints) == {1, 2, 3}, "it may come back"
     for _ in range(10):
         answered_after(rig, "write", 60)
         rig.run(6.0)
-    assert set(rig.router.members) == {1, 2} and len(rig.router.groups[1].order) == 2
+    assert set(rig.router.endpoints) == {1, 2} and len(rig.router.groups[1].order) == 2
     answered_after(rig, "any", 20)
 
 
 def test_sessions_are_bounded_where_a_member_never_tells_and_those_let_go_still_see_their_writes():
-    rig = Rig(replace(SETTINGS, marks=api.Marks.REMEMBERED, probes=False))
+    rig = Rig(replace(SETTINGS, marks=api.SessionTracking.BY_PROXY, probes=False))
     begun = rig.now
     for number in range(3 * SESSIONS):
-        rig.end(rig.ask("write", session=f"s{number}")[0], 0, 1, Result.OK, primary=True, position=rig.now)
+        rig.end(
+            rig.ask("write", session=f"s{number}")[0], 0, 1, AttemptResult.OK, primary=True, position=rig.now
+        )
         rig.run(0.002)
     rig.run(6.0)
     rig.feed()
     group = rig.router.groups[1]
     assert SESSIONS / 4 < len(group.sessions) <= SESSIONS and "s0" not in group.sessions
     assert f"s{number}" in group.sessions
-    rig.router.members[1].limit = 0.5  # no room for reads
-    rig.feed(api.Probed(2, Result.OK, 0.001, api.Report(begun, False)))
+    rig.router.endpoints[1].limit = 0.5  # no room for reads
+    rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(begun, False)))
     read, actions = rig.ask("session", session="s0")
     assert not sends(actions, read)
-    assert sends(rig.feed(api.Probed(2, Result.OK, 0.001, api.Report(rig.now - 0.1, False))), read) == [2]
+    assert sends(
+        rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(rig.now - 0.1, False))),
+        read,
+    ) == [2]
 
 
 def test_one_broken_connection_asks_the_member_and_three_in_a_row_show_it_down():
     rig = Rig()
     answered_after(rig, "write", 60)
     first = rig.ask("write")[0]
-    actions = rig.end(first, 0, 1, Result.RESET)
-    assert api.Probe(1) in actions and not rig.router.members[1].suspect
+    actions = rig.end(first, 0, 1, AttemptResult.RESET)
+    assert api.CheckHealth(1) in actions and not rig.router.endpoints[1].suspect
     assert sends(rig.log, first) == [1, 1], "it may be repeated, and the member is there"
-    rig.end(first, 1, 1, Result.RESET)
-    rig.end(first, 2, 1, Result.RESET)
-    assert rig.router.members[1].suspect == "down"
+    rig.end(first, 1, 1, AttemptResult.RESET)
+    rig.end(first, 2, 1, AttemptResult.RESET)
+    assert rig.router.endpoints[1].suspect == "down"
 
 
 def test_an_answer_between_two_breaks_starts_the_count_anew():
     rig = Rig()
     answered_after(rig, "write", 60)
     for _ in range(6):
-        rig.end(rig.ask("write")[0], 0, 1, Result.CONNECT_FAILED)
+        rig.end(rig.ask("write")[0], 0, 1, AttemptResult.CONNECT_FAILED)
         answered_after(rig, "write", 12)
-        assert not rig.router.members[1].suspect
+        assert not rig.router.endpoints[1].suspect
 
 
 def test_a_process_that_does_not_run_is_known_by_its_probes():
     rig = Rig()
     answered_after(rig, "write", 60)
-    rig.end(rig.ask("unsafe")[0], 0, 1, Result.RESET)
+    rig.end(rig.ask("unsafe")[0], 0, 1, AttemptResult.RESET)
     probes = 0
-    while not rig.router.members[1].suspect and probes < 5:
+    while not rig.router.endpoints[1].suspect and probes < 5:
         probes += 1
-        rig.feed(api.Probed(1, Result.CONNECT_FAILED, 0.001))
-    assert rig.router.members[1].suspect == "down" and probes == 2
+        rig.feed(api.HealthCheckFinished(1, AttemptResult.CONNECT_FAILED, 0.001))
+    assert rig.router.endpoints[1].suspect == "down" and probes == 2
 
 
 def test_one_connection_that_does_not_come_about_is_no_full_table_and_several_are():
     rig = Rig()
     answered_after(rig, "write", 60)
     held = [rig.ask("unsafe")[0] for _ in range(4)]
-    before = rig.router.members[1].limit
-    rig.end(held[0], 0, 1, Result.CONNECT_FAILED)
-    assert rig.router.members[1].limit == before
-    rig.end(held[1], 0, 1, Result.CONNECT_FAILED)
-    assert rig.router.members[1].limit < before / 2
+    before = rig.router.endpoints[1].limit
+    rig.end(held[0], 0, 1, AttemptResult.CONNECT_FAILED)
+    assert rig.router.endpoints[1].limit == before
+    rig.end(held[1], 0, 1, AttemptResult.CONNECT_FAILED)
+    assert rig.router.endpoints[1].limit < before / 2
 
 
 def test_requests_that_were_overtaken_do_not_make_their_member_silent():
-    rig = Rig(members=(listing(1, primary=True), listing(2), listing(3)))
+    rig = Rig(endpoints=(entry(1, primary=True), entry(2), entry(3)))
     answered_after(rig, "write", 60)
     for _ in range(5):
         hang(rig, "unsafe")
@@ -178,14 +187,14 @@
         answered_after(rig, "write", 2)
         answered_after(rig, "any", 4)
         rig.run(0.045)  # well under what one request may wait, more than five may
-        assert not rig.router.members[1].suspect
-    assert len(rig.router.members[1].lost) == 5
+        assert not rig.router.endpoints[1].suspect
+    assert len(rig.router.endpoints[1].lost) == 5
 
 
 def test_a_lost_read_is_sent_again_to_its_member_where_no_other_may_serve_it():
-    rig = Rig(members=(listing(1, primary=True), listing(2)))
-    rig.router.distrust(rig.router.members[1], "down")
-    rig.router.members[1].rest_until = rig.now + 1e6
+    rig = Rig(endpoints=(entry(1, primary=True), entry(2)))
+    rig.router.distrust(rig.router.endpoints[1], "down")
+    rig.router.endpoints[1].rest_until = rig.now + 1e6
     rig.router.random.random = lambda: 0.5  # no exploration
     answered_after(rig, "any", 60)
     request, actions = rig.ask("any", ttl=0.6)
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Checks, Marks, Result, State
-from tests.support.router_harness import SETTINGS, Rig, finals, listing, placed, sends
+from sedgepitch.routing.messages import AttemptResult, EndpointState, SessionTracking, StaleReadHandling
+from tests.support.router_harness import SETTINGS, Rig, entry, finals, placed, sends
 
 # Rule 1: one final answer, in time
 
@@ -21,11 +21,11 @@
     assert sends(actions) == [1]
     rig.run(0.5)
     assert finals(rig.log, request) == []
-    assert finals(rig.end(request, 0, 1, Result.TIMEOUT), request) == [api.Fail(request)]
+    assert finals(rig.end(request, 0, 1, AttemptResult.TIMEOUT), request) == [api.Fail(request)]
 
 
 def test_held_request_is_answered_before_its_deadline():
-    rig = Rig(members=(listing(2, state=State.DRAINING),))
+    rig = Rig(endpoints=(entry(2, state=EndpointState.DRAINING),))
     request, actions = rig.ask("write", ttl=0.5)
     assert sends(actions) == []
     actions = rig.run(0.5)
@@ -33,7 +33,7 @@
 
 
 def test_client_with_less_time_than_a_beat_is_answered_on_arrival():
-    rig = Rig(members=(listing(2, state=State.DRAINING),))
+    rig = Rig(endpoints=(entry(2, state=EndpointState.DRAINING),))
     request, actions = rig.ask("bounded", ttl=0.004)
     assert len(finals(actions, request)) == 1
 
@@ -41,27 +41,41 @@
 def test_nothing_follows_a_final_answer():
     rig = Rig()
     request, _ = rig.ask("any")
-    member = sends(rig.log, request)[0]
-    rig.feed(api.ClientGone(request))
-    actions = rig.end(request, 0, member, Result.ERROR, final=True) + rig.run(2.0)
+    endpoint = sends(rig.log, request)[0]
+    rig.feed(api.ClientDisconnected(request))
+    actions = rig.end(request, 0, endpoint, AttemptResult.ERROR, final=True) + rig.run(2.0)
     assert sends(actions, request) == [] and finals(actions, request) == []
 
 
 # Rule 2: no effect twice
 
 
-@pytest.mark.parametrize("result", [Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.MISS])
+@pytest.mark.parametrize(
+    "result",
+    [
+        AttemptResult.OVERLOADED,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.NOT_SENT,
+        AttemptResult.NOT_ELIGIBLE,
+    ],
+)
 def test_unsafe_request_may_be_refused_when_it_never_ran(result):
     rig = Rig()
     request, _ = rig.ask("unsafe", ttl=1.5)
-    rig.feed(api.Members(tuple(listing(m, state=State.DRAINING) for m in (1, 2, 3)), complete=True))
+    rig.feed(
+        api.EndpointListUpdate(
+            tuple(entry(m, state=EndpointState.DRAINING) for m in (1, 2, 3)), complete=True
+        )
+    )
     rig.end(request, 0, 1, result)
     rig.run(1.5)
     answers = finals(rig.log, request)
-    assert answers and isinstance(answers[0], api.Refuse)
+    assert answers and isinstance(answers[0], api.Reject)
 
 
-@pytest.mark.parametrize("result", [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED])
+@pytest.mark.parametrize(
+    "result", [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
+)
 def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(result):
     rig = Rig()
     request, _ = rig.ask("unsafe", ttl=1.5)
@@ -76,7 +90,7 @@
         rig = Rig()
         request, _ = rig.ask("write", ttl=1.9)
         rig.run(wait)
-        rig.end(request, 0, 1, Result.ERROR)
+        rig.end(request, 0, 1, AttemptResult.ERROR)
         assert sends(rig.log, request) == again
         rig.run(1.5)
         if again == [1]:
@@ -84,15 +98,15 @@
 
 
 def test_keyed_request_that_may_have_run_is_refused_only_where_every_member_drops_repeats():
-    for name, kind in (("write", api.Fail), ("wide", api.Refuse)):
+    for name, kind in (("write", api.Fail), ("wide", api.Reject)):
         rig = Rig()
         request, _ = rig.ask(name, ttl=0.5)
         rig.run(0.5)
-        assert [type(a) for a in finals(rig.end(request, 0, 1, Result.TIMEOUT), request)] == [kind]
+        assert [type(a) for a in finals(rig.end(request, 0, 1, AttemptResult.TIMEOUT), request)] == [kind]
 
 
 def test_no_second_copy_where_the_site_forbids_it():
-    rig = Rig(replace(SETTINGS, second_copies=False))
+    rig = Rig(replace(SETTINGS, hedging=False))
     request, _ = rig.ask("any", ttl=0.9)
     rig.run(0.8)
     assert len(sends(rig.log, request)) == 1
@@ -101,10 +115,10 @@
 # Rule 3: drains
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_nothing_new_goes_to_a_member_told_draining_or_gone(state):
     rig = Rig()
-    rig.feed(api.Members((listing(2, state=state),), complete=False))
+    rig.feed(api.EndpointListUpdate((entry(2, state=state),), complete=False))
     for _ in range(60):
         rig.ask("any")
         rig.run(0.02)
@@ -113,7 +127,7 @@
 
 def test_a_complete_list_that_omits_a_member_removes_it():
     rig = Rig()
-    rig.feed(api.Members((listing(1, primary=True), listing(3)), complete=True))
+    rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(3)), complete=True))
     for _ in range(40):
         rig.ask("any")
         rig.run(0.02)
@@ -125,8 +139,8 @@
     # Incident ie07cc6: a trial by copy went to a suspect that the list had removed meanwhile.
     rig = Rig()
     request, _ = rig.ask("write", ttl=1.9)
-    rig.router.distrust(rig.router.members[3], "silent")
-    rig.feed(api.Members((listing(3, state=State.GONE),), complete=False))
+    rig.router.distrust(rig.router.endpoints[3], "silent")
+    rig.feed(api.EndpointListUpdate((entry(3, state=EndpointState.GONE),), complete=False))
     rig.run(0.8)
     if how == "stuck write":
         rig.heard(3, 0.0, primary=True)
@@ -142,23 +156,23 @@
     """Answered reads and writes at an even rate."""
     for _ in range(int(seconds * rate)):
         request, actions = rig.ask("write" if rig.ids % 5 == 0 else "any")
-        for member in sends(actions, request):
-            rig.end(request, 0, member, Result.OK, primary=member == 1)
+        for endpoint in sends(actions, request):
+            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
         rig.run(1.0 / rate)
 
 
-def share_in(rig: Rig, member: int, seconds: float) -> float:
+def share_in(rig: Rig, endpoint: int, seconds: float) -> float:
     """The share of the sends of the next seconds that one member gets."""
     start = len(rig.log)
     steady(rig, seconds)
     got = sends(rig.log[start:])
-    return got.count(member) / len(got)
+    return got.count(endpoint) / len(got)
 
 
 def test_a_cold_member_is_ramped_against_its_warm_peers():
     rig = Rig()
     steady(rig, 5.0)
-    rig.feed(api.Members((listing(3, started=rig.now),), complete=False))
+    rig.feed(api.EndpointListUpdate((entry(3, started=rig.now),), complete=False))
     first = share_in(rig, 3, 1.0)
     rig.run(0.0)
     steady(rig, 12.0)
@@ -169,8 +183,8 @@
     # Each driver's floor would be multiplied by the drivers: 400 of them must send a share, not one each.
     sent = 0
     for seed in range(400):
-        started = tuple(listing(m, started=99.9, primary=m == 1) for m in (1, 2, 3))
-        rig = Rig(members=started, seed=seed)
+        started = tuple(entry(m, started=99.9, primary=m == 1) for m in (1, 2, 3))
+        rig = Rig(endpoints=started, seed=seed)
         rig.ask("any", ttl=0.3)
         sent += len(sends(rig.log))
     assert 0 < sent < 0.5 * 400
@@ -181,12 +195,16 @@
     sent = 0
     for seed in range(400):
         rig = Rig(seed=seed)
-        rig.feed(api.Members((listing(1, state=State.GONE), listing(2, started=rig.now)), complete=False))
+        rig.feed(
+            api.EndpointListUpdate(
+                (entry(1, state=EndpointState.GONE), entry(2, started=rig.now)), complete=False
+            )
+        )
         rig.heard(2, 0.0, primary=True)
         rig.ask("write", ttl=0.3)
         rig.run(0.2)
         sent += sends(rig.log).count(2)
-    factor = SETTINGS.rules.overload_factor * SETTINGS.rules.start_capacity
+    factor = SETTINGS.rules.overload_factor * SETTINGS.rules.initial_capacity
     assert 0 < sent < factor * 400
 
 
@@ -217,17 +235,17 @@
 def test_session_read_carried_needs_its_write():
     rig = Rig()
     rig.heard(2, 0.2)
-    for age, member in ((0.3, 2), (0.1, 1), (0.2, 1)):
-        rig.router.members[3].probing = True
+    for age, endpoint in ((0.3, 2), (0.1, 1), (0.2, 1)):
+        rig.router.endpoints[3].probing = True
         request, used = placed(rig, "session", session_age=age)
-        assert used == [member]
-        rig.end(request, 0, member, Result.OK, primary=member == 1)
+        assert used == [endpoint]
+        rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
 
 
 def test_session_read_remembered_needs_the_writes_seen_here():
-    rig = Rig(replace(SETTINGS, marks=Marks.REMEMBERED))
+    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY))
     request, _ = rig.ask("write", session="s")
-    rig.end(request, 0, 1, Result.OK, primary=True, position=rig.now)
+    rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     read, used = placed(rig, "session", session="s")
     assert used == [1]
     rig.run(0.1)
@@ -242,69 +260,74 @@
     rig = Rig()
     request, actions = rig.ask("fresh")
     assert sends(actions) == [1]
-    rig.end(request, 0, 1, Result.OK, primary=False)
+    rig.end(request, 0, 1, AttemptResult.OK, primary=False)
     request, actions = rig.ask("fresh")
     assert sends(actions, request) == []
 
 
-@pytest.mark.parametrize("checks", [Checks.BOUNCE, Checks.AWAIT])
+@pytest.mark.parametrize("checks", [StaleReadHandling.REJECT, StaleReadHandling.WAIT])
 def test_where_members_check_the_most_advanced_is_tried(checks):
     rig = Rig(replace(SETTINGS, checks=checks))
     rig.heard(2, 2.0)
     rig.heard(3, 0.9)
     request, actions = rig.ask("session", session_age=0.1)
     assert sends(actions, request) == [3]
-    assert sends(rig.end(request, 0, 3, Result.MISS, primary=False), request) == [2]
+    assert sends(rig.end(request, 0, 3, AttemptResult.NOT_ELIGIBLE, primary=False), request) == [2]
 
 
 def test_a_commit_and_a_position_in_the_same_millisecond_do_not_count_as_reached():
     # Incident i85c1e8: both are rounded to milliseconds, so equal figures do not prove the order.
-    rig = Rig(replace(SETTINGS, marks=Marks.REMEMBERED))
+    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY))
     request, _ = rig.ask("write", session="s")
-    rig.end(request, 0, 1, Result.OK, primary=True, position=rig.now)
+    rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     rig.heard(2, 0.0)
     read, used = placed(rig, "session", session="s")
     assert used == [1]
 
 
 def test_a_write_that_commits_after_its_client_left_still_binds_its_session():
-    rig = Rig(replace(SETTINGS, marks=Marks.REMEMBERED))
+    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY))
     rig.heard(2, 0.1)
     request, _ = rig.ask("write", session="s")
-    rig.feed(api.ClientGone(request))
-    rig.end(request, 0, 1, Result.OK, primary=True, position=rig.now)
+    rig.feed(api.ClientDisconnected(request))
+    rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     read, used = placed(rig, "session", session="s")
     assert used == [1]
 
 
 def test_a_late_list_is_no_reason_to_read_from_a_member_that_said_it_is_a_replica():
     # Incident ie80671: a demoted primary answered as a replica; the late list then named it primary.
-    rig = Rig(members=(listing(1), listing(2), listing(3)))
+    rig = Rig(endpoints=(entry(1), entry(2), entry(3)))
     rig.heard(2, 0.0, primary=False)
-    rig.feed(api.Members((listing(2, primary=True),), complete=False))
+    rig.feed(api.EndpointListUpdate((entry(2, primary=True),), complete=False))
     rig.run(3.0)
     request, actions = rig.ask("fresh")
     assert sends(actions, request) == []
     write, actions = rig.ask("write")
     assert sends(actions, write) == [2]
-    rig.end(write, 0, 2, Result.OK, primary=True)
+    rig.end(write, 0, 2, AttemptResult.OK, primary=True)
     request, actions = rig.ask("fresh")
     assert sends(actions, request) == [2]
 
 
-LOST = [Result.RESET, Result.TIMEOUT, Result.ERROR]
-NEVER = [Result.FULL, Result.MISS, Result.NOT_SENT, Result.CONNECT_FAILED]
+LOST = [AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.ERROR]
+NEVER = [
+    AttemptResult.OVERLOADED,
+    AttemptResult.NOT_ELIGIBLE,
+    AttemptResult.NOT_SENT,
+    AttemptResult.CONNECT_FAILED,
+]
 
 
 @pytest.mark.parametrize("result", [*LOST, *NEVER])
 def test_what_a_session_wrote_binds_its_reads_though_the_answer_was_lost(result):
     """Marks are remembered here: until now while it is out, until its end where it may have run, else not."""
-    rig = Rig(replace(SETTINGS, marks=Marks.REMEMBERED, probes=False, most_attempts=1))
-    for member in (2, 3):
-        rig.heard(member, 0.0)
+    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY, probes=False, max_attempts=1))
+    for endpoint in (2, 3):
+        rig.heard(endpoint, 0.0)
     write, actions = rig.ask("write", session="s")
     assert sends(actions, write) == [1]
-    rig.router.members[1].limit = 0.5  # room for what it alone serves: what no replica may serve waits
+    rig.router.endpoints[1].limit = 0.5  # room for what it alone serves: what no replica may serve waits
     rig.run(0.05)
     early, actions = rig.ask("session", session="s")
     assert sends(actions, early) == []
@@ -321,9 +344,9 @@
         assert sends(rig.feed(report_of(2, rig.now)), late) == [2]
 
 
-def report_of(member: int, position: float) -> api.Probed:
+def report_of(endpoint: int, position: float) -> api.HealthCheckFinished:
     """A probe's answer that tells how far a replica is."""
-    return api.Probed(member, Result.OK, 0.001, api.Report(position, False))
+    return api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, api.LoadReport(position, False))
 
 
 SESSION_EVENTS = "write read commits ends lost never report pass list".split()
@@ -333,18 +356,18 @@
 @given(SESSION_STEPS, st.integers(0, 2**16))
 def test_in_every_order_a_replica_that_a_session_s_read_is_sent_to_holds_all_that_it_wrote(steps, seed):
     """Commits fall anywhere between a write's send and its end, told or lost; positions only from reports."""
-    rig = Rig(replace(SETTINGS, marks=Marks.REMEMBERED, second_copies=bool(seed % 2)), seed=seed)
+    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY, hedging=bool(seed % 2)), seed=seed)
     names, attempts, out, committed = {}, {}, [], {"s": -1.0, "t": -1.0}
-    held = {member: rig.now for member in (1, 2, 3)}  # where each is in truth; the primary at the present
+    held = {endpoint: rig.now for endpoint in (1, 2, 3)}  # where each is in truth; the primary at the present
 
     def take(actions) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.SendAttempt):
                 number = attempts[action.request] = attempts.get(action.request, -1) + 1
                 kind, session = names[action.request]
-                out.append([action.request, number, action.member, 0.0])
-                if kind == "session" and action.member != 1:
-                    assert held[action.member] > committed[session]
+                out.append([action.request, number, action.endpoint, 0.0])
+                if kind == "session" and action.endpoint != 1:
+                    assert held[action.endpoint] > committed[session]
 
     for what, which in steps:
         rig.now += 0.001
@@ -362,41 +385,43 @@
             if (what == "never" and picked[3]) or (what == "ends" and not ran):
                 continue
             out.remove(picked)
-            lost = [Result.RESET, Result.TIMEOUT, Result.ERROR][which % 3]
-            never = [Result.NOT_SENT, Result.CONNECT_FAILED, Result.FULL][which % 3]
-            result = {"ends": Result.OK, "lost": lost, "never": never}[what]
-            fields = {"primary": picked[2] == 1} if result is Result.OK else {}
+            lost = [AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.ERROR][which % 3]
+            never = [AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED, AttemptResult.OVERLOADED][
+                which % 3
+            ]
+            result = {"ends": AttemptResult.OK, "lost": lost, "never": never}[what]
+            fields = {"primary": picked[2] == 1} if result is AttemptResult.OK else {}
             position = picked[3] or held[picked[2]]
-            told = {"position": position} if result is Result.OK else {}
+            told = {"position": position} if result is AttemptResult.OK else {}
             take(rig.end(picked[0], picked[1], picked[2], result, **fields, **told))
         elif what == "report":
-            member = 2 + which % 2
-            held[member] = max(held[member], rig.now - 0.02 * (which // 2))
-            take(rig.feed(report_of(member, held[member])))
+            endpoint = 2 + which % 2
+            held[endpoint] = max(held[endpoint], rig.now - 0.02 * (which // 2))
+            take(rig.feed(report_of(endpoint, held[endpoint])))
         elif what == "pass":
             take(rig.run(0.05 * which))
         elif what == "list":
-            take(rig.feed(api.Members((listing(2 + which % 2),), complete=False)))
+            take(rig.feed(api.EndpointListUpdate((entry(2 + which % 2),), complete=False)))
 
 
 @pytest.mark.parametrize("how", ["tried again", "waiting", "copied"])
 def test_a_session_read_sees_what_its_session_wrote_before_each_send(how):
     """Marks are remembered here: a write of the session is answered before the read is sent."""
-    rig = Rig(replace(SETTINGS, marks=Marks.REMEMBERED, probes=False, second_copies=True))
-    for member in (2, 3):
-        rig.heard(member, 0.0)
+    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY, probes=False, hedging=True))
+    for endpoint in (2, 3):
+        rig.heard(endpoint, 0.0)
     write, _ = rig.ask("write", session="s", ttl=1.9)
     if how == "waiting":
-        for member in rig.router.members.values():
-            member.limit = 0.0
+        for endpoint in rig.router.endpoints.values():
+            endpoint.limit = 0.0
     read, actions = rig.ask("session", session="s")
     assert bool(sends(actions, read)) is (how != "waiting")
     rig.now += 0.01
-    for member in (2, 3):
-        rig.router.members[member].limit = 4.0
-    rig.end(write, 0, 1, Result.OK, primary=True, position=rig.now)
+    for endpoint in (2, 3):
+        rig.router.endpoints[endpoint].limit = 4.0
+    rig.end(write, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     if how == "tried again":
-        rig.end(read, 0, sends(actions, read)[0], Result.CONNECT_FAILED)
+        rig.end(read, 0, sends(actions, read)[0], AttemptResult.CONNECT_FAILED)
     elif how == "copied":
         rig.router.hedge(rig.router.requests[read])
     rig.run(0.02)
--- a/tests/test_router_zone_weights.py
+++ b/tests/test_router_zone_weights.py
@@ -5,23 +5,23 @@
 import pytest
 
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import Result
-from tests.support.router_harness import Rig, listing, placed, sends
+from sedgepitch.routing.messages import AttemptResult
+from tests.support.router_harness import Rig, entry, placed, sends
 
 MEMBERS = (
-    listing(1, primary=True, zone="a"),
-    listing(2, zone="a"),
-    listing(3, zone="b"),
-    listing(4, zone="b"),
+    entry(1, primary=True, zone="a"),
+    entry(2, zone="a"),
+    entry(3, zone="b"),
+    entry(4, zone="b"),
 )
 
 
 def rig(**shares: float) -> Rig:
-    held = Rig(members=MEMBERS)
-    for member in (1, 2, 3, 4):
-        held.heard(member, 0.0, primary=member == 1)
+    held = Rig(endpoints=MEMBERS)
+    for endpoint in (1, 2, 3, 4):
+        held.heard(endpoint, 0.0, primary=endpoint == 1)
     if shares:
-        held.feed(api.ZoneShares(tuple(sorted(shares.items()))))
+        held.feed(api.ZoneWeights(tuple(sorted(shares.items()))))
     return held
 
 
@@ -29,12 +29,12 @@
     """Who was sent how many of these, each answered before the next."""
     got: dict[int, int] = {}
     for _ in range(count):
-        for member in (1, 2, 3, 4):
-            held.heard(member, 0.0, primary=member == 1)
-        request, members = placed(held, name, **fields)
-        for attempt, member in enumerate(members):
-            got[member] = got.get(member, 0) + 1
-            held.end(request, attempt, member, Result.OK, position=held.now)
+        for endpoint in (1, 2, 3, 4):
+            held.heard(endpoint, 0.0, primary=endpoint == 1)
+        request, endpoints = placed(held, name, **fields)
+        for attempt, endpoint in enumerate(endpoints):
+            got[endpoint] = got.get(endpoint, 0) + 1
+            held.end(request, attempt, endpoint, AttemptResult.OK, position=held.now)
     return got
 
 
@@ -59,7 +59,7 @@
 
 def test_a_session_read_may_go_to_a_primary_in_a_zone_that_is_left():
     held = rig(a=0.0, b=0.0)
-    held.feed(api.Members(MEMBERS[:1], complete=True))
+    held.feed(api.EndpointListUpdate(MEMBERS[:1], complete=True))
     assert set(read(held, "session", 20, session="s", session_age=0.1)) <= {1}
 
 
@@ -73,25 +73,25 @@
 def test_a_share_makes_no_suspect_trusted_and_no_trial_goes_to_a_zone_that_is_left():
     held = rig()
     for _ in range(120):
-        request, members = placed(held, "any")
-        for at, member in enumerate(members):
-            if member in (3, 4):
-                held.end(request, at, member, Result.RESET)
+        request, endpoints = placed(held, "any")
+        for at, endpoint in enumerate(endpoints):
+            if endpoint in (3, 4):
+                held.end(request, at, endpoint, AttemptResult.RESET)
             else:
-                held.end(request, at, member, Result.OK, position=held.now)
+                held.end(request, at, endpoint, AttemptResult.OK, position=held.now)
     held.run(1.0)
-    suspects = {m.id for m in held.router.members.values() if m.suspect}
+    suspects = {m.id for m in held.router.endpoints.values() if m.suspect}
     assert suspects == {3, 4}
-    held.feed(api.ZoneShares((("b", 0.0),)))
+    held.feed(api.ZoneWeights((("b", 0.0),)))
     mark = len(held.log)
     for _ in range(100):
-        request, members = placed(held, "any")
-        for at, member in enumerate(members):
-            held.end(request, at, member, Result.OK, position=held.now)
+        request, endpoints = placed(held, "any")
+        for at, endpoint in enumerate(endpoints):
+            held.end(request, at, endpoint, AttemptResult.OK, position=held.now)
         held.run(0.05)
     later = held.log[mark:]
     assert not {3, 4} & set(sends(later))
-    assert not [a for a in later if isinstance(a, api.Probe) and a.member in (3, 4)]
-    held.feed(api.ZoneShares((("b", 0.5),)))  # what may be used again may be tried at once
-    assert all(held.router.members[m].rest_until <= held.now for m in (3, 4))
-    assert {m.id for m in held.router.members.values() if m.suspect} == {3, 4}
+    assert not [a for a in later if isinstance(a, api.CheckHealth) and a.endpoint in (3, 4)]
+    held.feed(api.ZoneWeights((("b", 0.5),)))  # what may be used again may be tried at once
+    assert all(held.router.endpoints[m].rest_until <= held.now for m in (3, 4))
+    assert {m.id for m in held.router.endpoints.values() if m.suspect} == {3, 4}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -67,7 +67,7 @@
 
 
 def primary_of(stage) -> int | None:
-    return next((m["id"] for m in stage.members() if m["primary"] and m["alive"]), None)
+    return next((m["id"] for m in stage.endpoints() if m["primary"] and m["alive"]), None)
 
 
 def insert(held, rid: str, number: int = 1, **fields) -> dict:
@@ -102,8 +102,8 @@
     with pymongo.MongoClient(host, port) as client, client.start_session() as session:
         rows = client.sky.own
         rows.insert_one({"_id": 0, "v": 0}, session=session)
-        for member in range(2, 7):
-            rough.fault("lag", member=member, factor=100000)
+        for endpoint in range(2, 7):
+            rough.fault("lag", endpoint=endpoint, factor=100000)
         seen = 0
         for n in range(1, 30):
             rows.update_one({"_id": 0}, {"$set": {"v": n}}, session=session)
@@ -120,7 +120,7 @@
     rough.fault("slow", factor=100)
     with connect(rough) as held:
         held.sendall(command(1, insert="log", documents=[{"_id": 1}], comment={"rid": "left"}))
-        wait_for(lambda: sum(m["connections"] for m in rough.members()) > 0, "the write was never sent on")
+        wait_for(lambda: sum(m["connections"] for m in rough.endpoints()) > 0, "the write was never sent on")
     with connect(rough) as held:
         assert insert(held, "after", maxTimeMS=2000)["ok"] == 1
     assert [r["rid"] for r in records(rough, "commit")] == ["left", "after"]
@@ -184,8 +184,8 @@
 def test_members_that_answer_wrongly_lose_the_connection_and_no_request(rough, trouble):
     rough.driver("one")
     with connect(rough) as held:
-        for member in range(1, 7):
-            rough.fault(trouble, member=member, when="read", count=2)
+        for endpoint in range(1, 7):
+            rough.fault(trouble, endpoint=endpoint, when="read", count=2)
         for n in range(30):
             answer = ask(held, n + 1, find="log", comment="history-read")
             assert answer["ok"] == 1 or "NoWritesPerformed" in answer["errorLabels"]
@@ -202,7 +202,7 @@
         answer = ask(held, 2, find="rows", batchSize=10, readConcern={"level": "linearizable"})
         number = answer["cursor"]["id"]
         assert ask(held, 3, getMore=number, collection="rows", batchSize=5)["cursor"]["id"] == number
-        rough.fault("crash", member="primary")
+        rough.fault("crash", endpoint="primary")
         assert ask(held, 4, getMore=number, collection="rows")["code"] == 43
         assert ask(held, 5, getMore=number, collection="rows")["code"] == 43
 
@@ -225,7 +225,7 @@
     rough.fault("slow", factor=60)
     with connect(rough) as held:
         held.sendall(command(1, insert="log", documents=[{"_id": 1}], comment={"rid": "owed"}))
-        wait_for(lambda: sum(m["connections"] for m in rough.members()) > 0, "the write was never sent on")
+        wait_for(lambda: sum(m["connections"] for m in rough.endpoints()) > 0, "the write was never sent on")
         rough.drivers["one"].process.terminate()
         assert receive(held)["ok"] == 1
         assert rough.drivers["one"].process.wait(timeout=WITHIN) == 0
@@ -286,8 +286,8 @@
 
         def copied() -> bool:
             """Ask while some hang. No copy is made where they are over it before a read meets one."""
-            for member in range(2, 7):
-                rough.fault("hang", member=member, **{"for": 0.6 if member % 2 else 0.01})
+            for endpoint in range(2, 7):
+                rough.fault("hang", endpoint=endpoint, **{"for": 0.6 if endpoint % 2 else 0.01})
             for _ in range(60):
                 read()
             for _ in range(20):  # until they are trusted again
@@ -308,7 +308,7 @@
 
 def test_answers_about_the_moment_of_the_deadline_are_given_once(rough):
     rough.driver("one")
-    rough.fault("slow", member="primary", factor=20)  # some 10 to 20 ms a write
+    rough.fault("slow", endpoint="primary", factor=20)  # some 10 to 20 ms a write
     with connect(rough) as held:
         for n in range(1, 120):
             held.sendall(command(n, insert="log", documents=[{"_id": n}], maxTimeMS=20 + n % 20))
@@ -331,7 +331,7 @@
     rough.driver("one")
     with connect(rough) as held:
         assert insert(held, "first")["ok"] == 1
-        rough.fault("claim", member=3)
+        rough.fault("claim", endpoint=3)
         for n in range(2, 60):
             answer = insert(held, f"row {n}", n)
             assert answer["ok"] == 1 or "NoWritesPerformed" in answer["errorLabels"]
@@ -349,7 +349,7 @@
     with connect(rough, "near") as near, connect(rough, "far") as far:
         assert insert(near, "a")["ok"] == 1
         assert insert(far, "b", 1)["ok"] == 1
-        rough.fault("cut", member="primary", driver="far")
+        rough.fault("cut", endpoint="primary", driver="far")
         answer = insert(far, "c", 2, maxTimeMS=400)
         assert answer["ok"] == 0 and "errorLabels" not in answer
         assert insert(near, "d", 2)["ok"] == 1
@@ -359,8 +359,8 @@
 
 def test_a_member_that_refuses_connections_is_left_alone(rough):
     rough.driver("one")
-    for member in (2, 3, 4):
-        rough.fault("refuse", member=member)
+    for endpoint in (2, 3, 4):
+        rough.fault("refuse", endpoint=endpoint)
     with connect(rough) as held:
         served = sum(ask(held, n, find="log", comment="history-read")["ok"] for n in range(1, 60))
         assert served > 40
--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -142,7 +142,7 @@
     time.sleep(1.2)  # more is fine: its time is over by then
     resume(faulty)
     assert answer_of(client)[0] == "error"
-    assert not [text for member in faulty.members for text in member.statements]
+    assert not [text for endpoint in faulty.endpoints for text in endpoint.statements]
 
 
 def test_a_server_is_told_only_what_is_left_after_the_wait_in_the_backlog(faulty):
@@ -152,7 +152,7 @@
     time.sleep(1.0)  # more is fine: less is left then
     resume(faulty)
     assert answer_of(client) == value(1)
-    (statement,) = [text for member in faulty.members for text in member.statements]
+    (statement,) = [text for endpoint in faulty.endpoints for text in endpoint.statements]
     assert int(re.search(r",d=(\d+)", statement)[1]) <= 14_000 + 150
 
 
