--- a/benchmarks/beliefs.py
+++ b/benchmarks/beliefs.py
@@ -71,10 +71,10 @@
             continue
         member, at, what = members[line["member"]], line["at"], line["what"]
         member.until(at)
-        if what == "Send":
+        if what == "SendAttempt":
             member.believed += 1
             member.attempts += 1
-        elif what == "Finished":
+        elif what == "AttemptFinished":
             member.believed -= 1
             member.lost += line["result"] != "ok"
             if line["report"] and line["report"]["position"] is not None:
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -14,8 +14,8 @@
 
 from benchmarks.rig import Rig
 from sedgepitch.config.load import parse
-from sedgepitch.decisions.admission.controller import Door, DoorSettings
-from sedgepitch.decisions.admission.messages import Admit, Arrival
+from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
 from sedgepitch.structures.sketch import FadingSketch
@@ -90,17 +90,17 @@
 def door_call(clients: int, pressed: bool) -> tuple[float, float]:
     """An arrival, its send and its end, by so many clients; and a dictionary of deques alone."""
     count = 20_000
-    door = Door(DoorSettings(most_held=2000), 1, 0.0)
+    door = AdmissionController(AdmissionSettings(most_held=2000), 1, 0.0)
     if pressed:
         for n in range(8 + 1000):
-            door.arrive(Arrival(n, f"t{n % clients}", "c", "x", 1.0, 1e6, 0, False, str(n)), 0.0)
+            door.arrive(AdmissionRequest(n, f"t{n % clients}", "c", "x", 1.0, 1e6, 0, False, str(n)), 0.0)
 
     def call() -> None:
         open_ = deque(range(8)) if pressed else deque()
         for n in range(10_000, 10_000 + count):
             now = n * 1e-6
             name = f"t{n % clients}"
-            out = door.arrive(Arrival(n, name, "c", "x", 1.0, 1e6, 0, False, name), now)
+            out = door.arrive(AdmissionRequest(n, name, "c", "x", 1.0, 1e6, 0, False, name), now)
             open_ += [d.id for d in out if isinstance(d, Admit)]
             if open_:
                 number = open_.popleft()
@@ -135,11 +135,11 @@
     listings = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
     router.handle(10.0, [api.EndpointListUpdate(listings, complete=True)])
     router.members[1].limit = 0.0  # the primary has no room
-    gate = Door(DoorSettings(), 1, 10.0) if door else None
+    gate = AdmissionController(AdmissionSettings(), 1, 10.0) if door else None
     for n in range(pending):
         number = 1_000_000 + n
         if gate is not None:
-            arrival = Arrival(number, str(n % 50), str(n), "upload", 6.0, 2.0, 0, True, str(n))
+            arrival = AdmissionRequest(number, str(n % 50), str(n), "upload", 6.0, 2.0, 0, True, str(n))
             if not any(isinstance(d, Admit) for d in gate.arrive(arrival, 10.0)):
                 continue
         router.handle(10.0, [api.RequestReceived(number, "upload", 0, 2.0)])
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -17,17 +17,17 @@
 from sedgepitch.core.clock import ReactorClock
 from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.request_table import Account
-from sedgepitch.core.types import Answer, Verdict
-from sedgepitch.decisions.admission.controller import Door
+from sedgepitch.core.request_table import PendingRequest
+from sedgepitch.core.types import Response, ResponseStatus
+from sedgepitch.decisions.admission.controller import AdmissionController
 from sedgepitch.decisions.cursors import CursorTable
-from sedgepitch.discovery.control_socket import Addresses, ControlList
+from sedgepitch.discovery.control_socket import Addresses, ControlSocketClient
 from sedgepitch.net import listener
 from sedgepitch.observe import log
 from sedgepitch.observe.metrics import Metrics
 from sedgepitch.protocols.mongodb.client import ClientFactory, Context, close_at_members
 from sedgepitch.protocols.mongodb.commands import Request
-from sedgepitch.protocols.mongodb.upstream import MongoMembers
+from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
 
@@ -99,7 +99,7 @@
         self.metrics = Metrics()
         limits, driver = settings.limits, settings.driver
         seed = driver.seed if driver.seed is not None else random.SystemRandom().getrandbits(32)
-        self.endpoints = MongoMembers(
+        self.endpoints = MongoUpstream(
             reactor,
             self.clock,
             {m.id: m.address for m in settings.members if m.address[1]},
@@ -108,9 +108,9 @@
             limits.probe_within,
             mark_age=self._mark_age(),
         )
-        self.list: ControlList | None = None
+        self.list: ControlSocketClient | None = None
         if settings.follow is not None:
-            self.list = ControlList(
+            self.list = ControlSocketClient(
                 reactor,
                 self.clock,
                 settings.follow.control,
@@ -124,7 +124,9 @@
             self.endpoints,
             self.clock,
             max_in_flight=limits.in_flight,
-            door=Door(settings.door.build(), seed, self.clock.now()) if settings.door else None,
+            admission=AdmissionController(settings.door.build(), seed, self.clock.now())
+            if settings.door
+            else None,
             watch=self.list.watch if self.list else None,
             log=lambda text: self.log.info("module", text=text),
             observe=self._answered,
@@ -251,8 +253,8 @@
         )
 
     def _door_state(self) -> dict[str, Any]:
-        door = self.engine.door
-        return {} if door is None else door.state(self.clock.now())
+        admission = self.engine.admission
+        return {} if admission is None else admission.state(self.clock.now())
 
     def _say_ready(self) -> None:
         ready, self.ready = self.ready, None
@@ -272,7 +274,7 @@
         end = self.clock.now() + self.settings.limits.stop_within
 
         def look() -> None:
-            if self.engine.ledger.owed and self.clock.now() < end:
+            if self.engine.request_table.pending and self.clock.now() < end:
                 self.clock.call_later(0.02, look)
                 return
             if self.list is not None:
@@ -280,15 +282,15 @@
             for connection in list(self.context.connections):
                 connection.transport.loseConnection()
             self.endpoints.close()
-            self.log.info("stopped", owed=self.engine.ledger.owed, **self._delays())
+            self.log.info("stopped", pending=self.engine.request_table.pending, **self._delays())
             self.clock.call_later(0.05, done)
 
         look()
 
     def reload(self, settings: Settings) -> None:
         """Take what may change while running: the door's settings. What waits there is not lost."""
-        if self.engine.door is not None and settings.door is not None:
-            self.engine.door.reload(settings.door.build())
+        if self.engine.admission is not None and settings.door is not None:
+            self.engine.admission.reload(settings.door.build())
             self.log.info("reloaded", weights=settings.door.weights)
 
     def _listed(self, entries: tuple[api.EndpointEntry, ...], complete: bool, addresses: Addresses) -> None:
@@ -307,11 +309,11 @@
 
     def _delays(self) -> dict[str, float]:
         """How late this driver has been, for the log."""
-        engine, pace = self.engine, self.engine.pace
+        engine, event_loop_lag = self.engine, self.engine.event_loop_lag
         return {
-            "latest_ms": round(pace.peak * 1000.0, 1),
-            "mean_wait_ms": round(pace.sum / max(1, pace.waits) * 1000.0, 3),
-            "reserve_ms": round(pace.reserve(self.clock.now()) * 1000.0, 1),
+            "latest_ms": round(event_loop_lag.peak * 1000.0, 1),
+            "mean_wait_ms": round(event_loop_lag.sum / max(1, event_loop_lag.waits) * 1000.0, 3),
+            "reserve_ms": round(event_loop_lag.reserve(self.clock.now()) * 1000.0, 1),
             "too_slow": engine.too_slow,
             "too_many": engine.too_many,
             "hurried": engine.hurried,
@@ -331,10 +333,10 @@
     def _note(self, event: str, **fields: Any) -> None:
         self.log.info(event, **fields)
 
-    def _answered(self, account: Account, answer: Answer, elapsed: float) -> None:
+    def _answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
         self.metrics.answered(account, answer, elapsed)
         if (
-            answer.verdict is not Verdict.SERVED and not log.full()
+            answer.verdict is not ResponseStatus.SERVED and not log.full()
         ):  # under a flood, lines cost more than answers
             self.log.info(
                 answer.verdict.value,
--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
 from sedgepitch.config.units import Address, Bytes, Seconds
-from sedgepitch.decisions.admission.controller import DoorSettings
+from sedgepitch.decisions.admission.controller import AdmissionSettings
 from sedgepitch.decisions.request_classes import Classifier, Match, Rule, variants
 from sedgepitch.routing import messages as api
 
@@ -171,9 +171,11 @@
                 raise ValueError(f"weights: '{name}' must be above 0")
         return self
 
-    def build(self) -> DoorSettings:
+    def build(self) -> AdmissionSettings:
         """Return what the door is told."""
-        return DoorSettings(**{name: getattr(self, name) for name in DoorSettings.__dataclass_fields__})
+        return AdmissionSettings(
+            **{name: getattr(self, name) for name in AdmissionSettings.__dataclass_fields__}
+        )
 
 
 class PeersModel(Model):
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from sedgepitch.core.types import AttemptEnd, Clock, Ended
+from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock
 from sedgepitch.routing.messages import AttemptResult
 
 NEVER = float("inf")
@@ -83,7 +83,7 @@
 
     __slots__ = ("connection", "exchange", "give_up", "idle_since", "lingering", "pool", "timer")
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.connection: Connection | None = None
         self.exchange: _Exchange | None = None
@@ -130,7 +130,7 @@
         self.exchange = None
         self.pool.rest(self)
         if exchange is not None:
-            exchange.end(AttemptEnd(AttemptResult.NOT_SENT, why="the connection came too late"))
+            exchange.end(AttemptOutcome(AttemptResult.NOT_SENT, why="the connection came too late"))
 
     def begin(self) -> None:
         """Send the exchange's payload."""
@@ -157,7 +157,7 @@
         if give_up is not None:
             give_up()
         if exchange is not None:
-            exchange.end(AttemptEnd(AttemptResult.NOT_SENT, why=why))
+            exchange.end(AttemptOutcome(AttemptResult.NOT_SENT, why=why))
 
     def failed(self, why: str) -> None:
         """No connection came about."""
@@ -165,7 +165,7 @@
         exchange, self.exchange = self.exchange, None
         self.pool.drop(self)
         if exchange is not None:
-            exchange.end(AttemptEnd(AttemptResult.CONNECT_FAILED, why=why))
+            exchange.end(AttemptOutcome(AttemptResult.CONNECT_FAILED, why=why))
 
     def lost(self, why: str) -> None:
         """The connection ended by the other side, or by ours."""
@@ -175,7 +175,9 @@
         if exchange is not None and not self.lingering:
             # What stands in this process has not left: no member can have read the request whole.
             unsent = self.connection is not None and self.connection.unsent() > 0
-            exchange.end(AttemptEnd(AttemptResult.CONNECT_FAILED if unsent else AttemptResult.RESET, why=why))
+            exchange.end(
+                AttemptOutcome(AttemptResult.CONNECT_FAILED if unsent else AttemptResult.RESET, why=why)
+            )
 
     def linger(self) -> None:
         """Nobody waits any more: wait a little for the answer, then close."""
@@ -197,12 +199,12 @@
 
     __slots__ = ("by", "lane", "on_end", "payload", "sent", "sent_at")
 
-    def __init__(self, payload: Any, on_end: Ended, now: float, by: float) -> None:
+    def __init__(self, payload: Any, on_end: AttemptCallback, now: float, by: float) -> None:
         self.payload, self.sent, self.sent_at, self.by = payload, False, now, by
-        self.on_end: Ended | None = on_end
+        self.on_end: AttemptCallback | None = on_end
         self.lane: _Lane | None = None
 
-    def end(self, how: AttemptEnd) -> None:
+    def end(self, how: AttemptOutcome) -> None:
         """Tell the end, once."""
         on_end, self.on_end = self.on_end, None
         if on_end is not None:
@@ -235,14 +237,14 @@
         return False
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one member. `judge` turns a reply into an end; it belongs to the front."""
 
     def __init__(
         self,
         clock: Clock,
         connector: Connector,
-        judge: Callable[[_Exchange, Any], AttemptEnd],
+        judge: Callable[[_Exchange, Any], AttemptOutcome],
         limits: PoolLimits,
         room: Room | None = None,
     ) -> None:
@@ -252,7 +254,7 @@
         self.idle: list[_Lane] = []  # least lately used first
         self.closed = False
 
-    def send(self, payload: Any, on_end: Ended, by: float = NEVER) -> _Exchange:
+    def send(self, payload: Any, on_end: AttemptCallback, by: float = NEVER) -> _Exchange:
         """Start an exchange; its end is never told before this returns. What cannot leave `by` then ends.
 
         That end is `Result.NOT_SENT`.
@@ -260,7 +262,7 @@
         now = self.clock.now()
         exchange = _Exchange(payload, on_end, now, by)
         if now > by:
-            self.clock.soon(exchange.end, AttemptEnd(AttemptResult.NOT_SENT, why="decided too long ago"))
+            self.clock.soon(exchange.end, AttemptOutcome(AttemptResult.NOT_SENT, why="decided too long ago"))
             return exchange
         lane = self._idle_lane(now)
         if lane is not None:
@@ -271,10 +273,10 @@
         if opening is not None:  # one is being opened that nobody waits for any more
             self._hand(opening, exchange)
         elif len(self.lanes) >= self.limits.most or self.closed:
-            end = AttemptEnd(AttemptResult.CONNECT_FAILED, why="all connections to the member are in use")
+            end = AttemptOutcome(AttemptResult.CONNECT_FAILED, why="all connections to the member are in use")
             self.clock.soon(exchange.end, end)
         elif not self.room.take():
-            self.clock.soon(exchange.end, AttemptEnd(AttemptResult.NOT_SENT, why="no descriptor is free"))
+            self.clock.soon(exchange.end, AttemptOutcome(AttemptResult.NOT_SENT, why="no descriptor is free"))
         else:
             lane = _Lane(self)
             self.lanes.add(lane)
@@ -282,17 +284,17 @@
             lane.open()
         return exchange
 
-    def ask(self, payload: Any, on_end: Ended, within: float) -> None:
+    def ask(self, payload: Any, on_end: AttemptCallback, within: float) -> None:
         """A question whose answer is wanted within so many seconds, else it is given up as timed out."""
 
-        def over(end: AttemptEnd) -> None:
+        def over(end: AttemptOutcome) -> None:
             timer.cancel()
             on_end(end)
 
         def too_long() -> None:
             if exchange.on_end is not None:  # its answer may have lain unread
                 exchange.abandon()
-                on_end(AttemptEnd(AttemptResult.TIMEOUT, why="no answer to a probe"))
+                on_end(AttemptOutcome(AttemptResult.TIMEOUT, why="no answer to a probe"))
 
         timer = self.clock.call_later(within, self.clock.after_reading, too_long)
         exchange = self.send(payload, over)
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -20,27 +20,27 @@
 from heapq import heapify, heappop, heappush
 from typing import TYPE_CHECKING, Any
 
-from sedgepitch.core.request_table import Account, Ledger
+from sedgepitch.core.request_table import PendingRequest, RequestTable
 from sedgepitch.core.types import (
-    Answer,
-    Answered,
-    AttemptEnd,
-    Attempts,
+    AttemptCallback,
+    AttemptObserver,
+    AttemptOutcome,
+    ClientRequest,
     Clock,
-    Command,
-    Ended,
-    Members,
-    Verdict,
+    Response,
+    ResponseCallback,
+    ResponseStatus,
+    Upstream,
 )
-from sedgepitch.decisions.admission.messages import Admit, Arrival, Decision
-from sedgepitch.decisions.admission.process_concurrency_limit import OwnLimit
-from sedgepitch.decisions.event_loop_lag import COME_BACK, Pace
+from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit, Decision
+from sedgepitch.decisions.admission.process_concurrency_limit import ProcessConcurrencyLimit
+from sedgepitch.decisions.event_loop_lag import COME_BACK, EventLoopLag
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, Freshness, Idempotency, SessionTracking
 from sedgepitch.routing.router import Router
 
 if TYPE_CHECKING:
-    from sedgepitch.decisions.admission.controller import Door
+    from sedgepitch.decisions.admission.controller import AdmissionController
 
 TICK = 0.01  # s between looks at deadlines and at what the door holds, while an answer is owed
 LEAST_TIME = 0.02  # s beyond the driver's own delay below which a request is refused on arrival
@@ -55,22 +55,24 @@
     def __init__(
         self,
         router: Router,
-        endpoints: Members,
+        endpoints: Upstream,
         clock: Clock,
         *,
         max_in_flight: int = 10_000,
-        door: Door | None = None,
+        admission: AdmissionController | None = None,
         watch: Callable[[], None] | None = None,
         log: Callable[[str], None] | None = None,
-        observe: Callable[[Account, Answer, float], None] | None = None,
+        observe: Callable[[PendingRequest, Response, float], None] | None = None,
         handover: float = 0.05,
         on_fault: Callable[[str, BaseException], None] | None = None,
     ) -> None:
         self.router, self.endpoints, self.clock = router, endpoints, clock
         self.max_in_flight = max_in_flight
-        self.door = door
-        self.pace = Pace()
-        self.own = OwnLimit(TOLERABLE * min(c.latency_objective for c in router.settings.classes))
+        self.admission = admission
+        self.event_loop_lag = EventLoopLag()
+        self.own = ProcessConcurrencyLimit(
+            TOLERABLE * min(c.latency_objective for c in router.settings.classes)
+        )
         self.too_many = 0  # requests refused for the driver's own load
         self.handover = handover  # s that a decision which ages may take to leave
         self.on_fault, self.faults = on_fault, 0
@@ -79,10 +81,12 @@
         self.decided_at = 0.0  # the time that the module's present decisions rest on
         self.classes = {c.name: c for c in router.settings.classes}
         self.watch, self.log, self.observe = watch, log, observe
-        self.looks_on: Attempts | None = None  # hears of each attempt
-        self.ledger = Ledger()
-        self.guards: deque[tuple[float, Account]] = deque()  # when each is answered here, if by nobody else
-        self.events: list[api.Event | Account] = []  # an account stands for its arrival
+        self.looks_on: AttemptObserver | None = None  # hears of each attempt
+        self.request_table = RequestTable()
+        self.guards: deque[tuple[float, PendingRequest]] = (
+            deque()
+        )  # when each is answered here, if by nobody else
+        self.events: list[api.Event | PendingRequest] = []  # an account stands for its arrival
         self.flush_due = self.flushing = False
         self.drained: dict[int, float] = {}  # when a member was told draining or gone
         self.overdue = 0  # answers that only the last guard gave; above 0 is a defect
@@ -105,7 +109,9 @@
 
     # From the front
 
-    def submit(self, command: Command, answered: Answered, arrived: float | None = None) -> Account:
+    def submit(
+        self, command: ClientRequest, answered: ResponseCallback, arrived: float | None = None
+    ) -> PendingRequest:
         """Take a request; `answered` is called exactly once, unless the client leaves first.
 
         `arrived` is when its bytes came; they may have waited.
@@ -114,12 +120,12 @@
         if not account.open:
             return account
         cls = self.classes.get(command.class_name)
-        if self.door is None or cls is None:
+        if self.admission is None or cls is None:
             self._enter(account)
             return account
         account.admitted = False
         now = self.clock.now()
-        arrival = Arrival(
+        arrival = AdmissionRequest(
             account.id,
             command.tenant,
             command.client,
@@ -134,16 +140,16 @@
             if cls.late_priority_weight > 0 and cls.freshness is Freshness.WRITE
             else cls.latency_objective - (now - account.opened),
         )
-        self._decided(self.door.arrive(arrival, now))
+        self._decided(self.admission.arrive(arrival, now))
         return account
 
-    def _enter(self, account: Account) -> None:
+    def _enter(self, account: PendingRequest) -> None:
         """Let the module see a request in this turn."""
         if self.looks_on is not None:
             self.looks_on.arrived()
         self.feed(account)
 
-    def _arrival(self, account: Account, now: float) -> api.RequestReceived:
+    def _arrival(self, account: PendingRequest, now: float) -> api.RequestReceived:
         """A request as the module sees it: what is left of its time now, and its session's present age.
 
         Made when the module decides, not when the request is read: a turn may have read much in between.
@@ -155,7 +161,7 @@
 
     def _decided(self, decisions: list[Decision]) -> None:
         for decision in decisions:
-            account = self.ledger.accounts.get(decision.id)
+            account = self.request_table.accounts.get(decision.id)
             if account is None or not account.open:
                 continue
             if isinstance(decision, Admit):
@@ -164,7 +170,9 @@
             else:
                 why = f"at the door: {decision.why}"
                 told = decision.retry_after
-                self._settle(account, Answer(Verdict.REFUSED, retry_after=told, why=why, promised=told > 0))
+                self._settle(
+                    account, Response(ResponseStatus.REJECTED, retry_after=told, why=why, promised=told > 0)
+                )
 
     def _tick(self) -> None:
         """Look behind what the sockets bring."""
@@ -179,28 +187,28 @@
         """
         now = self.clock.now()
         self.waited(now - due, now)
-        if self.door is not None:
-            self._decided(self.door.tick(now))
-        self._end_due(at + self.pace.reserve(now))
+        if self.admission is not None:
+            self._decided(self.admission.tick(now))
+        self._end_due(at + self.event_loop_lag.reserve(now))
         while self.guards and self.guards[0][0] <= now:
             account = self.guards.popleft()[1]
             if account.open:
                 self._last_guard(account)
-        if (self.ledger.owed or self.deadlines) and self.tick_due == NEVER:
+        if (self.request_table.pending or self.deadlines) and self.tick_due == NEVER:
             self.tick_due = self.clock.now() + TICK
             self.clock.call_later(TICK, self._tick)
 
     def waited(self, seconds: float, now: float) -> None:
         """Take one wait of this driver's own, of bytes or of a timer, that ended now."""
-        self.pace.waited(seconds, now)
-        door = self.door
-        self.own.waited(seconds, self.ledger.owed if door is None else door.inside, now)
-        if door is not None:
-            door.own_limit = self.own.limit
+        self.event_loop_lag.waited(seconds, now)
+        admission = self.admission
+        self.own.waited(seconds, self.request_table.pending if admission is None else admission.inside, now)
+        if admission is not None:
+            admission.own_limit = self.own.limit
 
     def unread(self, waited: float, tenant: str) -> bool:
         """Whether a request that waited so long is refused unread (see `process_concurrency_limit`)."""
-        busiest = self.door is None or tenant == self.door.busiest
+        busiest = self.admission is None or tenant == self.admission.busiest
         if not self.own.swamped(waited, busiest):
             return False
         self.too_many += 1
@@ -214,13 +222,13 @@
         """
         if self.deadlines:
             now = self.clock.now()
-            if self.deadlines[0][0] <= (soon := now + self.pace.reserve(now) / 2.0):
+            if self.deadlines[0][0] <= (soon := now + self.event_loop_lag.reserve(now) / 2.0):
                 self._end_due(soon)
 
     def _end_due(self, until: float) -> None:
         while self.deadlines and self.deadlines[0][0] <= until:
             _, number = heappop(self.deadlines)
-            account = self.ledger.accounts.get(number)
+            account = self.request_table.accounts.get(number)
             if account is None:
                 continue
             if account.open:
@@ -231,64 +239,68 @@
             for attempt in list(account.out):
                 self._expire(account, attempt, "no answer in the client's time")
 
-    def submit_pinned(
-        self, endpoint: int, command: Command, answered: Answered, arrived: float | None = None
-    ) -> Account:
+    def submit_sticky(
+        self, endpoint: int, command: ClientRequest, answered: ResponseCallback, arrived: float | None = None
+    ) -> PendingRequest:
         """Take a request that only one member can serve, as the next batch of a cursor; it is tried once."""
         account = self._open(command, answered, arrived)
         if not account.open:
             return account
-        account.pinned = True
+        account.sticky = True
 
-        def ended(end: AttemptEnd) -> None:
-            self.ledger.ended(account, 0)
+        def ended(end: AttemptOutcome) -> None:
+            self.request_table.ended(account, 0)
             if account.open:
                 good = end.result is AttemptResult.OK
-                verdict = Verdict.SERVED if good else Verdict.FAILED
-                self._settle(account, Answer(verdict, end.reply if good else None, endpoint, why=end.why))
+                verdict = ResponseStatus.SERVED if good else ResponseStatus.FAILED
+                self._settle(account, Response(verdict, end.reply if good else None, endpoint, why=end.why))
 
         account.attempts = 1
         account.endpoints.append(endpoint)
         now = self.clock.now()
         exchange = self._guarded("send", self.endpoints.send, endpoint, command.payload, ended, NEVER)
         if exchange is None:
-            self._settle(account, Answer(Verdict.FAILED, why="the front could not send"))
+            self._settle(account, Response(ResponseStatus.FAILED, why="the front could not send"))
         else:
             account.out[0] = (endpoint, now, exchange)
         return account
 
-    def gone(self, account: Account) -> None:
+    def gone(self, account: PendingRequest) -> None:
         """The client has left: nothing is owed, and the module hears of it at once."""
-        if self.ledger.leave(account):
+        if self.request_table.leave(account):
             self._withdraw(account)
             if account.admitted:
                 self.feed(api.ClientDisconnected(account.id))
-            if self.door is not None:
-                self._decided(self.door.ended(account.id, self.clock.now(), served=True))
+            if self.admission is not None:
+                self._decided(self.admission.ended(account.id, self.clock.now(), served=True))
 
-    def _open(self, command: Command, answered: Answered, arrived: float | None) -> Account:
+    def _open(
+        self, command: ClientRequest, answered: ResponseCallback, arrived: float | None
+    ) -> PendingRequest:
         now = self.clock.now()
-        account = self.ledger.open(command, answered, now, now if arrived is None else min(now, arrived))
-        reserve = self.pace.reserve(now)
+        account = self.request_table.open(
+            command, answered, now, now if arrived is None else min(now, arrived)
+        )
+        reserve = self.event_loop_lag.reserve(now)
         account.until = account.deadline - reserve
-        if self.stopping or self.ledger.owed > self.max_in_flight:
+        if self.stopping or self.request_table.pending > self.max_in_flight:
             why = "stopping" if self.stopping else "too many requests in flight"
-            self._settle(account, Answer(Verdict.REFUSED, why=why))
+            self._settle(account, Response(ResponseStatus.REJECTED, why=why))
         elif account.deadline <= now:
-            self._settle(account, Answer(Verdict.REFUSED, why="no time left"))
-        elif self.door is None and self.ledger.owed > self.own.limit:
+            self._settle(account, Response(ResponseStatus.REJECTED, why="no time left"))
+        elif self.admission is None and self.request_table.pending > self.own.limit:
             self.too_many += 1
-            why = f"this driver carries {self.ledger.owed - 1} requests and can no more"
-            self._settle(account, Answer(Verdict.REFUSED, retry_after=reserve + COME_BACK, why=why))
+            why = f"this driver carries {self.request_table.pending - 1} requests and can no more"
+            self._settle(account, Response(ResponseStatus.REJECTED, retry_after=reserve + COME_BACK, why=why))
         elif account.until <= now + LEAST_TIME and reserve > 0.0:
             self.too_slow += 1
-            clears = self.pace.clears_in(command.time_left, now)
+            clears = self.event_loop_lag.clears_in(command.time_left, now)
             why = f"this driver is {reserve:.3f} s late"
-            self._settle(account, Answer(Verdict.REFUSED, retry_after=clears, why=why))
+            self._settle(account, Response(ResponseStatus.REJECTED, retry_after=clears, why=why))
         else:
             heappush(self.deadlines, (account.deadline, account.id))
-            if len(self.deadlines) > 2 * len(self.ledger.accounts) + 64:
-                accounts = self.ledger.accounts
+            if len(self.deadlines) > 2 * len(self.request_table.accounts) + 64:
+                accounts = self.request_table.accounts
                 self.deadlines = [d for d in self.deadlines if d[1] in accounts]
                 heapify(self.deadlines)
             if self.tick_due == NEVER:
@@ -298,7 +310,7 @@
 
     # Events
 
-    def feed(self, event: api.Event | Account) -> None:
+    def feed(self, event: api.Event | PendingRequest) -> None:
         """Gather an event; the module sees all of this turn together."""
         self.events.append(event)
         if not self.flush_due:
@@ -338,16 +350,16 @@
         Guards against a send, after the list's word, to a member that seeks nothing new, is gone or has
         started again since. May hurt: one attempt of the request's number is spent.
         """
-        for account in list(self.ledger.accounts.values()):
+        for account in list(self.request_table.accounts.values()):
             for attempt, (endpoint, _, exchange) in list(account.out.items()):
-                if endpoint in endpoints and not account.pinned and not exchange.begun():
+                if endpoint in endpoints and not account.sticky and not exchange.begun():
                     exchange.abandon()
                     why = "the list changed before it left"
-                    self._attempt_ended(account, attempt, AttemptEnd(AttemptResult.NOT_SENT, why=why))
+                    self._attempt_ended(account, attempt, AttemptOutcome(AttemptResult.NOT_SENT, why=why))
 
     def hurry(self, by: float) -> None:
         """Answer by then whatever is owed now: this driver ends."""
-        for account in self.ledger.accounts.values():
+        for account in self.request_table.accounts.values():
             if account.deadline > by:
                 account.deadline = by  # the module was told of more: it is not asked once more then
                 heappush(self.deadlines, (by, account.id))
@@ -364,14 +376,14 @@
             while self.events:
                 events, self.events = self.events, []
                 now = self.decided_at = self.clock.now()
-                told = [self._arrival(e, now) if isinstance(e, Account) else e for e in events]
+                told = [self._arrival(e, now) if isinstance(e, PendingRequest) else e for e in events]
                 for action in self.router.handle(now, told):
                     self._guarded("action", self._carry[type(action)], action)
-                if self.door is not None:
-                    self._decided(self.door.seen(self.clock.now()))
+                if self.admission is not None:
+                    self._decided(self.admission.seen(self.clock.now()))
         finally:
             self.flushing = False
-        self.ledger.sweep()
+        self.request_table.sweep()
 
     def _guarded(self, where: str, call: Callable[..., Any], *args: Any) -> Any:
         """Call what may be a front's, a log's or an observer's; returns None where it raises.
@@ -398,28 +410,28 @@
         else:
             self.watch()
 
-    def _withdraw(self, account: Account) -> None:
+    def _withdraw(self, account: PendingRequest) -> None:
         """Nothing is sent for a request that is answered: take back what has not left."""
         for attempt, (endpoint, sent, exchange) in list(account.out.items()):
             if exchange.withdraw():
-                self.ledger.ended(account, attempt)
-                self._finished(account, attempt, endpoint, sent, AttemptEnd(AttemptResult.NOT_SENT))
+                self.request_table.ended(account, attempt)
+                self._finished(account, attempt, endpoint, sent, AttemptOutcome(AttemptResult.NOT_SENT))
 
     def _send(self, action: api.SendAttempt) -> None:
-        account = self.ledger.accounts.get(action.request)
+        account = self.request_table.accounts.get(action.request)
         if account is None:
             return
         attempt, now = account.attempts, self.clock.now()
         account.attempts += 1
         if not account.open:
             # The client left after the event that led here: the attempt was never made, and is told so.
-            self._finished(account, attempt, action.endpoint, now, AttemptEnd(AttemptResult.NOT_SENT))
+            self._finished(account, attempt, action.endpoint, now, AttemptOutcome(AttemptResult.NOT_SENT))
             return
         account.endpoints.append(action.endpoint)
-        if self.door is not None and not attempt:
-            self._decided(self.door.sent(account.id, now))
+        if self.admission is not None and not attempt:
+            self._decided(self.admission.sent(account.id, now))
 
-        def ended(end: AttemptEnd) -> None:
+        def ended(end: AttemptOutcome) -> None:
             if attempt in account.out:
                 self._attempt_ended(account, attempt, end)
 
@@ -428,7 +440,7 @@
             "send", self.endpoints.send, action.endpoint, account.command.payload, ended, by
         )
         if exchange is None:  # whether bytes left is not known
-            end = AttemptEnd(AttemptResult.RESET, why="the front could not send")
+            end = AttemptOutcome(AttemptResult.RESET, why="the front could not send")
             self._finished(account, attempt, action.endpoint, now, end)
             return
         account.out[attempt] = (action.endpoint, now, exchange)
@@ -437,7 +449,7 @@
         if action.timeout > 0 and now + action.timeout < account.deadline:
             self.clock.call_later(action.timeout, self._expire, account, attempt, "time-out of the attempt")
 
-    def _ages(self, account: Account, attempt: int) -> bool:
+    def _ages(self, account: PendingRequest, attempt: int) -> bool:
         """Whether the decision to send this rests on what passes: a bound on age, a role, a window.
 
         So does one that rests on what is remembered of a session, to which an answer may add meanwhile.
@@ -452,18 +464,20 @@
         )
         return again or remembered or cls.freshness in (Freshness.BOUNDED, Freshness.FRESH)
 
-    def _attempt_ended(self, account: Account, attempt: int, end: AttemptEnd) -> None:
+    def _attempt_ended(self, account: PendingRequest, attempt: int, end: AttemptOutcome) -> None:
         endpoint, sent, _ = account.out[attempt]
         if end.result is not AttemptResult.OK:
             account.last = f"member {endpoint}: {end.why or end.result.value}"
         first = account.open and end.result is AttemptResult.OK
-        self.ledger.ended(account, attempt)
+        self.request_table.ended(account, attempt)
         if first:
             account.heard = end.arrived
-            self._settle(account, Answer(Verdict.SERVED, end.reply, endpoint))
+            self._settle(account, Response(ResponseStatus.SERVED, end.reply, endpoint))
         self._finished(account, attempt, endpoint, sent, end)
 
-    def _finished(self, account: Account, attempt: int, endpoint: int, sent: float, end: AttemptEnd) -> None:
+    def _finished(
+        self, account: PendingRequest, attempt: int, endpoint: int, sent: float, end: AttemptOutcome
+    ) -> None:
         # Up to the arrival of the answer's bytes, where that is known: the rest was this driver's own delay.
         elapsed = max(0.0, (end.arrived or self.clock.now()) - sent)
         if self.looks_on is not None and (cls := self.classes.get(account.command.class_name)) is not None:
@@ -482,18 +496,18 @@
             )
         )
 
-    def _expire(self, account: Account, attempt: int, why: str) -> None:
+    def _expire(self, account: PendingRequest, attempt: int, why: str) -> None:
         if attempt in account.out:
             account.out[attempt][2].abandon()
-            self._attempt_ended(account, attempt, AttemptEnd(AttemptResult.TIMEOUT, why=why))
+            self._attempt_ended(account, attempt, AttemptOutcome(AttemptResult.TIMEOUT, why=why))
 
-    def _time_up(self, account: Account) -> None:
+    def _time_up(self, account: PendingRequest) -> None:
         """The client's time is up: every attempt has timed out, and the module gives what answer is owed.
 
         The last guard stands OVERDUE after this moment, whatever the driver's delay was or is: sooner the
         module would not have been asked, and later a delay that is over would hold the answer back.
         """
-        if account.ending or account.pinned or self._early(account):
+        if account.ending or account.sticky or self._early(account):
             self._last_guard(account)
             return
         account.ending = True
@@ -501,18 +515,18 @@
         for attempt in list(account.out):
             self._expire(account, attempt, "no answer in the client's time")
 
-    def _early(self, account: Account) -> bool:
+    def _early(self, account: PendingRequest) -> bool:
         """Whether the module was told of more time than there is now."""
         return account.until > self.clock.now() + 1e-6
 
-    def _last_guard(self, account: Account) -> None:
+    def _last_guard(self, account: PendingRequest) -> None:
         """Answer what no decision has answered.
 
         Guards against a request lost in any layer, and against a delay that grew after the module was told
         how much time there was: it would go on until then. May hurt: hides a defect, hence the counters.
         """
         early = not account.ending and self._early(account)
-        if account.pinned or early:
+        if account.sticky or early:
             self.hurried += early
             why = "no answer in the client's time"
         else:
@@ -520,29 +534,34 @@
             why = "overdue: no decision came"
         cls = self.classes.get(account.command.class_name)
         safe = not account.attempts or (cls is not None and cls.idempotency is Idempotency.IDEMPOTENT)
-        clears = self.pace.clears_in(account.command.time_left, self.clock.now()) if safe else 0.0
+        clears = self.event_loop_lag.clears_in(account.command.time_left, self.clock.now()) if safe else 0.0
         self._settle(
-            account, Answer(Verdict.REFUSED if safe else Verdict.FAILED, retry_after=clears, why=why)
+            account,
+            Response(ResponseStatus.REJECTED if safe else ResponseStatus.FAILED, retry_after=clears, why=why),
         )
         for attempt in list(account.out):
             self._expire(account, attempt, why)
-        if not account.pinned:
+        if not account.sticky:
             self.feed(api.ClientDisconnected(account.id))
 
     def _refuse(self, action: api.Reject) -> None:
-        if (account := self.ledger.accounts.get(action.request)) is not None and account.open:
+        if (account := self.request_table.accounts.get(action.request)) is not None and account.open:
             why = account.last or "no member had room in time"
-            promised = self.door.promise(account.id, self.clock.now()) if self.door is not None else 0.0
+            promised = (
+                self.admission.promise(account.id, self.clock.now()) if self.admission is not None else 0.0
+            )
             retry_after = promised or action.retry_after  # the module's is a hint, the door's is kept
-            answer = Answer(Verdict.REFUSED, retry_after=retry_after, why=why, promised=promised > 0)
+            answer = Response(
+                ResponseStatus.REJECTED, retry_after=retry_after, why=why, promised=promised > 0
+            )
             self._settle(account, answer)
 
     def _fail(self, action: api.Fail) -> None:
-        if (account := self.ledger.accounts.get(action.request)) is not None and account.open:
-            self._settle(account, Answer(Verdict.FAILED, why=account.last or "no answer yet"))
+        if (account := self.request_table.accounts.get(action.request)) is not None and account.open:
+            self._settle(account, Response(ResponseStatus.FAILED, why=account.last or "no answer yet"))
 
-    def _settle(self, account: Account, answer: Answer) -> None:
-        answered = self.ledger.settle(account)
+    def _settle(self, account: PendingRequest, answer: Response) -> None:
+        answered = self.request_table.settle(account)
         if answered is None:
             return
         self._guarded("answer", answered, answer)
@@ -550,28 +569,28 @@
         if self.observe:
             elapsed = self.clock.now() - account.opened
             self._guarded("observe", self.observe, account, answer, elapsed)
-        if self.door is not None:
-            served = answer.verdict is Verdict.SERVED
-            self._decided(self.door.ended(account.id, self.clock.now(), served, account.heard))
+        if self.admission is not None:
+            served = answer.verdict is ResponseStatus.SERVED
+            self._decided(self.admission.ended(account.id, self.clock.now(), served, account.heard))
 
     def _cancel(self, action: api.CancelAttempt) -> None:
-        account = self.ledger.accounts.get(action.request)
+        account = self.request_table.accounts.get(action.request)
         if account is not None and action.attempt in account.out:
             account.out[action.attempt][2].abandon()
             self._attempt_ended(
-                account, action.attempt, AttemptEnd(AttemptResult.CANCELLED, why="called off")
+                account, action.attempt, AttemptOutcome(AttemptResult.CANCELLED, why="called off")
             )
 
     def _probe(self, action: api.CheckHealth) -> None:
         sent = self.clock.now()
 
-        def ended(end: AttemptEnd) -> None:
+        def ended(end: AttemptOutcome) -> None:
             self.feed(
                 api.HealthCheckFinished(action.endpoint, end.result, self.clock.now() - sent, end.report)
             )
 
-        on_end: Ended = ended
+        on_end: AttemptCallback = ended
         faults = self.faults
         self._guarded("probe", self.endpoints.probe, action.endpoint, on_end)
         if self.faults != faults:
-            ended(AttemptEnd(AttemptResult.RESET, why="the front could not probe"))
+            ended(AttemptOutcome(AttemptResult.RESET, why="the front could not probe"))
--- a/sedgepitch/core/request_table.py
+++ b/sedgepitch/core/request_table.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from sedgepitch.core.types import Answered, Command, Exchange
+from sedgepitch.core.types import ClientRequest, InFlightAttempt, ResponseCallback
 
 
-class Account:
+class PendingRequest:
     """One request that is owed an answer, and its attempts under way."""
 
     __slots__ = (
@@ -26,25 +26,30 @@
         "last",
         "opened",
         "out",
-        "pinned",
+        "sticky",
         "submitted",
         "until",
     )
 
     def __init__(
-        self, number: int, command: Command, answered: Answered, submitted: float, arrived: float
+        self,
+        number: int,
+        command: ClientRequest,
+        answered: ResponseCallback,
+        submitted: float,
+        arrived: float,
     ) -> None:
         self.id, self.command = number, command
         self.submitted, self.opened = submitted, arrived  # when it was read, and when its bytes came
-        self.answered: Answered | None = answered
+        self.answered: ResponseCallback | None = answered
         self.deadline = arrived + command.time_left
         self.until = self.deadline  # what the module is told, earlier by the driver's own delay
         self.ending = False  # its time was up, and the module has been told
         self.heard = 0.0  # when its answer's bytes came, where that is known
-        self.pinned = False  # the module knows nothing of it
+        self.sticky = False  # the module knows nothing of it
         self.attempts = 0
         self.admitted = True  # the door has let it in
-        self.out: dict[int, tuple[int, float, Exchange]] = {}  # attempt -> member, sent, exchange
+        self.out: dict[int, tuple[int, float, InFlightAttempt]] = {}  # attempt -> member, sent, exchange
         self.endpoints: list[int] = []
         self.last = ""  # how the last attempt ended, for the log
 
@@ -54,7 +59,7 @@
         return self.answered is not None
 
 
-class Ledger:
+class RequestTable:
     """All accounts. Those closed stay while attempts are under way, so that their ends are still heard.
 
     They also stay until the module has seen what closed them, so that a send decided on before is told as
@@ -62,23 +67,25 @@
     """
 
     def __init__(self) -> None:
-        self.accounts: dict[int, Account] = {}
-        self.owed = 0
+        self.accounts: dict[int, PendingRequest] = {}
+        self.pending = 0
         self.opened = self.settled = self.left = 0
-        self.closed: list[Account] = []  # since the last sweep
+        self.closed: list[PendingRequest] = []  # since the last sweep
         self.twice = 0  # answers to what was closed already; above 0 is a defect
         self._next = 0
 
-    def open(self, command: Command, answered: Answered, now: float, arrived: float) -> Account:
+    def open(
+        self, command: ClientRequest, answered: ResponseCallback, now: float, arrived: float
+    ) -> PendingRequest:
         """Owe an answer from here on."""
         self._next += 1
-        account = Account(self._next, command, answered, now, arrived)
+        account = PendingRequest(self._next, command, answered, now, arrived)
         self.accounts[account.id] = account
-        self.owed += 1
+        self.pending += 1
         self.opened += 1
         return account
 
-    def settle(self, account: Account) -> Answered | None:
+    def settle(self, account: PendingRequest) -> ResponseCallback | None:
         """Close an account; returns whom to give the final answer to, None where it was closed already."""
         answered = account.answered
         if answered is None:
@@ -88,7 +95,7 @@
         self.settled += 1
         return answered
 
-    def leave(self, account: Account) -> bool:
+    def leave(self, account: PendingRequest) -> bool:
         """Close the account of a client that has left; returns whether it was open."""
         if account.answered is None:
             return False
@@ -103,13 +110,13 @@
             if not account.out:
                 self.accounts.pop(account.id, None)
 
-    def ended(self, account: Account, attempt: int) -> None:
+    def ended(self, account: PendingRequest, attempt: int) -> None:
         """Note the end of an attempt; a closed account goes with its last one."""
         account.out.pop(attempt, None)
         if not account.open and not account.out:
             self.closed.append(account)
 
-    def _close(self, account: Account) -> None:
+    def _close(self, account: PendingRequest) -> None:
         account.answered = None
-        self.owed -= 1
+        self.pending -= 1
         self.closed.append(account)
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -10,16 +10,16 @@
 from sedgepitch.routing.messages import AttemptResult, EndpointEntry, LoadReport
 
 
-class Verdict(Enum):
+class ResponseStatus(Enum):
     """The final answers."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
 @dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
-class Command:
+class ClientRequest:
     """A client's request as the engine sees it; `payload` is the front's own, for members."""
 
     class_name: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
-class AttemptEnd:
+class AttemptOutcome:
     """How one attempt at a member ended; `reply` is the front's own, `why` a few words for the operator."""
 
     result: AttemptResult
@@ -49,10 +49,10 @@
 
 
 @dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
-class Answer:
+class Response:
     """The one final answer of a request."""
 
-    verdict: Verdict
+    verdict: ResponseStatus
     reply: Any = None
     endpoint: int | None = None
     retry_after: float = 0.0
@@ -60,11 +60,11 @@
     promised: bool = False  # come_back is a reservation, not a hint
 
 
-Answered = Callable[[Answer], None]
-Ended = Callable[[AttemptEnd], None]
+ResponseCallback = Callable[[Response], None]
+AttemptCallback = Callable[[AttemptOutcome], None]
 
 
-class Exchange(Protocol):
+class InFlightAttempt(Protocol):
     """One attempt under way."""
 
     def abandon(self) -> None:
@@ -77,16 +77,16 @@
         """Take it back; returns whether nothing had left, and then `on_end` is not called any more."""
 
 
-class Members(Protocol):
+class Upstream(Protocol):
     """The members' side of a front: what the engine needs of it."""
 
-    def send(self, endpoint: int, payload: Any, on_end: Ended, by: float) -> Exchange:
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
         """Send the payload to a member; on_end is called once, never before this returns.
 
         What cannot leave before `by`, a time of the clock, ends as not sent.
         """
 
-    def probe(self, endpoint: int, on_end: Ended) -> None:
+    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask a member for its report; on_end is called once, within a bounded time."""
 
     def close_idle(self, endpoint: int) -> None:
@@ -96,7 +96,7 @@
         """Take the member list, before the module does."""
 
 
-class Attempts(Protocol):
+class AttemptObserver(Protocol):
     """Who looks on at a driver's own requests and attempts; it decides nothing about them."""
 
     def arrived(self) -> None:
--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -42,7 +42,7 @@
 SAME = 0.5  # change of the base that counts as none
 
 
-class RoomLimit:
+class CapacityEstimate:
     """The limit of one room. Pure: time is passed in, in seconds."""
 
     __slots__ = (
--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -22,10 +22,10 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-from sedgepitch.decisions.admission.capacity_estimate import RoomLimit
+from sedgepitch.decisions.admission.capacity_estimate import CapacityEstimate
 from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
-from sedgepitch.decisions.admission.messages import Admit, Arrival, Decision, TurnAway
-from sedgepitch.decisions.admission.reservations import Calendar
+from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit, Decision, Reject
+from sedgepitch.decisions.admission.reservations import ReservationSchedule
 from sedgepitch.structures.sketch import FadingSketch
 from sedgepitch.structures.wheel import Entry, Wheel
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DoorSettings:
+class AdmissionSettings:
     """What an operator may set; times in seconds."""
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -63,7 +63,7 @@
 class _Ticket:
     """One request from its arrival to its end."""
 
-    arrival: Arrival
+    arrival: AdmissionRequest
     held: Held
     room: _Room
     came: float
@@ -77,17 +77,17 @@
 class _Room:
     """One group's primary, or its members at large."""
 
-    def __init__(self, settings: DoorSettings, seed: int, now: float) -> None:
+    def __init__(self, settings: AdmissionSettings, seed: int, now: float) -> None:
         self.queue = FairQueue(settings.most_debts)
         self.promised: deque[Held] = deque()  # who came when told: next, as soon as one more may wait inside
-        self.calendar = Calendar(settings.most_promises, settings.horizon, seed)
+        self.calendar = ReservationSchedule(settings.most_promises, settings.horizon, seed)
         self.most = float(settings.most_waiting_inside)
         self.at_a_turn = settings.most_at_a_turn
         self.allowance = self.most
         self.waiting_inside = 0
         self.turn = self.unseen = 0  # of those waiting inside, let in since the module was last asked
         self.inside = 0
-        self.limit = RoomLimit(now)
+        self.limit = CapacityEstimate(now)
         self.served = 0.0  # cost since the span began
         self.span_from = now
         self.rate = 0.0  # cost served a second, as far as it has been seen
@@ -122,10 +122,10 @@
         self.calendar.measured(self.rate, now)
 
 
-class Door:
+class AdmissionController:
     """All rooms of one driver. Pure: the same settings, seed and calls give the same decisions."""
 
-    def __init__(self, settings: DoorSettings, seed: int, now: float) -> None:
+    def __init__(self, settings: AdmissionSettings, seed: int, now: float) -> None:
         self.settings, self.seed = settings, seed
         self.rooms: dict[tuple[int, bool], _Room] = {}
         self.tickets: dict[int, _Ticket] = {}
@@ -143,7 +143,7 @@
 
     # Events
 
-    def arrive(self, arrival: Arrival, now: float) -> list[Decision]:
+    def arrive(self, arrival: AdmissionRequest, now: float) -> list[Decision]:
         """Decide about a new request."""
         room = self._room(arrival, now)
         room.measure(now)
@@ -259,7 +259,7 @@
             out.append(self._turn_away(ticket, now, "held for as long as it may be"))
         return out
 
-    def reload(self, settings: DoorSettings) -> None:
+    def reload(self, settings: AdmissionSettings) -> None:
         """Take new settings; what waits keeps its place, and new weights count from the next request on."""
         self.settings = settings
         for room in self.rooms.values():
@@ -292,14 +292,14 @@
 
     # Parts of the decisions
 
-    def _room(self, arrival: Arrival, now: float) -> _Room:
+    def _room(self, arrival: AdmissionRequest, now: float) -> _Room:
         key = (arrival.group, arrival.primary_only)
         room = self.rooms.get(key)
         if room is None:
             room = self.rooms[key] = _Room(self.settings, self.seed + 7 * len(self.rooms), now)
         return room
 
-    def _patience(self, arrival: Arrival) -> float:
+    def _patience(self, arrival: AdmissionRequest) -> float:
         """How long it may be held so that its answer comes in time, by its class's usual stay inside."""
         patience = arrival.time_left * self.settings.hold_share
         if arrival.latency_objective > 0.0:
@@ -390,7 +390,7 @@
                 return held
         return room.queue.pop()
 
-    def _turn_away(self, ticket: _Ticket, now: float, why: str) -> TurnAway:
+    def _turn_away(self, ticket: _Ticket, now: float, why: str) -> Reject:
         """Refuse, with a time where one can be promised."""
         arrival, room = ticket.arrival, ticket.room
         if ticket.entry is not None:
@@ -400,7 +400,7 @@
         self.tickets.pop(arrival.id, None)
         self._remember(arrival.key)
         drain = room.queue.cost / room.rate if room.rate > 0.0 else 0.0
-        return TurnAway(arrival.id, self._promise(ticket, drain, now), why)
+        return Reject(arrival.id, self._promise(ticket, drain, now), why)
 
     def _promise(self, ticket: _Ticket, after: float, now: float) -> float:
         """A time to come back at, within the tenant's share of the room; 0 where none can be promised."""
--- a/sedgepitch/decisions/admission/messages.py
+++ b/sedgepitch/decisions/admission/messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Arrival:
+class AdmissionRequest:
     """A request before the door.
 
     `mark` tells who may come on a promise; `key` is the same for each try of one request and no other, empty
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class TurnAway:
+class Reject:
     """Refuse it; come back after that many seconds, 0 where nothing can be promised."""
 
     id: int
@@ -44,4 +44,4 @@
     why: str
 
 
-Decision = Admit | TurnAway
+Decision = Admit | Reject
--- a/sedgepitch/decisions/admission/process_concurrency_limit.py
+++ b/sedgepitch/decisions/admission/process_concurrency_limit.py
@@ -27,7 +27,7 @@
 NEVER = float("inf")
 
 
-class OwnLimit:
+class ProcessConcurrencyLimit:
     """The bound. Pure: time is passed in; `tolerable` is in seconds."""
 
     __slots__ = ("_count", "_from", "_most", "_sum", "cuts", "late_spans", "limit", "starting", "tolerable")
--- a/sedgepitch/decisions/admission/reservations.py
+++ b/sedgepitch/decisions/admission/reservations.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Promise:
+class Reservation:
     """A time that somebody was told."""
 
     mark: str
@@ -39,7 +39,7 @@
     at: float
 
 
-class Calendar:
+class ReservationSchedule:
     """Promises of one room. Memory is bounded by `most` promises, whatever the number of tenants."""
 
     def __init__(self, most: int, horizon: float, seed: int) -> None:
@@ -49,8 +49,8 @@
         self.booked_by: dict[tuple[int, str], float] = {}
         self.tenants: dict[str, int] = {}  # promises of each
         self.first: dict[str, int] = {}  # a tenant's earlier slots have no room
-        self.by_mark: dict[str, deque[Promise]] = {}
-        self.all: OrderedDict[Promise, None] = OrderedDict()  # as they were made
+        self.by_mark: dict[str, deque[Reservation]] = {}
+        self.all: OrderedDict[Reservation, None] = OrderedDict()  # as they were made
         self.ended = 0  # promises ended because room fell
         self.rate = 0.0  # seconds of members' time that are served a second
 
@@ -96,7 +96,7 @@
         if slot >= end:
             return None
         at = (slot + self.random.random()) * SLOT
-        promise = Promise(mark, tenant, slot, cost, at)
+        promise = Reservation(mark, tenant, slot, cost, at)
         self.booked[slot] = self.booked.get(slot, 0.0) + cost
         self.booked_by[slot, tenant] = self.booked_by.get((slot, tenant), 0.0) + cost
         self.tenants[tenant] = self.tenants.get(tenant, 0) + 1
@@ -117,7 +117,7 @@
             del self.by_mark[mark]
         return kept
 
-    def _end(self, promise: Promise) -> None:
+    def _end(self, promise: Reservation) -> None:
         del self.all[promise]
         _take(self.booked, promise.slot, promise.cost)
         _take(self.booked_by, (promise.slot, promise.tenant), promise.cost)
--- a/sedgepitch/decisions/connections/client_connections.py
+++ b/sedgepitch/decisions/connections/client_connections.py
@@ -27,7 +27,7 @@
 RESTING = 0.33  # of the connections that there is room for
 
 
-class Visitors(Generic[Key]):
+class ClientConnections(Generic[Key]):
     """The connections of one listener. Pure: time is passed in, in seconds; `most` is the room for them."""
 
     __slots__ = ("clogged", "evicted", "most", "overdue", "resting", "silent", "talking")
--- a/sedgepitch/decisions/connections/descriptor_budget.py
+++ b/sedgepitch/decisions/connections/descriptor_budget.py
@@ -13,7 +13,7 @@
 LEAST = 8  # for either side, however few there are in all
 
 
-class Descriptors:
+class DescriptorBudget:
     """Counts. `limit` is what the process may hold, 0 for no bound."""
 
     __slots__ = ("clients", "clients_most", "endpoints", "limit", "members_most", "refused")
--- a/sedgepitch/decisions/connections/shutdown_schedule.py
+++ b/sedgepitch/decisions/connections/shutdown_schedule.py
@@ -22,7 +22,7 @@
 CLOSING, ANSWERED, OVER = 0.35, 0.15, 0.03  # s before that
 
 
-class Ending:
+class ShutdownSchedule:
     """The times of one end. Pure; `told` and all others are times of one clock, `longest` is in seconds."""
 
     __slots__ = ("accepting_until", "answered_by", "closing_from", "over_by")
@@ -33,6 +33,6 @@
         self.closing_from, self.answered_by = killed - CLOSING, killed - ANSWERED
         self.over_by = killed - OVER
 
-    def over(self, now: float, listening: bool, connections: int, owed: int) -> bool:
+    def over(self, now: float, listening: bool, connections: int, pending: int) -> bool:
         """Whether the driver may end. What is owed is never left: the platform's own end is no worse."""
-        return not owed and (now >= self.over_by or (not listening and not connections))
+        return not pending and (now >= self.over_by or (not listening and not connections))
--- a/sedgepitch/decisions/discovery/list_versions.py
+++ b/sedgepitch/decisions/discovery/list_versions.py
@@ -43,7 +43,7 @@
     entries: tuple[Entry, ...]
 
 
-class Membership:
+class EndpointListVersions:
     """What this driver holds of the list. Pure; names that are let go are forgotten wholly."""
 
     __slots__ = ("addresses", "ending", "names", "numbers", "present", "revision")
--- a/sedgepitch/decisions/discovery/watch_streams.py
+++ b/sedgepitch/decisions/discovery/watch_streams.py
@@ -44,7 +44,7 @@
     within: float  # s from there in which the next one is expected
 
 
-class Watches(Generic[Key]):
+class WatchStreams(Generic[Key]):
     """The watches of one source. Pure: time is passed in, in seconds; keys are the owner's connections.
 
     The owner opens one whenever `opens` says so, and closes what `spoke`, `opened` and `moved` return.
--- a/sedgepitch/decisions/event_loop_lag.py
+++ b/sedgepitch/decisions/event_loop_lag.py
@@ -25,7 +25,7 @@
 COME_BACK = 0.1  # s; the least advice to one refused for the driver's own delay
 
 
-class Pace:
+class EventLoopLag:
     """The waits of one driver. Pure: time is passed in, in monotonic seconds."""
 
     __slots__ = ("_longest", "_number", "_reserve", "peak", "sum", "waits")
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -18,7 +18,7 @@
 
 from sedgepitch.core.types import Clock
 from sedgepitch.decisions.discovery.list_versions import Address, Entry, Version
-from sedgepitch.decisions.discovery.watch_streams import Watches
+from sedgepitch.decisions.discovery.watch_streams import WatchStreams
 from sedgepitch.net.connecting import connect
 from sedgepitch.routing.messages import EndpointState
 
@@ -158,7 +158,7 @@
     transport: Any
     noisy = False
 
-    def __init__(self, source: Catalog, address: Address, index: int) -> None:
+    def __init__(self, source: DiscoveryClient, address: Address, index: int) -> None:
         self.source, self.address, self.index = source, address, index
         self.http = h11.Connection(h11.CLIENT)
         self.objects = Objects()
@@ -247,7 +247,7 @@
         self._over(reason.getErrorMessage())
 
 
-class Catalog:
+class DiscoveryClient:
     """Follows discovery at one address after another. `listed` hears each version, `troubled` each loss."""
 
     def __init__(
@@ -262,7 +262,7 @@
     ) -> None:
         self.reactor, self.clock, self.address, self.wall = reactor, clock, address, wall
         self.revision_held, self.listed, self.troubled = revision, listed, troubled
-        self.watches: Watches[_Watch] = Watches()
+        self.watches: WatchStreams[_Watch] = WatchStreams()
         self.afresh = self.stopped = False
         self.timer: Any = None
 
--- a/sedgepitch/discovery/control_socket.py
+++ b/sedgepitch/discovery/control_socket.py
@@ -56,7 +56,7 @@
     MAX_LENGTH = 4 << 20
     transport: Any
 
-    def __init__(self, source: ControlList) -> None:
+    def __init__(self, source: ControlSocketClient) -> None:
         self.source = source
 
     def connectionMade(self) -> None:
@@ -76,7 +76,7 @@
         self.source.lost()
 
 
-class ControlList(ClientFactory):
+class ControlSocketClient(ClientFactory):
     """A source of the member list. `watch` is the module's subscription; it says itself when to ask again."""
 
     noisy = False
--- a/sedgepitch/node/driver.py
+++ b/sedgepitch/node/driver.py
@@ -11,17 +11,17 @@
 from sedgepitch.core.clock import ReactorClock
 from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.core.engine import Engine
-from sedgepitch.decisions.connections.descriptor_budget import Descriptors
-from sedgepitch.decisions.connections.shutdown_schedule import Ending
-from sedgepitch.decisions.discovery.list_versions import Membership, Version
-from sedgepitch.discovery.client import Catalog
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
+from sedgepitch.decisions.discovery.list_versions import EndpointListVersions, Version
+from sedgepitch.discovery.client import DiscoveryClient
 from sedgepitch.net.listener import AcceptProblem, Listener, listen
 from sedgepitch.node.config import Config
 from sedgepitch.node.lines import Lines
 from sedgepitch.node.opening import PortOpening
 from sedgepitch.protocols.postgresql.client import ClientFactory, Front
 from sedgepitch.protocols.postgresql.close_reasons import CloseReport
-from sedgepitch.protocols.postgresql.upstream import PgMembers
+from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
 
@@ -43,9 +43,9 @@
     def __init__(self, reactor: Any, config: Config, lines: Lines, wall: float) -> None:
         self.reactor, self.config, self.lines, self.wall = reactor, config, lines, wall
         self.clock = ReactorClock(reactor)
-        self.descriptors = Descriptors(config.sockets)
-        self.membership = Membership()
-        self.endpoints = PgMembers(
+        self.descriptors = DescriptorBudget(config.sockets)
+        self.membership = EndpointListVersions()
+        self.endpoints = PostgresUpstream(
             reactor,
             self.clock,
             PoolLimits(
@@ -80,7 +80,7 @@
         self.endpoints.heard = self._heard
         self.endpoints.forgotten = self._forgotten
         self.endpoints.say = lines.say
-        self.catalog = Catalog(
+        self.catalog = DiscoveryClient(
             reactor,
             self.clock,
             config.discovery,
@@ -173,12 +173,14 @@
     def stop(self, done: Callable[[], None]) -> None:
         """End in order; calls back once nothing is owed. See `shutdown_schedule`."""
         now = self.clock.now()
-        ending = Ending(now, max(c.deadline for c in self.config.settings.classes))
+        ending = ShutdownSchedule(now, max(c.deadline for c in self.config.settings.classes))
         self.front.ends(ending)
         self.engine.hurry(ending.answered_by)
         if self.opening is not None:
             self.opening.cancel()
-        self.lines.say("stopping", owed=self.engine.ledger.owed, clients=len(self.front.connections))
+        self.lines.say(
+            "stopping", pending=self.engine.request_table.pending, clients=len(self.front.connections)
+        )
 
         def look() -> None:
             now = self.clock.now()
@@ -189,7 +191,7 @@
                     port.stopListening()
             self.front.close_free()
             if not ending.over(
-                now, self.port is not None, len(self.front.connections), self.engine.ledger.owed
+                now, self.port is not None, len(self.front.connections), self.engine.request_table.pending
             ):
                 self.clock.call_later(STOP_LOOK, look)
                 return
@@ -254,9 +256,9 @@
         """How the driver itself does."""
         engine, front, now = self.engine, self.front, self.clock.now()
         return {
-            "answered": engine.ledger.settled,
-            "owed": engine.ledger.owed,
-            "accounts": len(engine.ledger.accounts),
+            "answered": engine.request_table.settled,
+            "owed": engine.request_table.pending,
+            "accounts": len(engine.request_table.accounts),
             "clients": self.descriptors.clients,
             "accepted": front.accepted,
             "resting": len(front.visitors.resting),
@@ -269,8 +271,8 @@
             "evicted": front.visitors.evicted,
             "spoilt": self.endpoints.spoilt,
             "unread_reports": self.endpoints.unread_reports,
-            "reserve_ms": round(engine.pace.reserve(now) * 1000.0, 1),
-            "latest_ms": round(engine.pace.peak * 1000.0, 1),
+            "reserve_ms": round(engine.event_loop_lag.reserve(now) * 1000.0, 1),
+            "latest_ms": round(engine.event_loop_lag.peak * 1000.0, 1),
             "too_many": engine.too_many,
             "too_slow": engine.too_slow,
             "hurried": engine.hurried,
--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -7,8 +7,8 @@
 from prometheus_client.registry import Collector
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.request_table import Account
-from sedgepitch.core.types import Answer
+from sedgepitch.core.request_table import PendingRequest
+from sedgepitch.core.types import Response
 
 BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 
@@ -19,17 +19,20 @@
 
     def collect(self) -> list[GaugeMetricFamily]:
         """Read the ledger as it stands."""
-        ledger = self.engine.ledger
+        request_table = self.engine.request_table
         figures = {
-            "sedgepitch_owed": ("Requests that are owed an answer.", ledger.owed),
+            "sedgepitch_owed": ("Requests that are owed an answer.", request_table.pending),
             "sedgepitch_overdue": ("Answers that only the last guard gave.", self.engine.overdue),
-            "sedgepitch_answered_twice": ("Second answers that were held back.", ledger.twice),
-            "sedgepitch_left": ("Clients that left before their answer.", ledger.left),
+            "sedgepitch_answered_twice": ("Second answers that were held back.", request_table.twice),
+            "sedgepitch_left": ("Clients that left before their answer.", request_table.left),
             "sedgepitch_reserve_seconds": (
                 "How much earlier answers are decided, for the driver's own delay.",
-                self.engine.pace.reserve(self.engine.clock.now()),
+                self.engine.event_loop_lag.reserve(self.engine.clock.now()),
+            ),
+            "sedgepitch_latest_seconds": (
+                "The longest that bytes or timers waited.",
+                self.engine.event_loop_lag.peak,
             ),
-            "sedgepitch_latest_seconds": ("The longest that bytes or timers waited.", self.engine.pace.peak),
             "sedgepitch_too_slow": ("Requests refused for the driver's own delay.", self.engine.too_slow),
             "sedgepitch_too_many": ("Requests refused for the driver's own load.", self.engine.too_many),
             "sedgepitch_own_limit": ("How many may be inside for its sake.", self.engine.own.limit),
@@ -67,7 +70,7 @@
         """Show an engine's ledger, too."""
         self.registry.register(_Gauges(engine))
 
-    def answered(self, account: Account, answer: Answer, elapsed: float) -> None:
+    def answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
         """Count one final answer; labelled children are kept, since finding them costs most."""
         name = account.command.class_name or "cursor"
         key = (name, answer.verdict.value)
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -19,15 +19,15 @@
 from zope.interface import implementer
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.request_table import Account
-from sedgepitch.core.types import Answer, Clock, Command, Verdict
+from sedgepitch.core.request_table import PendingRequest
+from sedgepitch.core.types import ClientRequest, Clock, Response, ResponseStatus
 from sedgepitch.decisions.cursors import Cursor, CursorTable, may_go_on
 from sedgepitch.decisions.request_classes import Classifier
 from sedgepitch.protocols.mongodb import bsonwalk, codec, errors
 from sedgepitch.protocols.mongodb.codec import Message, WireError
 from sedgepitch.protocols.mongodb.commands import BadCommand, Kind, Request, read
 from sedgepitch.protocols.mongodb.framing import FrameReceiver
-from sedgepitch.protocols.mongodb.upstream import MemberReply, MongoMembers, Plain
+from sedgepitch.protocols.mongodb.upstream import MemberReply, MongoUpstream, Plain
 
 READ_AHEAD = 256 * 1024  # bytes that a client may send ahead before its socket is left unread
 WIRE_VERSIONS = (0, 21)
@@ -39,7 +39,7 @@
     """What all connections of one listener share. `group_of` gives a request's group, None for no such."""
 
     engine: Engine
-    endpoints: MongoMembers
+    endpoints: MongoUpstream
     clock: Clock
     classifier: Classifier
     cursors: CursorTable
@@ -123,7 +123,7 @@
         super().__init__()
         self.context, self.number = context, number
         self.most_bytes = context.most_frame
-        self.account: Account | None = None
+        self.account: PendingRequest | None = None
         self.replies = 0
         self.waiting: Any = None  # the timer of an awaited hello
         self.busy = self.clogged = self.reading_stopped = False
@@ -239,7 +239,7 @@
         placement = context.classifier.place(cls, request.facts, time_left, age)
         who = self._who(request)
         self.tenant, self.greeted = who[0], True
-        command = Command(
+        command = ClientRequest(
             placement.class_name,
             group,
             time_left,
@@ -273,7 +273,7 @@
         mark = f"{tenant}/{who}/{request.name}/{request.namespace}/{key}"
         return tenant, client, mark, f"{who}/{key}" if key else ""
 
-    def _await(self, request: Request, account: Account) -> None:
+    def _await(self, request: Request, account: PendingRequest) -> None:
         if account.open:
             self.account = account
 
@@ -281,14 +281,14 @@
         stated = deadline if request.time_left is None else min(deadline, request.time_left)
         return stated - self.context.answer_margin
 
-    def _answered(self, request: Request) -> Callable[[Answer], None]:
-        def answered(answer: Answer) -> None:
+    def _answered(self, request: Request) -> Callable[[Response], None]:
+        def answered(answer: Response) -> None:
             self.account = None
-            if answer.verdict is Verdict.SERVED:
+            if answer.verdict is ResponseStatus.SERVED:
                 self._pass_on(request, answer)
                 return
             writes = request.facts.writes
-            if answer.verdict is Verdict.REFUSED:
+            if answer.verdict is ResponseStatus.REJECTED:
                 body = errors.refused(answer.why, answer.retry_after, writes, answer.promised)
             else:
                 body = errors.failed(answer.why, writes)
@@ -296,7 +296,7 @@
 
         return answered
 
-    def _pass_on(self, request: Request, answer: Answer) -> None:
+    def _pass_on(self, request: Request, answer: Response) -> None:
         """Send a member's reply on; a cursor that it opens gets an id of ours."""
         reply: MemberReply = answer.reply
         cursor = reply.cursor
@@ -332,11 +332,11 @@
         time_left = self._time_left(request, context.classifier.most_deadline)
         group = context.endpoints.links[cursor.endpoint].group
         payload = Plain(request.next_batch(cursor.member_id))
-        command = Command("", group, time_left, payload, request.session, connection=self.number)
+        command = ClientRequest("", group, time_left, payload, request.session, connection=self.number)
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: Response) -> None:
             self.account = None
-            if answer.verdict is not Verdict.SERVED:
+            if answer.verdict is not ResponseStatus.SERVED:
                 context.cursors.close(
                     number
                 )  # whether the batch was taken is not known: there is no going on
@@ -353,7 +353,7 @@
             self._reply(request.message, body)
 
         arrived = self.since or None
-        self._await(request, context.engine.submit_pinned(cursor.endpoint, command, answered, arrived))
+        self._await(request, context.engine.submit_sticky(cursor.endpoint, command, answered, arrived))
 
     def _kill_cursors(self, request: Request) -> None:
         killed: list[int] = []
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -14,8 +14,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.core.connection_pool import Pool, PoolLimits
-from sedgepitch.core.types import AttemptEnd, Clock, Ended, Exchange
+from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
+from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.decisions.positions import GroupPositions, Sighting, Stamp
 from sedgepitch.net import transport
 from sedgepitch.net.connecting import Opening
@@ -211,13 +211,13 @@
     id: int
     group: int
     address: tuple[str, int]
-    pool: Pool
-    probes: Pool
+    pool: ConnectionPool
+    probes: ConnectionPool
     listed_primary: bool = False
     mark_waiters: list[Callable[[], None]] = field(default_factory=list)
 
 
-class MongoMembers:
+class MongoUpstream:
     """All members of all groups: the engine's `Members` for this protocol.
 
     `addresses` tells where a member is: id -> (host, port). `mark_age` is the age in seconds beyond which a
@@ -259,7 +259,7 @@
                 link = self.links[entry.endpoint] = self._link(entry, address)
             link.listed_primary = entry.primary
 
-    def send(self, endpoint: int, payload: Any, on_end: Ended, by: float) -> Exchange:
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
         """Send a request or a cursor's next batch, where it can leave by then."""
         return self.links[endpoint].pool.send(payload, on_end, by)
 
@@ -267,7 +267,7 @@
         """Close what is not in use."""
         self.links[endpoint].pool.close_idle()
 
-    def probe(self, endpoint: int, on_end: Ended) -> None:
+    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask a member by hello, and the primary for a mark where the newest is too old."""
         link = self.links[endpoint]
         group = self.positions[link.group]
@@ -276,11 +276,11 @@
 
         def told() -> None:
             end = waiting["answer"]
-            if isinstance(end, AttemptEnd) and not waiting["mark"]:
+            if isinstance(end, AttemptOutcome) and not waiting["mark"]:
                 waiting["answer"] = "told"
                 on_end(self._with_position(link, end))
 
-        def answered(end: AttemptEnd) -> None:
+        def answered(end: AttemptOutcome) -> None:
             waiting["answer"] = end
             told()
 
@@ -319,15 +319,15 @@
 
         self._ask(link, over, MARK_WITHIN)
 
-    def _ask(self, link: _Link, on_end: Ended, within: float | None = None) -> None:
+    def _ask(self, link: _Link, on_end: AttemptCallback, within: float | None = None) -> None:
         link.probes.ask(self.hello, on_end, within or self.probe_within)
 
-    def _with_position(self, link: _Link, end: AttemptEnd) -> AttemptEnd:
+    def _with_position(self, link: _Link, end: AttemptOutcome) -> AttemptOutcome:
         if end.report is None or end.report.primary is True:
             return end
         position = self.positions[link.group].position(link.id)
         report = LoadReport(position, end.report.primary, end.report.load)
-        return AttemptEnd(end.result, report=report)
+        return AttemptOutcome(end.result, report=report)
 
     # Connections and replies
 
@@ -349,17 +349,17 @@
             opening.open(self.reactor, address, max(1.0, self.limits.connect_within))
             return opening.give_up
 
-        def judge(exchange: Any, message: Message) -> AttemptEnd:
+        def judge(exchange: Any, message: Message) -> AttemptOutcome:
             end = self._judge(endpoint, group, exchange, message)
             end.arrived = message.arrived
             return end
 
-        def judge_probe(exchange: Any, message: Message) -> AttemptEnd:
+        def judge_probe(exchange: Any, message: Message) -> AttemptOutcome:
             hello = read_hello(message)
             if hello is None:
-                return AttemptEnd(AttemptResult.ERROR, why="hello answered with an error")
+                return AttemptOutcome(AttemptResult.ERROR, why="hello answered with an error")
             sighting = self._sighted(endpoint, group, exchange.sent_at, hello)
-            return AttemptEnd(
+            return AttemptOutcome(
                 AttemptResult.OK, report=LoadReport(sighting.position, sighting.primary, hello.load)
             )
 
@@ -368,8 +368,8 @@
             endpoint,
             group,
             address,
-            Pool(self.clock, connect, judge, self.limits),
-            Pool(self.clock, connect, judge_probe, probe_limits),
+            ConnectionPool(self.clock, connect, judge, self.limits),
+            ConnectionPool(self.clock, connect, judge_probe, probe_limits),
         )
 
     def _sighted(self, endpoint: int, group: int, asked: float, hello: Hello | None) -> Sighting:
@@ -377,12 +377,12 @@
             return Sighting(None, None)
         return self.positions[group].hello(endpoint, asked, hello.primary, hello.term, hello.stamp)
 
-    def _judge(self, endpoint: int, group: int, exchange: Any, message: Message) -> AttemptEnd:
+    def _judge(self, endpoint: int, group: int, exchange: Any, message: Message) -> AttemptOutcome:
         writes, positions = exchange.payload.writes, self.positions[group]
         try:
             facts = read_reply(message)
         except bsonwalk.BadDocument as error:
-            return AttemptEnd(AttemptResult.ERROR, why=f"bad reply: {error}")
+            return AttemptOutcome(AttemptResult.ERROR, why=f"bad reply: {error}")
         if not facts.good:
             end = self._judge_error(endpoint, positions, facts, message)
             if end is not None:
@@ -391,24 +391,26 @@
         if writes and facts.good:
             sighting = positions.wrote(endpoint, exchange.sent_at, facts.stamp)
             report = LoadReport(sighting.position, None)
-            return AttemptEnd(AttemptResult.OK, reply, sighting.primary, self.clock.now(), report)
+            return AttemptOutcome(AttemptResult.OK, reply, sighting.primary, self.clock.now(), report)
         sighting = positions.read(endpoint, exchange.sent_at, facts.stamp)
-        return AttemptEnd(AttemptResult.OK, reply, report=LoadReport(sighting.position, None))
+        return AttemptOutcome(AttemptResult.OK, reply, report=LoadReport(sighting.position, None))
 
     def _judge_error(
         self, endpoint: int, positions: GroupPositions, facts: ReplyFacts, message: Message
-    ) -> AttemptEnd | None:
+    ) -> AttemptOutcome | None:
         """Return the end where the error is the member's, None where it is the answer that was asked for."""
         if facts.code in NOT_PRIMARY:
             positions.turned_away(endpoint)
-            return AttemptEnd(
+            return AttemptOutcome(
                 AttemptResult.NOT_ELIGIBLE, message, False, why=f"not primary (code {facts.code})"
             )
         if facts.code in ROLE_LOST:
             positions.turned_away(endpoint)
-            return AttemptEnd(AttemptResult.ERROR, message, False, why=f"stepped down (code {facts.code})")
+            return AttemptOutcome(
+                AttemptResult.ERROR, message, False, why=f"stepped down (code {facts.code})"
+            )
         if facts.code == OVERLOADED or NEVER_RAN_LABEL in facts.labels:
-            return AttemptEnd(AttemptResult.OVERLOADED, message, why=f"full (code {facts.code})")
+            return AttemptOutcome(AttemptResult.OVERLOADED, message, why=f"full (code {facts.code})")
         if facts.code in TROUBLE:
-            return AttemptEnd(AttemptResult.ERROR, message, why=f"member in trouble (code {facts.code})")
+            return AttemptOutcome(AttemptResult.ERROR, message, why=f"member in trouble (code {facts.code})")
         return None
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -18,11 +18,11 @@
 from zope.interface import implementer
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.request_table import Account
-from sedgepitch.core.types import Answer, Clock, Command, Verdict
-from sedgepitch.decisions.connections.client_connections import Visitors
-from sedgepitch.decisions.connections.descriptor_budget import Descriptors
-from sedgepitch.decisions.connections.shutdown_schedule import Ending
+from sedgepitch.core.request_table import PendingRequest
+from sedgepitch.core.types import ClientRequest, Clock, Response, ResponseStatus
+from sedgepitch.decisions.connections.client_connections import ClientConnections
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
 from sedgepitch.net import transport
 from sedgepitch.protocols.postgresql import codec, statements
 from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason, CloseReport
@@ -51,7 +51,7 @@
         clock: Clock,
         classes: Mapping[str, RequestClass],
         wall: float,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
     ) -> None:
         self.engine, self.clock, self.classes, self.wall = engine, clock, classes, wall
         self.descriptors = descriptors
@@ -61,7 +61,7 @@
         )  # s; 0 where none is told
         self.open_ids: dict[bytes, ClientConnection] = {}
         self.connections: set[ClientConnection] = set()
-        self.visitors: Visitors[ClientConnection] = Visitors(descriptors.clients_most)
+        self.visitors: ClientConnections[ClientConnection] = ClientConnections(descriptors.clients_most)
         self.accepted = self.bad_messages = self.bad_statements = 0
         self.far: set[ClientConnection] = set()  # that are read beyond READ_AHEAD
         self.unread: set[ClientConnection] = set()  # whose sockets are left unread for what they sent ahead
@@ -83,7 +83,7 @@
                 connection.leave()
         self.clock.call_later(LOOK_EVERY, self._due)
 
-    def ends(self, ending: Ending) -> None:
+    def ends(self, ending: ShutdownSchedule) -> None:
         """This driver ends: from now on times are cut to that."""
         self.closing_from, self.answered_by = ending.closing_from, ending.answered_by
 
@@ -141,7 +141,7 @@
     def __init__(self, front: Front, number: int) -> None:
         self.front, self.number = front, number
         self.reader = Reader(codec.FROM_CLIENT)
-        self.account: Account | None = None
+        self.account: PendingRequest | None = None
         self.greeted = self.busy = self.clogged = self.stopped = False
         self.ending = False  # an error has been said; what still comes is dropped
         self.dropped = 0
@@ -383,7 +383,7 @@
         if statement.after and statement.cls.freshness is Freshness.SESSION:
             age = max(1e-6, now + front.wall - statement.after / 1000.0)
         session = statement.session if statement.cls.freshness in (Freshness.WRITE, Freshness.SESSION) else ""
-        command = Command(
+        command = ClientRequest(
             statement.cls.name,
             statement.group,
             time_left - ANSWER_MARGIN,
@@ -396,7 +396,7 @@
         front.visitors.busy(self)
         front.open_ids[statement.id] = self
 
-        def answered(answer: Answer) -> None:
+        def answered(answer: Response) -> None:
             self.account = None
             front.open_ids.pop(statement.id, None)
             self._answer(answer)
@@ -405,11 +405,11 @@
         if account.open:
             self.account = account
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: Response) -> None:
         front = self.front
-        if answer.verdict is Verdict.SERVED:
+        if answer.verdict is ResponseStatus.SERVED:
             out = answer.reply + codec.READY
-        elif answer.verdict is Verdict.REFUSED:
+        elif answer.verdict is ResponseStatus.REJECTED:
             retry_after = min(answer.retry_after, front.most_come_back)
             pause = str(max(1, round(retry_after * 1000.0))) if retry_after > 0 else ""
             out = codec.error(REFUSED, answer.why or "refused", pause) + codec.READY
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -15,8 +15,8 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.core.connection_pool import Pool, PoolLimits, Room
-from sedgepitch.core.types import AttemptEnd, Clock, Ended, Exchange
+from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits, Room
+from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.net import transport
 from sedgepitch.net.connecting import Opening
 from sedgepitch.protocols.postgresql import codec
@@ -254,7 +254,7 @@
 
     id: int
     address: tuple[str, int]
-    pool: Pool
+    pool: ConnectionPool
     gone_at: float = math.inf
 
 
@@ -274,7 +274,7 @@
     return found
 
 
-class PgMembers:
+class PostgresUpstream:
     """All members: the engine's `Members` for this protocol.
 
     `wall` is what Unix time in seconds is ahead of the clock; every position is turned by it, here alone.
@@ -324,17 +324,17 @@
             elif complete or any(x.endpoint == link.id for x in entries):
                 link.gone_at = min(link.gone_at, now)
 
-    def send(self, endpoint: int, payload: Any, on_end: Ended, by: float) -> Exchange:
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
         """Send a statement, where it can leave by then."""
         link = self.links[endpoint]
         if self.room_short():
             self.close_longest_idle()
         return link.pool.send(payload, on_end, by)
 
-    def probe(self, endpoint: int, on_end: Ended) -> None:
+    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask a member for its report."""
         if (link := self.links.get(endpoint)) is None:
-            self.clock.soon(on_end, AttemptEnd(AttemptResult.NOT_SENT, why="not listed any more"))
+            self.clock.soon(on_end, AttemptOutcome(AttemptResult.NOT_SENT, why="not listed any more"))
         else:
             link.pool.ask(Probe(), on_end, self.probe_within)
 
@@ -379,7 +379,7 @@
 
     # Connections and replies
 
-    def _pool(self, endpoint: int, address: tuple[str, int]) -> Pool:
+    def _pool(self, endpoint: int, address: tuple[str, int]) -> ConnectionPool:
         def connect(ready: Any, failed: Callable[[str], None], lost: Callable[[str], None]) -> Any:
             made = MemberConnection(self.names, self.clock.now, ready, failed, lost, self.heard)
             if self.trace is not None:
@@ -395,7 +395,7 @@
 
             return give_up
 
-        return Pool(
+        return ConnectionPool(
             self.clock,
             connect,
             lambda exchange, reply: self.judge(endpoint, exchange.payload, reply),
@@ -403,15 +403,15 @@
             self.room,
         )
 
-    def judge(self, endpoint: int, payload: Any, reply: Reply) -> AttemptEnd:
+    def judge(self, endpoint: int, payload: Any, reply: Reply) -> AttemptOutcome:
         """Turn what came back into an outcome and its evidence."""
         if reply.spoilt:
             self.spoilt += 1
             self.say("member.spoilt", endpoint=endpoint, why=reply.spoilt)
-            return AttemptEnd(
+            return AttemptOutcome(
                 AttemptResult.ERROR, why=f"spoilt answer: {reply.spoilt}", arrived=reply.arrived
             )
-        end = AttemptEnd(self._result(reply), arrived=reply.arrived)
+        end = AttemptOutcome(self._result(reply), arrived=reply.arrived)
         if reply.code:
             end.why = f"code {reply.code}"
         primary = {self.names.primary: True, self.names.replica: False}.get(reply.role)
--- a/sedgepitch/routing/messages.py
+++ b/sedgepitch/routing/messages.py
@@ -134,7 +134,7 @@
         if self.tick < 0:
             raise ValueError("settings.tick: must not be negative")
         if self.max_attempts < 1:
-            raise ValueError("settings.most_attempts: at least one attempt is needed")
+            raise ValueError("settings.max_attempts: at least one attempt is needed")
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -14,7 +14,7 @@
 from sedgepitch.config.load import parse
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.types import AttemptEnd
+from sedgepitch.core.types import AttemptOutcome
 from sedgepitch.decisions.cursors import CursorTable
 from sedgepitch.decisions.positions import GroupPositions
 from sedgepitch.protocols.mongodb import bsonwalk, codec
@@ -48,7 +48,7 @@
         """Let the member answer."""
         body = bson.encode({"ok": 1.0, **(reply or {})})
         reply = MemberReply(body, bsonwalk.find(body, b"cursor"))
-        self.on_end(AttemptEnd(fields.pop("result", api.AttemptResult.OK), reply, **fields))
+        self.on_end(AttemptOutcome(fields.pop("result", api.AttemptResult.OK), reply, **fields))
 
 
 @dataclass
@@ -64,7 +64,7 @@
         return self.sent[-1]
 
     def probe(self, endpoint, on_end):
-        on_end(AttemptEnd(api.AttemptResult.OK, report=api.LoadReport(0.0, False)))
+        on_end(AttemptOutcome(api.AttemptResult.OK, report=api.LoadReport(0.0, False)))
 
     def close_idle(self, endpoint):
         pass
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -66,7 +66,7 @@
         """Peers that vanish are what the tests do."""
 
 
-class Member:
+class EmulatedEndpoint:
     """A member that writes what its script says for each statement, and keeps what it was sent."""
 
     def __init__(self, name: str, role: str) -> None:
@@ -175,7 +175,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.members = [Member("s-1", "writer"), Member("s-2", "reader")]
+        self.endpoints = [EmulatedEndpoint("s-1", "writer"), EmulatedEndpoint("s-2", "reader")]
         self.agent = Agent()
         self.agent.first = self.version(1)
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
@@ -184,7 +184,7 @@
         self.environment: dict[str, str] = {}  # added to the driver's
         self.log = folder / "driver.txt"
 
-    def listing(self, complete: bool = True, **changes: str) -> list[dict[str, Any]]:
+    def entries(self, complete: bool = True, **changes: str) -> list[dict[str, Any]]:
         """The members as discovery lists them; `changes` are phases by name with _ for -."""
         return [
             {
@@ -197,12 +197,12 @@
                 "up_since_ms": 0,
                 "access": m.role,
             }
-            for m in self.members
+            for m in self.endpoints
         ]
 
     def version(self, revision: int, complete: bool = True, **changes: str) -> bytes:
         """One line of discovery's."""
-        told = {"revision": revision, "complete": complete, "members": self.listing(**changes)}
+        told = {"revision": revision, "complete": complete, "members": self.entries(**changes)}
         return json.dumps(told).encode() + b"\n"
 
     def configure(self, agent: Agent | None = None, **changes: Any) -> None:
@@ -213,7 +213,7 @@
             "discovery": f"127.0.0.1:{(agent or self.agent).port}",
             "seed": "8c1f30d27a5be964",
             "limits": self.limits,
-            "known": {"revision": 0, "complete": True, "members": self.listing()},
+            "known": {"revision": 0, "complete": True, "members": self.entries()},
             "settings": SETUP,
             **changes,
         }
@@ -261,7 +261,7 @@
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
-        for part in (*self.members, self.agent):
+        for part in (*self.endpoints, self.agent):
             part.close()
 
 
--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -9,8 +9,8 @@
 
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.types import AttemptEnd
-from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.core.types import AttemptOutcome
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.protocols.postgresql import codec
 from sedgepitch.protocols.postgresql.client import ClientConnection, Front
 from sedgepitch.protocols.postgresql.codec import Reader
@@ -90,7 +90,7 @@
         self.engine = Engine(Router(settings, 1), self.endpoints, self.clock)
         entries = (entry(1, primary=True), entry(2), entry(3))
         self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
-        self.descriptors = Descriptors(sockets)
+        self.descriptors = DescriptorBudget(sockets)
         self.front = Front(self.engine, self.clock, self.engine.classes, WALL, self.descriptors)
         self.clients = 0
 
@@ -119,5 +119,5 @@
         """Let a member answer an attempt."""
         result = fields.pop("result", api.AttemptResult.OK)
         reply = ROW if result is api.AttemptResult.OK else None
-        self.endpoints.sent[index].on_end(AttemptEnd(result, reply, **fields))
+        self.endpoints.sent[index].on_end(AttemptOutcome(result, reply, **fields))
         self.turn()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,24 +10,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.core.types import Command, Verdict
-from sedgepitch.decisions.admission.controller import LEAST_ALLOWANCE, Door, DoorSettings
+from sedgepitch.core.types import ClientRequest, ResponseStatus
+from sedgepitch.decisions.admission.controller import LEAST_ALLOWANCE, AdmissionController, AdmissionSettings
 from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
-from sedgepitch.decisions.admission.messages import Admit, Arrival, TurnAway
-from sedgepitch.decisions.admission.reservations import GRACE, SLOT, Calendar
+from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit, Reject
+from sedgepitch.decisions.admission.reservations import GRACE, SLOT, ReservationSchedule
 from tests.support.mongodb_harness import Front
 
 
-def arrival(number: int, tenant: str = "a", **changes) -> Arrival:
-    base = Arrival(number, tenant, "c", "map", 1.0, 1.0, 0, False, f"{tenant}/{number}")
+def arrival(number: int, tenant: str = "a", **changes) -> AdmissionRequest:
+    base = AdmissionRequest(number, tenant, "c", "map", 1.0, 1.0, 0, False, f"{tenant}/{number}")
     return replace(base, **changes)
 
 
 class Fleet:
     """Servers behind a door in virtual time: requests let in go to a free server, else wait inside."""
 
-    def __init__(self, door: Door, servers: int, rng: random.Random) -> None:
-        self.door, self.free, self.rng, self.now = door, servers, rng, 0.0
+    def __init__(self, admission: AdmissionController, servers: int, rng: random.Random) -> None:
+        self.admission, self.free, self.rng, self.now = admission, servers, rng, 0.0
         self.inside: list[tuple[int, float]] = []
         self.heap: list[tuple[float, int, str, object]] = []
         self.order = 0
@@ -41,7 +41,7 @@
         self.order += 1
         heapq.heappush(self.heap, (when, self.order, what, item))
 
-    def ask(self, when: float, request: Arrival, cost: float) -> None:
+    def ask(self, when: float, request: AdmissionRequest, cost: float) -> None:
         self.cost[request.id], self.tenant[request.id] = cost, request.tenant
         self.at(when, "ask", request)
 
@@ -54,7 +54,7 @@
             number, _ = self.inside.pop(0)
             self.free -= 1
             self.at(self.now + self.cost[number], "done", number)
-            self.take(self.door.sent(number, self.now))
+            self.take(self.admission.sent(number, self.now))
 
     def run(self, until: float) -> None:
         ticks = 0.0
@@ -62,21 +62,21 @@
             self.now, _, what, item = heapq.heappop(self.heap)
             if self.now > ticks:
                 ticks = self.now + 0.01
-                self.take(self.door.tick(self.now))
+                self.take(self.admission.tick(self.now))
             if what == "ask":
-                self.take(self.door.arrive(item, self.now))
+                self.take(self.admission.arrive(item, self.now))
             else:
                 self.free += 1
                 tenant = self.tenant[item]
                 self.used[tenant] = self.used.get(tenant, 0.0) + self.cost[item]
-                self.take(self.door.ended(item, self.now, True))
-            self.most_held = max(self.most_held, self.door.held)
+                self.take(self.admission.ended(item, self.now, True))
+            self.most_held = max(self.most_held, self.admission.held)
 
 
 def flood(rates: dict[str, float], cost, seconds=20.0, servers=4, seed=1, **changes) -> Fleet:
     """Tenants that ask at these rates; `cost` gives a request's true cost by tenant."""
     rng = random.Random(seed)
-    fleet = Fleet(Door(DoorSettings(**changes), seed, 0.0), servers, rng)
+    fleet = Fleet(AdmissionController(AdmissionSettings(**changes), seed, 0.0), servers, rng)
     number = 0
     for tenant, rate in rates.items():
         when = 0.0
@@ -126,15 +126,19 @@
 
 def test_memory_stays_flat_over_ten_thousand_clients_that_ask_once():
     rng = random.Random(1)
-    fleet = Fleet(Door(DoorSettings(most_held=200, most_debts=100, most_promises=500), 1, 0.0), 2, rng)
+    fleet = Fleet(
+        AdmissionController(AdmissionSettings(most_held=200, most_debts=100, most_promises=500), 1, 0.0),
+        2,
+        rng,
+    )
     for number in range(10_000):
         fleet.ask(number / 2000.0, arrival(number, f"t{number}"), 0.01)
     fleet.run(60.0)
-    door = fleet.door
+    admission = fleet.admission
     assert fleet.most_held <= 200
-    assert len(door.refused) <= 500
-    assert not door.tickets and not door.held and not len(door.wheel)
-    for room in door.rooms.values():
+    assert len(admission.refused) <= 500
+    assert not admission.tickets and not admission.held and not len(admission.wheel)
+    for room in admission.rooms.values():
         assert len(room.queue.debts) <= 100
         assert len(room.calendar.all) <= 500
         assert not room.queue.tenants
@@ -143,7 +147,7 @@
 
 def test_those_who_come_when_told_are_served():
     rng = random.Random(3)
-    fleet = Fleet(Door(DoorSettings(), 3, 0.0), 4, rng)
+    fleet = Fleet(AdmissionController(AdmissionSettings(), 3, 0.0), 4, rng)
     number, promised, kept = 0, {}, 0
     when = 0.0
     while (when := when + rng.expovariate(800.0)) < 12.0:  # twice what the fleet can do
@@ -154,7 +158,7 @@
         fleet.run(second * 0.01)
         for n, verdicts in list(fleet.verdicts.items()):
             for verdict in verdicts:
-                if isinstance(verdict, TurnAway) and verdict.retry_after > 0 and n not in promised:
+                if isinstance(verdict, Reject) and verdict.retry_after > 0 and n not in promised:
                     promised[n] = fleet.now + verdict.retry_after
                     number += 1
                     again = arrival(number, fleet.tenant[n], mark=f"m{n}", time_left=0.5)
@@ -167,7 +171,7 @@
 
 
 def test_a_promise_holds_in_its_slot_not_before_and_once():
-    calendar = Calendar(100, 5.0, 1)
+    calendar = ReservationSchedule(100, 5.0, 1)
     assert calendar.promise("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # nothing measured yet
     calendar.measured(1.0, 10.0)
     told = calendar.promise("x", "t", 0.01, 1.0, 0.2, 10.0)
@@ -181,7 +185,7 @@
 
 
 def test_promises_never_exceed_the_room_and_the_latest_end_when_it_falls():
-    calendar = Calendar(10_000, 5.0, 1)
+    calendar = ReservationSchedule(10_000, 5.0, 1)
     calendar.measured(4.0, 0.0)
     told = [calendar.promise(f"c{n}", "t", 0.01, 1.0, 0.0, 0.0) for n in range(2000)]
     assert None in told
@@ -194,7 +198,7 @@
 
 
 def test_a_tenant_that_is_refused_most_books_no_more_than_its_share():
-    calendar = Calendar(10_000, 2.0, 1)
+    calendar = ReservationSchedule(10_000, 2.0, 1)
     calendar.measured(4.0, 0.0)
     for n in range(2000):
         calendar.promise(f"noisy {n}", "noisy", 0.01, 0.5, 0.0, 0.0)
@@ -210,7 +214,7 @@
     )
 )
 def test_a_calendars_books_always_add_up(steps):
-    calendar, now = Calendar(30, 2.0, 1), 0.0
+    calendar, now = ReservationSchedule(30, 2.0, 1), 0.0
     for tenant, cost, passed, what in steps:
         now += passed
         if what == 0:
@@ -228,72 +232,74 @@
 
 
 def test_retries_stay_within_their_share_when_everything_fails():
-    door, now, admitted = Door(DoorSettings(), 1, 0.0), 0.0, 0
+    admission, now, admitted = AdmissionController(AdmissionSettings(), 1, 0.0), 0.0, 0
     for number in range(500):
         now += 0.002
-        door.arrive(arrival(number, key=f"m{number}"), now)
-        door.sent(number, now)
-        door.ended(number, now + 0.001, False)
+        admission.arrive(arrival(number, key=f"m{number}"), now)
+        admission.sent(number, now)
+        admission.ended(number, now + 0.001, False)
     for number in range(500, 1500):  # all of them come back twice, at once
         now += 0.0001
-        decisions = door.arrive(arrival(number, key=f"m{number % 500}"), now)
+        decisions = admission.arrive(arrival(number, key=f"m{number % 500}"), now)
         if isinstance(decisions[0], Admit):
             admitted += 1
-            door.sent(number, now)
-            door.ended(number, now, False)
+            admission.sent(number, now)
+            admission.ended(number, now, False)
     assert admitted <= 0.2 * 500 + 6
 
 
 def test_a_client_that_goes_on_asking_is_not_taken_for_one_that_tries_again():
-    door = Door(DoorSettings(), 1, 0.0)
+    admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     for number in range(300):  # one connection, no key, all refused inside
-        door.arrive(arrival(number, mark="one connection"), number * 0.001)
-        door.ended(number, number * 0.001, False)
-    assert isinstance(door.arrive(arrival(1000, mark="one connection"), 0.4)[0], Admit)
+        admission.arrive(arrival(number, mark="one connection"), number * 0.001)
+        admission.ended(number, number * 0.001, False)
+    assert isinstance(admission.arrive(arrival(1000, mark="one connection"), 0.4)[0], Admit)
 
 
 def test_a_request_that_cannot_be_reached_in_time_is_refused_at_once():
     fleet = flood({"a": 2000.0}, lambda t: 0.01, seconds=5.0)
-    late = fleet.door.arrive(arrival(10**6, "a", client="a-0", time_left=0.001), fleet.now)
-    assert isinstance(late[0], TurnAway)
+    late = fleet.admission.arrive(arrival(10**6, "a", client="a-0", time_left=0.001), fleet.now)
+    assert isinstance(late[0], Reject)
     assert late[0].why == "its turn would come too late"
 
 
 def test_the_allowance_falls_with_refusals_inside_and_grows_again():
-    door = Door(DoorSettings(), 1, 0.0)
+    admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     for number in range(40):
-        door.arrive(arrival(number), 0.0)
-        door.ended(number, 0.1, False)
-    (room,) = door.rooms.values()
+        admission.arrive(arrival(number), 0.0)
+        admission.ended(number, 0.1, False)
+    (room,) = admission.rooms.values()
     assert room.allowance == LEAST_ALLOWANCE
     for number in range(100, 1000):
-        door.arrive(arrival(number), 1.0)
-        door.sent(number, 1.001)
-        door.ended(number, 1.01, True)
+        admission.arrive(arrival(number), 1.0)
+        admission.sent(number, 1.001)
+        admission.ended(number, 1.01, True)
     assert room.allowance == 8.0
     assert room.waiting_inside == room.inside == 0
 
 
 def test_the_least_worthy_of_the_fullest_tenant_makes_room():
-    door = Door(DoorSettings(most_held=20, most_waiting_inside=2, most_at_a_turn=2), 1, 0.0)
+    admission = AdmissionController(
+        AdmissionSettings(most_held=20, most_waiting_inside=2, most_at_a_turn=2), 1, 0.0
+    )
     for number in range(22):
-        door.arrive(arrival(number, "noisy", priority_weight=1.0 if number % 2 else 6.0), 0.0)
-    out = door.arrive(arrival(100, "quiet"), 0.0)
-    assert [type(d) for d in out] == [TurnAway]
+        admission.arrive(arrival(number, "noisy", priority_weight=1.0 if number % 2 else 6.0), 0.0)
+    out = admission.arrive(arrival(100, "quiet"), 0.0)
+    assert [type(d) for d in out] == [Reject]
     assert out[0].id % 2 == 1  # worth 1
-    assert door.held == 20
+    assert admission.held == 20
 
 
 def test_new_weights_lose_nothing_that_waits():
-    door = Door(DoorSettings(most_waiting_inside=2, most_at_a_turn=2), 1, 0.0)
+    admission = AdmissionController(AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, 0.0)
     for number in range(12):
-        door.arrive(arrival(number, "ab"[number % 2]), 0.0)
-    assert door.held == 10
-    door.reload(DoorSettings(weights={"a": 9.0}, most_waiting_inside=2, most_at_a_turn=2))
+        admission.arrive(arrival(number, "ab"[number % 2]), 0.0)
+    assert admission.held == 10
+    admission.reload(AdmissionSettings(weights={"a": 9.0}, most_waiting_inside=2, most_at_a_turn=2))
     let_in = []
     for number in range(12):
-        let_in += [d.id for d in door.sent(number, 0.1)] if number in (0, 1, *let_in) else []
-    assert door.held == 0
+        let_in += [d.id for d in admission.sent(number, 0.1)] if number in (0, 1, *let_in) else []
+    assert admission.held == 0
 
 
 @settings(max_examples=200, deadline=None)
@@ -328,7 +334,9 @@
 def test_each_request_is_decided_once_and_the_same_calls_give_the_same_decisions(seed):
     def day() -> tuple[dict, int]:
         rng = random.Random(seed)
-        door = Door(DoorSettings(most_held=15, most_waiting_inside=3, most_promises=20), seed, 0.0)
+        admission = AdmissionController(
+            AdmissionSettings(most_held=15, most_waiting_inside=3, most_promises=20), seed, 0.0
+        )
         now, open_, told = 0.0, {}, {}
 
         def take(decisions):
@@ -345,18 +353,18 @@
             now = max(now, 0.0)
             open_[number] = "held"
             mark = f"m{rng.randrange(30)}"
-            changes = {"worth": rng.choice([1.0, 6.0]), "time_left": rng.choice([0.01, 0.3, 2.0])}
-            take(door.arrive(arrival(number, f"t{rng.randrange(5)}", mark=mark, **changes), now))
+            changes = {"priority_weight": rng.choice([1.0, 6.0]), "time_left": rng.choice([0.01, 0.3, 2.0])}
+            take(admission.arrive(arrival(number, f"t{rng.randrange(5)}", mark=mark, **changes), now))
             for other in list(open_):
                 draw = rng.random()
                 if draw < 0.1 and open_.get(other) == "in":
-                    take(door.sent(other, now))
+                    take(admission.sent(other, now))
                 elif draw < 0.2 and other in open_:
                     del open_[other]
-                    take(door.ended(other, now, rng.random() < 0.8))
-            take(door.tick(now))
-            assert door.held == sum(state == "held" for state in open_.values()) <= 15
-            assert set(door.tickets) == set(open_)
+                    take(admission.ended(other, now, rng.random() < 0.8))
+            take(admission.tick(now))
+            assert admission.held == sum(state == "held" for state in open_.values()) <= 15
+            assert set(admission.tickets) == set(open_)
         return told, len(open_)
 
     assert day() == day()
@@ -364,35 +372,39 @@
 
 def test_before_the_module_a_held_request_is_owed_an_answer_like_any_other():
     front = Front()
-    front.engine.door = Door(DoorSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now())
+    front.engine.admission = AdmissionController(
+        AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now()
+    )
     for endpoint in front.engine.router.endpoints.values():
         endpoint.limit = 0.0  # the module has room nowhere
     answers = []
     for number in range(8):
-        command = Command("note", 0, 0.5, "payload", tenant="t", client=str(number), mark=str(number))
+        command = ClientRequest("note", 0, 0.5, "payload", tenant="t", client=str(number), mark=str(number))
         front.engine.submit(command, answers.append)
     front.turn()
-    assert front.engine.door.held == 6
+    assert front.engine.admission.held == 6
     assert len(front.engine.router.requests) == 2
     for _ in range(60):
         front.turn(0.01)
     assert len(answers) == 8
-    assert {a.verdict for a in answers} == {Verdict.REFUSED}
-    assert not front.engine.ledger.accounts
+    assert {a.verdict for a in answers} == {ResponseStatus.REJECTED}
+    assert not front.engine.request_table.accounts
     assert front.engine.overdue == 0
-    assert not front.engine.door.tickets
+    assert not front.engine.admission.tickets
 
 
 def test_a_client_that_leaves_while_held_is_let_go():
     front = Front()
-    front.engine.door = Door(DoorSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now())
+    front.engine.admission = AdmissionController(
+        AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now()
+    )
     for endpoint in front.engine.router.endpoints.values():
         endpoint.limit = 0.0
     accounts = [
-        front.engine.submit(Command("note", 0, 0.5, "p", mark=str(n)), lambda a: None) for n in range(4)
+        front.engine.submit(ClientRequest("note", 0, 0.5, "p", mark=str(n)), lambda a: None) for n in range(4)
     ]
     front.turn()
     front.engine.gone(accounts[3])
     front.turn()
-    assert front.engine.door.held == 1
-    assert accounts[3].id not in front.engine.door.tickets
+    assert front.engine.admission.held == 1
+    assert accounts[3].id not in front.engine.admission.tickets
--- a/tests/test_admission_objectives.py
+++ b/tests/test_admission_objectives.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from sedgepitch.decisions.admission.controller import Door, DoorSettings
-from sedgepitch.decisions.admission.messages import Admit, TurnAway
+from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.decisions.admission.messages import Admit, Reject
 from tests.test_admission import Fleet, arrival
 
 AIM = 0.2
@@ -16,8 +16,8 @@
 class Timed(Fleet):
     """A fleet that notes when each request came and when it was answered, and whose members may slow down."""
 
-    def __init__(self, door: Door, servers: int, rng: random.Random) -> None:
-        super().__init__(door, servers, rng)
+    def __init__(self, admission: AdmissionController, servers: int, rng: random.Random) -> None:
+        super().__init__(admission, servers, rng)
         self.came: dict[int, float] = {}
         self.took: dict[int, float] = {}
 
@@ -26,20 +26,20 @@
         self.came[request.id] = when
 
     def run(self, until: float) -> None:
-        ended = self.door.ended
+        ended = self.admission.ended
 
         def noted(number, now, served, heard=0.0):
             self.took[number] = now - self.came[number]
             return ended(number, now, served, heard)
 
-        self.door.ended = noted
+        self.admission.ended = noted
         super().run(until)
 
 
 def play(rates, cost=lambda now: 0.01, seconds=20.0, servers=5, seed=1, **changes) -> Timed:
     """`rates` gives each tenant's rate by the present time; `cost` the members' time for a request then."""
     rng = random.Random(seed)
-    fleet = Timed(Door(DoorSettings(**changes), seed, 0.0), servers, rng)
+    fleet = Timed(AdmissionController(AdmissionSettings(**changes), seed, 0.0), servers, rng)
     number = 0
     for tenant, rate in rates.items():
         when = 0.0
@@ -128,24 +128,24 @@
 
 def test_work_that_would_come_late_is_refused_early():
     fleet = play({"public": lambda now: 1600.0})
-    refused = [n for n, v in fleet.verdicts.items() if isinstance(v[-1], TurnAway)]
+    refused = [n for n, v in fleet.verdicts.items() if isinstance(v[-1], Reject)]
     assert refused
     assert not any(isinstance(fleet.verdicts[n][0], Admit) for n in refused)
     assert of_served(fleet) > 0.9
 
 
 def test_a_write_that_is_worth_something_late_may_wait_longer_than_its_aim():
-    door = Door(DoorSettings(), 1, 0.0)
-    patient = door._patience(arrival(1, time_left=2.0, latency_objective=0.0))
-    hurried = door._patience(arrival(2, time_left=2.0, latency_objective=AIM))
+    admission = AdmissionController(AdmissionSettings(), 1, 0.0)
+    patient = admission._patience(arrival(1, time_left=2.0, latency_objective=0.0))
+    hurried = admission._patience(arrival(2, time_left=2.0, latency_objective=AIM))
     assert patient == pytest.approx(0.8)
     assert hurried < AIM
 
 
 def test_the_drivers_own_limit_leaves_each_room_its_part():
-    door = Door(DoorSettings(), 1, 0.0)
-    door.own_limit = 8.0
-    reads = [door.arrive(arrival(n, "public", latency_objective=AIM), 0.0) for n in range(40)]
+    admission = AdmissionController(AdmissionSettings(), 1, 0.0)
+    admission.own_limit = 8.0
+    reads = [admission.arrive(arrival(n, "public", latency_objective=AIM), 0.0) for n in range(40)]
     assert sum(isinstance(d[0], Admit) for d in reads if d) == 8
-    assert isinstance(door.arrive(arrival(100, "stations", primary_only=True), 0.0)[0], Admit)
-    assert isinstance(door.arrive(arrival(101, "stations", primary_only=True), 0.0)[0], Admit)
+    assert isinstance(admission.arrive(arrival(100, "stations", primary_only=True), 0.0)[0], Admit)
+    assert isinstance(admission.arrive(arrival(101, "stations", primary_only=True), 0.0)[0], Admit)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -8,7 +8,7 @@
 from sedgepitch.decisions.discovery import watch_streams as watches
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState
-from tests.support.platform import WITHIN, Member, Platform, look
+from tests.support.platform import WITHIN, EmulatedEndpoint, Platform, look
 from tests.support.postgresql_harness import Stage, read, write
 from tests.support.router_harness import Rig, entry, sends
 
@@ -92,7 +92,7 @@
         if number in (5_000, 30_000):
             stage.pass_by(3.0)
             marks.append(sizes(stage.engine) + sizes(stage.front))
-    assert not stage.front.open_ids and not stage.engine.ledger.accounts
+    assert not stage.front.open_ids and not stage.engine.request_table.accounts
     assert marks[1] <= marks[0] * 1.1 + 50, marks
 
 
@@ -124,7 +124,7 @@
         for number in range(1, 12):
             assert client.ask(look(number))[0] == "value"
         assert old.statements
-        moved = platform.endpoints[1] = Member("s-2", "reader")
+        moved = platform.endpoints[1] = EmulatedEndpoint("s-2", "reader")
         platform.agent.say(platform.version(2, complete=False))
         platform.wait_for("list revision=2")
         before = len(old.statements)
--- a/tests/test_capacity_estimate.py
+++ b/tests/test_capacity_estimate.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from sedgepitch.decisions.admission.capacity_estimate import LEAST, RoomLimit
+from sedgepitch.decisions.admission.capacity_estimate import LEAST, CapacityEstimate
 from sedgepitch.decisions.admission.process_concurrency_limit import LEAST as OWN_LEAST
-from sedgepitch.decisions.admission.process_concurrency_limit import START, OwnLimit
+from sedgepitch.decisions.admission.process_concurrency_limit import START, ProcessConcurrencyLimit
 
 
 def play(servers: int, offered, service, seconds: float, seed: int = 1, names=("read",)) -> dict:
@@ -19,7 +19,7 @@
     `offered` and `service` give rate and mean time by the present time; returns answers as (sent, took).
     """
     rng = random.Random(seed)
-    limit, now, inside = RoomLimit(0.0), 0.0, 0
+    limit, now, inside = CapacityEstimate(0.0), 0.0, 0
     free = [0.0] * servers
     ending: list[tuple[float, float, str]] = []
     done: list[tuple[float, float]] = []
@@ -110,7 +110,7 @@
 
 
 def test_answers_of_a_fraction_of_a_millisecond_set_no_limit():
-    rng, limit = random.Random(1), RoomLimit(0.0)
+    rng, limit = random.Random(1), CapacityEstimate(0.0)
     for step in range(20_000):
         now = step * 0.001
         limit.inside(32, now)
@@ -120,7 +120,7 @@
 
 
 def test_answers_that_took_no_time_of_a_class_without_an_aim_set_no_limit():
-    limit = RoomLimit(0.0)
+    limit = CapacityEstimate(0.0)
     for step in range(40):
         limit.inside(4, step * 0.1)
         limit.answered("upload", 0.0, 0.0, step * 0.1)
@@ -132,7 +132,7 @@
 # The driver's own load
 
 
-def waits(limit: OwnLimit, seconds: float, wait: float, inside: int, now: float) -> float:
+def waits(limit: ProcessConcurrencyLimit, seconds: float, wait: float, inside: int, now: float) -> float:
     """Many equal waits for so long; returns the time afterwards."""
     for _ in range(int(seconds / 0.01)):
         now += 0.01
@@ -141,7 +141,7 @@
 
 
 def test_a_driver_that_is_late_carries_less_and_grows_back_when_it_is_not():
-    limit = OwnLimit(0.02)
+    limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 2.0, 0.0005, 64, 0.0)
     high = limit.limit
     assert high > START, "used and quick, it may carry more"
@@ -153,7 +153,7 @@
 
 
 def test_one_pause_is_one_cut():
-    limit = OwnLimit(0.02)
+    limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 1.0, 0.0005, 10, 0.0)
     before = limit.limit
     limit.waited(0.4, 10, now + 0.2)
@@ -166,7 +166,7 @@
 
 
 def test_requests_are_refused_unread_only_in_spans_of_long_waits_and_only_if_they_waited():
-    limit = OwnLimit(0.02)
+    limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 1.0, 0.03, 10, 0.0)
     assert not limit.swamped(0.5, True), "late, but not swamped"
     now = waits(limit, 0.5, 0.2, 10, now)
@@ -179,11 +179,11 @@
 
 
 def test_unread_requests_of_the_busiest_tenant_are_refused_first():
-    from sedgepitch.decisions.admission.controller import Door, DoorSettings
+    from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
     from tests.support.mongodb_harness import Front, command, replies
 
     front = Front()
-    door = front.engine.door = Door(DoorSettings(), 1, front.clock.now())
+    admission = front.engine.admission = AdmissionController(AdmissionSettings(), 1, front.clock.now())
     front.context.tenant_of = ("app_name", "address")
     connection, transport = front.client()
     connection.app_name = "public"
@@ -191,11 +191,11 @@
     front.turn(0.4)
     waits(front.engine.own, 0.5, 0.3, 10, front.clock.now())
     for number, busiest, unread in ((2, "council", 0), (3, "public", 1)):
-        door.busiest = busiest
+        admission.busiest = busiest
         transport.arrived = front.clock.now() - 0.05
         connection.dataReceived(command(number, find="readings", comment="history-read", maxTimeMS=300))
         assert front.engine.too_many == unread
-        door.busiest = busiest
+        admission.busiest = busiest
         front.turn(0.4)
         response_to, last = replies(transport)[-1]
         assert response_to == number
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -10,12 +10,12 @@
     SPARED,
     TAKE_WITHIN,
     TALK_WITHIN,
-    Visitors,
+    ClientConnections,
 )
 
 
 def test_time_to_speak_counts_from_the_start_whatever_trickles_in():
-    held: Visitors[str] = Visitors(10)
+    held: ClientConnections[str] = ClientConnections(10)
     held.came("silent", 0.0)
     held.came("slow", 0.5)
     for step in range(1, 20):
@@ -31,7 +31,7 @@
 
 
 def test_the_one_resting_longest_goes_where_too_many_rest_and_one_that_asks_again_is_young():
-    held: Visitors[int] = Visitors(12)
+    held: ClientConnections[int] = ClientConnections(12)
     assert [held.rests(n, float(n)) for n in range(3)] == [None, None, None]
     held.busy(0)
     assert held.rests(0, 3.0) is None
@@ -39,7 +39,7 @@
 
 
 def test_room_comes_from_the_long_silent_then_the_resting_then_any_silent_and_never_the_busy():
-    held: Visitors[str] = Visitors(12)
+    held: ClientConnections[str] = ClientConnections(12)
     held.came("old", 0.0)
     held.came("new", 5.0)
     held.rests("idle", 1.0)
@@ -63,7 +63,7 @@
 
 @given(EVENTS)
 def test_in_any_order_a_connection_stands_in_one_place_and_what_left_in_none(events):
-    held: Visitors[int] = Visitors(9)
+    held: ClientConnections[int] = ClientConnections(9)
     for now, (what, key) in enumerate(events):
         if what in ("spoke", "busy", "unstuck", "left"):
             getattr(held, what)(key)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -71,14 +71,14 @@
     assert {"upload", "upload/unsafe", "map-read", "map-read/session", "map-read/fresh"} <= {
         c.name for c in told.classes
     }
-    assert told.subscribe and told.rules.drain_grace == 0.5
+    assert told.subscription_required and told.rules.drain_grace == 0.5
 
 
 def test_every_package_that_the_extra_asks_for_is_pinned():
     root = Path(__file__).parent.parent / "requirements"
     asked = {x.lower().replace("_", "-") for x in _names(root / "run.in")}
-    pinned = {x.lower().replace("_", "-") for x in _names(root / "run.txt")}
-    assert asked <= pinned
+    sticky = {x.lower().replace("_", "-") for x in _names(root / "run.txt")}
+    assert asked <= sticky
 
 
 def _names(path: Path) -> list[str]:
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from sedgepitch.core.connection_pool import Pool, PoolLimits
+from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
 from sedgepitch.core.engine import OVERDUE, TICK
-from sedgepitch.core.types import AttemptEnd, Command, Verdict
-from sedgepitch.decisions.event_loop_lag import Pace
+from sedgepitch.core.types import AttemptOutcome, ClientRequest, ResponseStatus
+from sedgepitch.decisions.event_loop_lag import EventLoopLag
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
 from tests.support.mongodb_harness import Front
@@ -21,11 +21,11 @@
 
 def state(front: Front) -> dict:
     """What must be the same whether a callback raised or not."""
-    router, ledger = front.engine.router, front.engine.ledger
+    router, request_table = front.engine.router, front.engine.request_table
     return {
-        "accounts": len(ledger.accounts),
-        "owed": ledger.owed,
-        "settled": ledger.settled,
+        "accounts": len(request_table.accounts),
+        "owed": request_table.pending,
+        "settled": request_table.settled,
         "module_requests": len(router.requests),
         "out_at_members": sum(len(m.out) for m in router.endpoints.values()),
         "probing": [m.id for m in router.endpoints.values() if m.probing],
@@ -33,13 +33,13 @@
     }
 
 
-def day(boundary: str | None, door: bool = False) -> tuple[dict, Front, dict[int, list]]:
+def day(boundary: str | None, admission: bool = False) -> tuple[dict, Front, dict[int, list]]:
     """Twelve requests, every third of which meets the raising callback; members answer all they get."""
     front = Front()
-    if door:
-        from sedgepitch.decisions.admission.controller import Door, DoorSettings
+    if admission:
+        from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
 
-        front.engine.door = Door(DoorSettings(), 1, front.clock.now())
+        front.engine.admission = AdmissionController(AdmissionSettings(), 1, front.clock.now())
     for endpoint in (2, 3):
         front.engine.feed(
             api.HealthCheckFinished(
@@ -67,7 +67,7 @@
     def probe(endpoint, on_end):
         if boundary == "probe":
             raise Broken
-        on_end(AttemptEnd(AttemptResult.OK, report=api.LoadReport(front.clock.now(), False)))
+        on_end(AttemptOutcome(AttemptResult.OK, report=api.LoadReport(front.clock.now(), False)))
 
     def log(text):
         raise Broken
@@ -86,7 +86,7 @@
                 raise Broken
 
         class_name = ("upload", "map-read", "history-read")[n % 3]
-        front.engine.submit(Command(class_name, 0, 0.5, f"payload {n}"), answered)
+        front.engine.submit(ClientRequest(class_name, 0, 0.5, f"payload {n}"), answered)
     for _ in range(6):
         front.turn()
         for sent in front.endpoints.sent:
@@ -102,19 +102,19 @@
     return lambda now, events: [api.LogMessage("a line"), *handle(now, events)]
 
 
-@pytest.mark.parametrize("door", [False, True])
+@pytest.mark.parametrize("admission", [False, True])
 @pytest.mark.parametrize("boundary", BOUNDARIES)
-def test_what_raises_at_a_boundary_leaves_the_same_state_behind(boundary, door):
-    calm, _, _ = day(None, door)
-    after, front, got = day(boundary, door)
+def test_what_raises_at_a_boundary_leaves_the_same_state_behind(boundary, admission):
+    calm, _, _ = day(None, admission)
+    after, front, got = day(boundary, admission)
     assert all(len(answers) == 1 for answers in got.values()), "each request has exactly one answer"
     assert after == calm
     assert calm["out_at_members"] == calm["accounts"] == calm["module_requests"] == 0
     if boundary != "probe" or front.engine.faults:
         assert front.engine.faults > 0
-    if door:
-        assert not front.engine.door.tickets
-        assert all(not room.inside for room in front.engine.door.rooms.values())
+    if admission:
+        assert not front.engine.admission.tickets
+        assert all(not room.inside for room in front.engine.admission.rooms.values())
 
 
 def test_a_raising_answer_is_told_in_one_call():
@@ -125,7 +125,7 @@
     def answered(answer):
         raise Broken
 
-    front.engine.submit(Command("upload", 0, 0.5, "payload"), answered)
+    front.engine.submit(ClientRequest("upload", 0, 0.5, "payload"), answered)
     front.turn()
     front.endpoints.sent[0].answer()
     front.turn()
@@ -137,14 +137,14 @@
 
 def ask(front: Front, class_name: str = "map-read", time_left: float = 0.5, arrived: float | None = None):
     got: list = []
-    account = front.engine.submit(Command(class_name, 0, time_left, "payload"), got.append, arrived)
+    account = front.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), got.append, arrived)
     return account, got
 
 
 def make_late(front: Front, by: float) -> None:
     """Two pauses, so that they count."""
     for _ in range(2):
-        front.engine.pace.waited(by, front.clock.now())
+        front.engine.event_loop_lag.waited(by, front.clock.now())
         front.task.advance(0.3)
 
 
@@ -156,9 +156,9 @@
     assert len(front.endpoints.sent) == 1
     front.turn(0.21)
     front.turn(0.03)
-    assert [a.verdict for a in got] == [Verdict.FAILED]
+    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
     _, got = ask(front, "upload", 0.5, front.clock.now() - 0.6)
-    assert [a.verdict for a in got] == [Verdict.REFUSED], "its time was up before it was read"
+    assert [a.verdict for a in got] == [ResponseStatus.REJECTED], "its time was up before it was read"
 
 
 def test_what_the_module_sees_late_has_no_more_time_than_its_client():
@@ -174,7 +174,7 @@
     assert arrived[0] < 0.21
     _, got = ask(front, "upload", 0.5)
     front.turn(0.51)
-    assert [a.verdict for a in got] == [Verdict.REFUSED], "not sent when its time is over"
+    assert [a.verdict for a in got] == [ResponseStatus.REJECTED], "not sent when its time is over"
     assert len(front.endpoints.sent) == 1
 
 
@@ -183,12 +183,12 @@
     front.engine._carry = {kind: lambda action: None for kind in front.engine._carry}
     _, got = ask(front, "upload", 0.3)
     front.turn(0.4)  # stands still: reserve is now far above what the last guard waits
-    assert front.engine.pace.reserve(front.clock.now()) > 5 * OVERDUE
+    assert front.engine.event_loop_lag.reserve(front.clock.now()) > 5 * OVERDUE
     assert not got, "the module is asked first"
-    front.engine.pace = Pace()  # and is on time from here on
+    front.engine.event_loop_lag = EventLoopLag()  # and is on time from here on
     front.turn(OVERDUE)
     front.turn(TICK)
-    assert [a.verdict for a in got] == [Verdict.REFUSED]
+    assert [a.verdict for a in got] == [ResponseStatus.REJECTED]
     assert front.engine.overdue == 1
 
 
@@ -207,7 +207,7 @@
     front = Front()
     make_late(front, 0.3)
     _, got = ask(front, "history-read", 0.25)
-    assert [a.verdict for a in got] == [Verdict.REFUSED]
+    assert [a.verdict for a in got] == [ResponseStatus.REJECTED]
     assert got[0].retry_after > 0
     assert not front.endpoints.sent
     assert front.engine.too_slow == 1
@@ -222,7 +222,7 @@
     make_late(front, 0.4)  # with less than that left, the module still counting on the whole time
     front.turn(0.011)
     front.turn(0.011)
-    assert [a.verdict for a in got] == [Verdict.REFUSED], "a read may be tried again"
+    assert [a.verdict for a in got] == [ResponseStatus.REJECTED], "a read may be tried again"
     assert front.engine.hurried == 1
     assert not front.engine.router.requests
     front.endpoints.sent[0].answer()
@@ -237,7 +237,7 @@
     front.task.rightNow += 0.2  # the loop has not looked at its timers since
     front.engine.before_reading()
     front.turn()
-    assert [a.verdict for a in got] == [Verdict.FAILED]
+    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
 
 
 def test_in_a_late_drivers_long_turn_answers_do_not_wait_for_the_last_moment():
@@ -248,7 +248,7 @@
     front.task.rightNow = 1000.0 + 0.5 - 0.04
     front.engine.before_reading()
     front.turn()
-    assert [a.verdict for a in got] == [Verdict.FAILED]
+    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
 
 
 # Nothing is sent after the answer, and nothing long after its decision
@@ -280,10 +280,10 @@
         return True
 
 
-def pool_and_wires(front: Front) -> tuple[Pool, Wires]:
+def pool_and_wires(front: Front) -> tuple[ConnectionPool, Wires]:
     wires = Wires()
-    judge = lambda exchange, reply: AttemptEnd(AttemptResult.OK, reply)  # noqa: E731
-    return Pool(front.clock, wires.connector, judge, PoolLimits()), wires
+    judge = lambda exchange, reply: AttemptOutcome(AttemptResult.OK, reply)  # noqa: E731
+    return ConnectionPool(front.clock, wires.connector, judge, PoolLimits()), wires
 
 
 def test_an_exchange_that_waits_for_its_connection_is_taken_back_on_the_answer():
@@ -298,7 +298,7 @@
     wires.opening[0](wires)
     front.turn()
     assert not wires.sent
-    assert not front.engine.ledger.accounts
+    assert not front.engine.request_table.accounts
     assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
@@ -331,6 +331,6 @@
 
     told = {c.name: c for c in parse(EXAMPLE, "example").module_settings().classes}
     assert told["map-read"].max_staleness == pytest.approx(0.45)
-    assert told["upload"].window == pytest.approx(0.95)
+    assert told["upload"].deduplication_window == pytest.approx(0.95)
     with pytest.raises(SettingsError, match="handover_within"):
         parse(EXAMPLE + "\nlimits: {handover_within: 300 ms}\n", "example")
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -5,49 +5,49 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.decisions.event_loop_lag import COME_BACK, FLOOR, SPAN, SPANS, Pace
+from sedgepitch.decisions.event_loop_lag import COME_BACK, FLOOR, SPAN, SPANS, EventLoopLag
 
 WINDOW = SPAN * SPANS
 
 
 def test_one_pause_is_half_a_forecast_and_the_second_is_believed_at_once():
-    pace = Pace()
-    pace.waited(0.3, 10.0)
-    assert pace.reserve(10.0) == 0.15
-    pace.waited(0.2, 10.0 + SPAN)
-    assert pace.reserve(10.0 + SPAN) == 0.2
-    assert pace.peak == 0.3
+    event_loop_lag = EventLoopLag()
+    event_loop_lag.waited(0.3, 10.0)
+    assert event_loop_lag.reserve(10.0) == 0.15
+    event_loop_lag.waited(0.2, 10.0 + SPAN)
+    assert event_loop_lag.reserve(10.0 + SPAN) == 0.2
+    assert event_loop_lag.peak == 0.3
 
 
 def test_many_waits_of_one_pause_are_one_pause():
-    pace = Pace()
+    event_loop_lag = EventLoopLag()
     for n in range(200):  # all that waited while the process stood still is read in the next turn
-        pace.waited(0.3 - n * 0.001, 10.0 + n * 1e-5)
-    assert pace.reserve(10.01) == 0.15
+        event_loop_lag.waited(0.3 - n * 0.001, 10.0 + n * 1e-5)
+    assert event_loop_lag.reserve(10.01) == 0.15
 
 
 def test_the_reserve_is_forgotten_after_the_window_and_says_so_before():
-    pace = Pace()
-    pace.waited(0.3, 10.0)
-    pace.waited(0.3, 11.0)
-    clears = pace.clears_in(0.1, 11.0)
-    assert pace.reserve(11.0 + clears - 0.01) >= 0.1
-    assert pace.reserve(11.0 + clears + 0.01) < 0.1
-    assert pace.clears_in(0.1, 30.0) == COME_BACK
+    event_loop_lag = EventLoopLag()
+    event_loop_lag.waited(0.3, 10.0)
+    event_loop_lag.waited(0.3, 11.0)
+    clears = event_loop_lag.clears_in(0.1, 11.0)
+    assert event_loop_lag.reserve(11.0 + clears - 0.01) >= 0.1
+    assert event_loop_lag.reserve(11.0 + clears + 0.01) < 0.1
+    assert event_loop_lag.clears_in(0.1, 30.0) == COME_BACK
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 1)), max_size=60), st.floats(0, 3))
 def test_reserve_is_the_longest_but_one_of_the_spans_or_half_of_the_longest(waits, later):
-    pace, now, model = Pace(), 100.0, {}
+    event_loop_lag, now, model = EventLoopLag(), 100.0, {}
     for gap, wait in waits:
         now += gap
-        pace.waited(wait, now)
+        event_loop_lag.waited(wait, now)
         if wait > FLOOR:
             model[int(now / SPAN)] = max(model.get(int(now / SPAN), 0.0), wait)
     now += later
     kept = sorted(v for k, v in model.items() if k > int(now / SPAN) - SPANS)
     longest = kept[-1] if kept else 0.0
-    assert pace.reserve(now) == max(kept[-2] if len(kept) > 1 else 0.0, 0.5 * longest)
+    assert event_loop_lag.reserve(now) == max(kept[-2] if len(kept) > 1 else 0.0, 0.5 * longest)
     below = 0.05
-    assert pace.reserve(now + pace.clears_in(below, now) + 1e-6) < below
+    assert event_loop_lag.reserve(now + event_loop_lag.clears_in(below, now) + 1e-6) < below
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -15,12 +15,12 @@
 from twisted.internet.task import Clock
 
 from sedgepitch.core.clock import FakeClock, ReactorClock
-from sedgepitch.core.connection_pool import Pool, PoolLimits
+from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.types import AttemptEnd, Command, Verdict
+from sedgepitch.core.types import AttemptOutcome, ClientRequest, ResponseStatus
 from sedgepitch.decisions.connections.client_connections import TALK_WITHIN
-from sedgepitch.decisions.connections.descriptor_budget import Descriptors
-from sedgepitch.decisions.connections.shutdown_schedule import Ending
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
 from sedgepitch.node.driver import Driver
 from sedgepitch.protocols.postgresql import client, codec
 from sedgepitch.routing import messages as api
@@ -77,7 +77,7 @@
     stage.pass_by(1.0)
     assert len(stage.endpoints.sent) == 1, "what stood behind the first is not sent on"
     connection.connectionLost()
-    assert not stage.engine.ledger.owed and not stage.front.unread and not stage.front.open_ids
+    assert not stage.engine.request_table.pending and not stage.front.unread and not stage.front.open_ids
 
 
 def test_what_is_sent_ahead_is_read_on_as_it_is_served_and_not_only_when_all_is_done(monkeypatch):
@@ -146,7 +146,7 @@
     stage.turn()
     assert len(errors(new_wire)) == 1 and old_wire.aborted and not errors(old_wire)
     old.connectionLost()
-    assert stage.front.open_ids == {b"1": new} and stage.engine.ledger.owed == 1
+    assert stage.front.open_ids == {b"1": new} and stage.engine.request_table.pending == 1
 
 
 # Room for newcomers, and the end of a driver
@@ -170,7 +170,7 @@
     connection, wire = stage.client()
     _, idle = stage.client()
     theirs, others = peer(wire), peer(idle)
-    stage.front.ends(Ending(stage.clock.now() - 10.0, 1.0))
+    stage.front.ends(ShutdownSchedule(stage.clock.now() - 10.0, 1.0))
     theirs.sendall(read(1))
     stage.front.close_free()
     assert idle.half_closed and not wire.half_closed and not wire.aborted
@@ -189,13 +189,13 @@
     connection, wire = stage.client()
     connection.dataReceived(read(1, d="9000") + read(2, d="9000") + read(3, d="9000"))
     stage.turn()
-    ending = Ending(stage.clock.now(), 0.5)
+    ending = ShutdownSchedule(stage.clock.now(), 0.5)
     stage.front.ends(ending)
     stage.engine.hurry(ending.answered_by)
     while stage.clock.now() < ending.over_by:
         stage.front.close_free()
         stage.turn(0.02)
-    assert len(errors(wire)) == 3 and wire.half_closed and not stage.engine.ledger.owed
+    assert len(errors(wire)) == 3 and wire.half_closed and not stage.engine.request_table.pending
     assert not stage.engine.overdue
 
 
@@ -212,12 +212,12 @@
 
 @pytest.mark.parametrize("longest", [0.05, 0.3, 1.0, 3.0, 60.0])
 def test_the_times_of_an_end_come_in_order_for_every_deadline(longest):
-    ending = Ending(100.0, longest)
+    ending = ShutdownSchedule(100.0, longest)
     times = [100.0, ending.accepting_until, ending.closing_from, ending.answered_by, ending.over_by]
     assert times == sorted(times) and times[-1] < 100.0 + min(3.0, longest) + 0.7
-    assert not ending.over(ending.over_by + 9.0, False, 0, owed=1)
-    assert ending.over(101.0, listening=False, connections=0, owed=0)
-    assert not ending.over(100.1, listening=True, connections=0, owed=0)
+    assert not ending.over(ending.over_by + 9.0, False, 0, pending=1)
+    assert ending.over(101.0, listening=False, connections=0, pending=0)
+    assert not ending.over(100.1, listening=True, connections=0, pending=0)
 
 
 # Waiting for a connection to a member
@@ -263,14 +263,14 @@
 
     def __init__(self, clock, limits: PoolLimits) -> None:
         self.doorways: dict[int, Doorway] = {}
-        self.pools: dict[int, Pool] = {}
-        self.room = Descriptors(256)
+        self.pools: dict[int, ConnectionPool] = {}
+        self.room = DescriptorBudget(256)
         self.clock, self.limits = clock, limits
 
-    def pool(self, endpoint: int) -> Pool:
+    def pool(self, endpoint: int) -> ConnectionPool:
         if endpoint not in self.pools:
             self.doorways[endpoint] = Doorway()
-            self.pools[endpoint] = Pool(
+            self.pools[endpoint] = ConnectionPool(
                 self.clock, self.doorways[endpoint], lambda e, r: r, self.limits, self.room
             )
         return self.pools[endpoint]
@@ -279,7 +279,7 @@
         return self.pool(endpoint).send(payload, on_end, by)
 
     def probe(self, endpoint, on_end):
-        on_end(AttemptEnd(AttemptResult.OK, report=api.LoadReport(0.0, False)))
+        on_end(AttemptOutcome(AttemptResult.OK, report=api.LoadReport(0.0, False)))
 
     def close_idle(self, endpoint):
         self.pool(endpoint).close_idle()
@@ -320,13 +320,13 @@
     assert not opened.started or sent_again
     connection.connectionLost()
     stage.turn()
-    assert stage.engine.ledger.owed == 0
+    assert stage.engine.request_table.pending == 0
 
 
 def test_a_member_that_moved_gets_nothing_at_its_old_place():
     task = Clock()
-    room, ends, doorway = Descriptors(256), [], Doorway()
-    pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(), room)
+    room, ends, doorway = DescriptorBudget(256), [], Doorway()
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(), room)
     pool.send("request", ends.append)
     pool.retire()
     assert [e.result for e in ends] == [AttemptResult.NOT_SENT] and doorway.given_up == 1
@@ -337,8 +337,8 @@
 
 def test_a_connection_given_up_and_greeted_all_the_same_is_closed_and_owned_by_nobody():
     task = Clock()
-    room, ends, doorway = Descriptors(256), [], Doorway()
-    pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
+    room, ends, doorway = DescriptorBudget(256), [], Doorway()
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
     pool.send("request", ends.append)
     task.advance(0.3)
     assert [e.result for e in ends] == [AttemptResult.CONNECT_FAILED] and room.endpoints == 0
@@ -356,8 +356,8 @@
 
 def test_a_connection_whose_greeting_lies_unread_is_not_given_up():
     task = Clock()
-    room, ends, doorway, opened = Descriptors(256), [], Doorway(), Opened()
-    pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
+    room, ends, doorway, opened = DescriptorBudget(256), [], Doorway(), Opened()
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
     pool.send("request", ends.append)
     task.callLater(0.25, lambda: doorway.asked[0][0](opened))  # read behind the timer, in the same turn
     task.advance(0.25)
@@ -369,10 +369,10 @@
 def test_a_probe_whose_answer_lies_unread_has_not_timed_out():
     task = Clock()
     ends, doorway, opened = [], Doorway(), Opened()
-    pool = Pool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=5.0), None)
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=5.0), None)
     pool.ask("probe", ends.append, 0.25)
     doorway.asked[0][0](opened)
-    task.callLater(0.25, lambda: opened.started[0][1](AttemptEnd(AttemptResult.OK)))
+    task.callLater(0.25, lambda: opened.started[0][1](AttemptOutcome(AttemptResult.OK)))
     task.advance(0.25)
     task.advance(1.0)
     assert [end.result for end in ends] == [AttemptResult.OK]
@@ -413,7 +413,7 @@
     engine = Engine(Router(SETTINGS, 1), endpoints, clock)
     engine.list_changed(api.EndpointListUpdate((entry(1, primary=True), entry(2), entry(3)), complete=True))
     pairs = [socket.socketpair() for _ in range(2)]
-    account = engine.submit(Command("write", 1, 0.15, "payload"), got.append)
+    account = engine.submit(ClientRequest("write", 1, 0.15, "payload"), got.append)
 
     def long_turn() -> None:
         pairs[0][0].recv(9)
@@ -423,7 +423,7 @@
 
     def answered() -> None:
         pairs[1][0].recv(9)
-        endpoints.sent[0].on_end(AttemptEnd(AttemptResult.OK, ROW))
+        endpoints.sent[0].on_end(AttemptOutcome(AttemptResult.OK, ROW))
         loop.call_later(0.05, loop.stop)
 
     for (ours, _), call in zip(pairs, (long_turn, answered), strict=True):
@@ -435,7 +435,7 @@
     for pair in pairs:
         for end in pair:
             end.close()
-    assert [answer.verdict for answer in got] == [Verdict.SERVED]
+    assert [answer.verdict for answer in got] == [ResponseStatus.SERVED]
 
 
 LANE_STEPS = st.lists(
@@ -452,9 +452,11 @@
 @given(LANE_STEPS, st.sampled_from([0.0, 1.0]))
 def test_every_order_of_a_connections_events_tells_one_end_and_leaves_no_descriptor(steps, linger):
     task = Clock()
-    room, doorway = Descriptors(64), Doorway()
+    room, doorway = DescriptorBudget(64), Doorway()
     limits = PoolLimits(most=4, connect_within=0.25, idle_for=2.0, linger=linger)
-    pool = Pool(FakeClock(task), doorway, lambda e, r: AttemptEnd(AttemptResult.OK), limits, room)
+    pool = ConnectionPool(
+        FakeClock(task), doorway, lambda e, r: AttemptOutcome(AttemptResult.OK), limits, room
+    )
     exchanges, ends, opened, over = [], [], {}, set()
 
     def alive(which):
@@ -515,11 +517,11 @@
     if what == "answer":
         for sent in stage.endpoints.sent[:1]:
             if not sent.abandoned:
-                sent.on_end(AttemptEnd(AttemptResult.OK, ROW))
+                sent.on_end(AttemptOutcome(AttemptResult.OK, ROW))
     elif what == "reset":
         for sent in stage.endpoints.sent[:1]:
             if not sent.abandoned:
-                sent.on_end(AttemptEnd(AttemptResult.RESET))
+                sent.on_end(AttemptOutcome(AttemptResult.RESET))
     elif what == "time":
         stage.task.advance(0.5)
     elif what == "leaves":
@@ -553,8 +555,8 @@
         assert len(stage.endpoints.sent) == sent, order
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
         assert len(answers) <= 1, order
-        held = stage.engine.ledger
-        assert held.owed == 0 and held.twice == 0 and not stage.engine.overdue, order
+        held = stage.engine.request_table
+        assert held.pending == 0 and held.twice == 0 and not stage.engine.overdue, order
         assert not stage.engine.router.requests, order
 
 
@@ -569,7 +571,7 @@
                 happens(stage, connection, what)
             stage.pass_by(1.5)
             assert [k for k, _ in messages(wire.value())].count(b"Z") == 1, order
-            assert stage.engine.ledger.owed == 0 and stage.engine.ledger.twice == 0, order
+            assert stage.engine.request_table.pending == 0 and stage.engine.request_table.twice == 0, order
 
 
 def test_bytes_of_a_peer_that_breaks_off_at_any_byte_cost_its_own_connection_only():
@@ -585,7 +587,7 @@
         stage.turn()
         stage.answer()
         assert wire.value() == ROW + codec.READY
-        assert stage.descriptors.clients == 1 and stage.engine.ledger.owed == 0
+        assert stage.descriptors.clients == 1 and stage.engine.request_table.pending == 0
 
 
 # The end of a driver
@@ -650,14 +652,14 @@
 @given(STOP_STEPS)
 def test_in_every_order_a_driver_that_ends_answers_all_it_has_read_and_then_is_over(steps):
     stage, callers, done = Stage(), [], []
-    door = Door(lambda: callers.append(Caller(stage)))
+    admission = Door(lambda: callers.append(Caller(stage)))
     driver = SimpleNamespace(
         clock=stage.clock,
         config=SimpleNamespace(settings=SETTINGS),
         front=stage.front,
         engine=stage.engine,
         lines=SimpleNamespace(say=lambda *_, **__: None),
-        port=door,
+        port=admission,
         opening=None,
         catalog=SimpleNamespace(stop=lambda: None),
         endpoints=SimpleNamespace(close=lambda: None),
@@ -669,10 +671,10 @@
         caller = callers[which % len(callers)] if callers else None
         live = [s for s in stage.endpoints.sent if not s.abandoned and s not in told]
         if what in ("comes", "waits"):
-            if not door.closed and what == "comes":
-                door.accept()
-            elif not door.closed:
-                door.queue += 1
+            if not admission.closed and what == "comes":
+                admission.accept()
+            elif not admission.closed:
+                admission.queue += 1
         elif what == "pass":
             stage.pass_by(0.3 * which)
         elif what == "stop":
@@ -685,7 +687,9 @@
         elif what in ("answer", "reset") and live:
             told.append(live[which % len(live)])
             ok = what == "answer"
-            told[-1].on_end(AttemptEnd(AttemptResult.OK, ROW) if ok else AttemptEnd(AttemptResult.RESET))
+            told[-1].on_end(
+                AttemptOutcome(AttemptResult.OK, ROW) if ok else AttemptOutcome(AttemptResult.RESET)
+            )
         elif caller is None or done:
             continue
         elif what in ("read", "write"):
@@ -705,9 +709,9 @@
             if caller.wire.half_closed or caller.wire.aborted:
                 caller.leave()
     sent = [s.payload.id for s in stage.endpoints.sent]
-    assert len(done) == 1 and door.closed and not door.queue
-    ledger = stage.engine.ledger
-    assert ledger.owed == 0 and ledger.twice == 0 and not stage.engine.overdue
+    assert len(done) == 1 and admission.closed and not admission.queue
+    request_table = stage.engine.request_table
+    assert request_table.pending == 0 and request_table.twice == 0 and not stage.engine.overdue
     for caller, early in zip(callers, went + [False] * len(callers), strict=False):
         assert caller.answers() <= caller.whole if early else caller.answers() == caller.whole
     stage.pass_by(2.0)
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decisions.connections.descriptor_budget import Descriptors
-from sedgepitch.decisions.discovery.list_versions import Entry, Membership, Version
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.decisions.discovery.list_versions import EndpointListVersions, Entry, Version
 from sedgepitch.discovery.client import BadVersion, read_version
 from sedgepitch.routing.messages import EndpointState
 
@@ -23,7 +23,7 @@
 
 
 def test_changes_count_once_and_a_whole_list_always():
-    held = Membership()
+    held = EndpointListVersions()
     assert held.take(version(5, True, entry("a"))).complete
     assert held.take(version(5, False, entry("b"))) is None
     assert held.take(version(6, False, entry("b"))) is not None
@@ -31,13 +31,13 @@
     assert held.revision == 2 and len(held.present) == 1
 
 
-def told(held: Membership, *args) -> dict[str, EndpointState]:
+def told(held: EndpointListVersions, *args) -> dict[str, EndpointState]:
     """What the module hears, by name."""
     return {held.names[x.endpoint]: x.state for x in held.take(version(*args)).entries}
 
 
 def test_a_list_that_lags_behind_does_not_take_back_what_was_told_ending():
-    held = Membership()
+    held = EndpointListVersions()
     held.take(version(1, True, entry("a"), entry("b")))
     held.take(version(7, False, entry("a", EndpointState.DRAINING)))
     assert told(held, 5, True, entry("a"), entry("b")) == {"a": EndpointState.DRAINING, "b": EndpointState.UP}
@@ -45,7 +45,7 @@
 
 
 def test_a_member_that_started_again_is_up_whatever_version_says_so():
-    held = Membership()
+    held = EndpointListVersions()
     held.take(version(7, True, entry("a", EndpointState.DRAINING)))
     again = Entry("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
     assert told(held, 3, True, again) == {"a": EndpointState.UP}
@@ -53,19 +53,19 @@
 
 
 def test_a_later_whole_list_is_taken_as_it_is():
-    held = Membership()
+    held = EndpointListVersions()
     held.take(version(7, True, entry("a", EndpointState.DRAINING)))
     assert told(held, 8, True, entry("a")) == {"a": EndpointState.UP}
 
 
 def test_a_remembered_list_gives_members_but_no_version():
-    held = Membership()
+    held = EndpointListVersions()
     assert held.take(version(41, True, entry("a")), remembered=True).remembered
     assert held.revision == 0
 
 
 def test_a_name_keeps_its_number_and_takes_its_new_address():
-    held, other = Membership(), Membership()
+    held, other = EndpointListVersions(), EndpointListVersions()
     first = held.take(version(1, True, entry("a", port=1))).entries[0].endpoint
     again = held.take(version(2, False, entry("a", port=2))).entries[0].endpoint
     assert first == again == other.take(version(9, True, entry("a"))).entries[0].endpoint
@@ -73,7 +73,7 @@
 
 
 def test_what_is_gone_is_forgotten_and_what_is_listed_is_not():
-    held = Membership()
+    held = EndpointListVersions()
     number = held.take(version(1, True, entry("a"))).entries[0].endpoint
     held.forget(number)
     assert number in held.names
@@ -83,7 +83,7 @@
 
 
 def test_a_hundred_thousand_names_leave_nothing_behind():
-    held = Membership()
+    held = EndpointListVersions()
     for n in range(100_000):
         told = held.take(version(2 * n + 1, False, entry(f"s-{n}")))
         held.take(version(2 * n + 2, False, entry(f"s-{n}", EndpointState.GONE)))
@@ -163,7 +163,7 @@
 
 
 def test_clients_cannot_take_the_room_that_members_need():
-    account = Descriptors(256)
+    account = DescriptorBudget(256)
     came = [account.client_came() for _ in range(500)]
     assert came.count(True) == account.clients_most
     assert [account.take() for _ in range(500)].count(True) == account.members_most
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -9,7 +9,7 @@
 
 from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.decisions.positions import LEAP, MOST_MARKS, NOTHING_KNOWN, GroupPositions, Marks
-from sedgepitch.protocols.mongodb.upstream import MongoMembers
+from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 
 
 def test_an_idle_primary_keeps_a_replica_fresh_that_has_everything():
@@ -106,7 +106,7 @@
 
 
 def test_a_group_that_no_list_has_named_yet_can_be_asked_of():
-    endpoints = MongoMembers(None, None, {}, "one", PoolLimits(), 0.25, 0.125)
+    endpoints = MongoUpstream(None, None, {}, "one", PoolLimits(), 0.25, 0.125)
     assert endpoints.positions[0].session_need((5, 1), 12.0) == 12.0
 
 
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -9,9 +9,15 @@
 from hypothesis import strategies as st
 
 from sedgepitch.core.connection_pool import PoolLimits
-from sedgepitch.decisions.connections.descriptor_budget import Descriptors
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.protocols.postgresql import codec, statements
-from sedgepitch.protocols.postgresql.upstream import MemberConnection, Names, PgMembers, Probe, read_usage
+from sedgepitch.protocols.postgresql.upstream import (
+    MemberConnection,
+    Names,
+    PostgresUpstream,
+    Probe,
+    read_usage,
+)
 from sedgepitch.routing.messages import AttemptResult
 from tests.support.postgresql_harness import ROW, WALL, Stage, Wire, read
 from tests.test_postgresql_codec import NAMED
@@ -27,7 +33,7 @@
         stage = Stage()
         self.clock = stage.clock
         limits = PoolLimits(linger=0.0)
-        self.endpoints = PgMembers(None, stage.clock, limits, Descriptors(0), WALL, 0.25)
+        self.endpoints = PostgresUpstream(None, stage.clock, limits, DescriptorBudget(0), WALL, 0.25)
         self.ready, self.ended, self.replies = [], [], []
         self.wire = Wire()
         self.connection = MemberConnection(
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -254,7 +254,7 @@
 
 
 def test_subscription_is_asked_for_and_retried_with_back_off():
-    rig = Rig(replace(SETTINGS, subscribe=True))
+    rig = Rig(replace(SETTINGS, subscription_required=True))
     assert rig.log.count(api.WatchEndpointList()) == 1
     times = []
     for _ in range(3):
@@ -313,9 +313,9 @@
     ("changes", "name"),
     [
         ({"classes": ()}, "settings.classes"),
-        ({"classes": (replace(SETTINGS.classes[0], latency_objective=0.0),)}, "aim"),
+        ({"classes": (replace(SETTINGS.classes[0], latency_objective=0.0),)}, "latency_objective"),
         ({"tick": -1.0}, "settings.tick"),
-        ({"most_attempts": 0}, "settings.most_attempts"),
+        ({"max_attempts": 0}, "settings.max_attempts"),
     ],
 )
 def test_settings_that_cannot_be_used_are_named(changes, name):
@@ -387,7 +387,7 @@
 @pytest.mark.parametrize("name", ["any", "fresh", "session", "write"])
 def test_a_driver_of_a_large_fleet_turns_no_class_away_from_an_idle_member(name):
     for seed in range(40):  # one request of each class by itself, whatever its luck and worth
-        rig = Rig(replace(SETTINGS, drivers=200), seed=seed)
+        rig = Rig(replace(SETTINGS, proxy_instances=200), seed=seed)
         for _ in range(3):
             request, _ = rig.ask(name)
             (endpoint,) = sends(rig.log, request)
@@ -466,7 +466,7 @@
     def share(before: int, took: float, alone: bool = False) -> float:
         used = 0
         for seed in range(300):
-            rig = Rig(replace(SETTINGS, drivers=drivers, probes=False), seed=seed)
+            rig = Rig(replace(SETTINGS, proxy_instances=drivers, health_checks=False), seed=seed)
             primary = primary_alone(rig, 8.0) if alone else rig.router.endpoints[1]
             for _ in range(before):
                 primary.limit = 1.5
@@ -502,7 +502,7 @@
     safe = tuple(
         replace(c, idempotency=Idempotency.IDEMPOTENT) if c.name == "write" else c for c in SETTINGS.classes
     )
-    rig = Rig(replace(SETTINGS, classes=safe, checks=StaleReadHandling.REJECT))
+    rig = Rig(replace(SETTINGS, classes=safe, stale_read_handling=StaleReadHandling.REJECT))
     request, _ = rig.ask("write", ttl=1.9)
     rig.run(1.8)
     assert set(sends(rig.log, request)) == {1}
@@ -511,7 +511,7 @@
 @pytest.mark.parametrize("most", [1, 2, 4, 6])
 def test_a_primary_is_found_in_a_group_of_more_members_than_a_request_has_attempts(most):
     """Neither the list nor probes tell roles."""
-    settings = replace(SETTINGS, probes=False, list_reports_primary=False, max_attempts=most)
+    settings = replace(SETTINGS, health_checks=False, list_reports_primary=False, max_attempts=most)
     rig = Rig(settings, endpoints=[entry(m) for m in range(1, 13)])
     for _ in range(20):
         request, actions = rig.ask("write", ttl=0.9)
@@ -598,7 +598,7 @@
     for strain in (0.2, 1.0):
         sent[strain] = 0
         for seed in range(100):
-            rig = Rig(replace(SETTINGS, drivers=400), seed=seed)
+            rig = Rig(replace(SETTINGS, proxy_instances=400), seed=seed)
             rig.router.zone_strain["a"] = strain
             sent[strain] += len(sends(rig.ask("any", ttl=0.3)[1]))
     assert sent[1.0] < 0.5 * sent[0.2]
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -87,10 +87,10 @@
     quick.answer()
     front.turn()
     assert len(got) == 1 and not silent.abandoned
-    assert front.engine.ledger.accounts and front.engine.router.endpoints[silent.endpoint].out
+    assert front.engine.request_table.accounts and front.engine.router.endpoints[silent.endpoint].out
     front.turn(1.0)
     assert silent.abandoned
-    assert not front.engine.ledger.accounts
+    assert not front.engine.request_table.accounts
     assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
@@ -112,7 +112,7 @@
 
 
 def test_sessions_are_bounded_where_a_member_never_tells_and_those_let_go_still_see_their_writes():
-    rig = Rig(replace(SETTINGS, marks=api.SessionTracking.BY_PROXY, probes=False))
+    rig = Rig(replace(SETTINGS, session_tracking=api.SessionTracking.BY_PROXY, health_checks=False))
     begun = rig.now
     for number in range(3 * SESSIONS):
         rig.end(
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -243,7 +243,7 @@
 
 
 def test_session_read_remembered_needs_the_writes_seen_here():
-    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY))
+    rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     request, _ = rig.ask("write", session="s")
     rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     read, used = placed(rig, "session", session="s")
@@ -267,7 +267,7 @@
 
 @pytest.mark.parametrize("checks", [StaleReadHandling.REJECT, StaleReadHandling.WAIT])
 def test_where_members_check_the_most_advanced_is_tried(checks):
-    rig = Rig(replace(SETTINGS, checks=checks))
+    rig = Rig(replace(SETTINGS, stale_read_handling=checks))
     rig.heard(2, 2.0)
     rig.heard(3, 0.9)
     request, actions = rig.ask("session", session_age=0.1)
@@ -277,7 +277,7 @@
 
 def test_a_commit_and_a_position_in_the_same_millisecond_do_not_count_as_reached():
     # Incident i85c1e8: both are rounded to milliseconds, so equal figures do not prove the order.
-    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY))
+    rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     request, _ = rig.ask("write", session="s")
     rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     rig.heard(2, 0.0)
@@ -286,7 +286,7 @@
 
 
 def test_a_write_that_commits_after_its_client_left_still_binds_its_session():
-    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY))
+    rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     rig.heard(2, 0.1)
     request, _ = rig.ask("write", session="s")
     rig.feed(api.ClientDisconnected(request))
@@ -322,7 +322,9 @@
 @pytest.mark.parametrize("result", [*LOST, *NEVER])
 def test_what_a_session_wrote_binds_its_reads_though_the_answer_was_lost(result):
     """Marks are remembered here: until now while it is out, until its end where it may have run, else not."""
-    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY, probes=False, max_attempts=1))
+    rig = Rig(
+        replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, health_checks=False, max_attempts=1)
+    )
     for endpoint in (2, 3):
         rig.heard(endpoint, 0.0)
     write, actions = rig.ask("write", session="s")
@@ -356,7 +358,7 @@
 @given(SESSION_STEPS, st.integers(0, 2**16))
 def test_in_every_order_a_replica_that_a_session_s_read_is_sent_to_holds_all_that_it_wrote(steps, seed):
     """Commits fall anywhere between a write's send and its end, told or lost; positions only from reports."""
-    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY, hedging=bool(seed % 2)), seed=seed)
+    rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, hedging=bool(seed % 2)), seed=seed)
     names, attempts, out, committed = {}, {}, [], {"s": -1.0, "t": -1.0}
     held = {endpoint: rig.now for endpoint in (1, 2, 3)}  # where each is in truth; the primary at the present
 
@@ -407,7 +409,7 @@
 @pytest.mark.parametrize("how", ["tried again", "waiting", "copied"])
 def test_a_session_read_sees_what_its_session_wrote_before_each_send(how):
     """Marks are remembered here: a write of the session is answered before the read is sent."""
-    rig = Rig(replace(SETTINGS, marks=SessionTracking.BY_PROXY, probes=False, hedging=True))
+    rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, health_checks=False, hedging=True))
     for endpoint in (2, 3):
         rig.heard(endpoint, 0.0)
     write, _ = rig.ask("write", session="s", ttl=1.9)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -58,8 +58,11 @@
     settings["classes"][1]["keyScope"] = "shelf"
     config = parse(with_settings(settings), {}, 0.0)
     held = config.settings
-    assert (held.max_attempts, held.probes, held.retry_after) == (1, False, False)
-    assert held.checks is api.StaleReadHandling.SERVE and held.marks is api.SessionTracking.BY_CLIENT
+    assert (held.max_attempts, held.health_checks, held.retry_after) == (1, False, False)
+    assert (
+        held.stale_read_handling is api.StaleReadHandling.SERVE
+        and held.session_tracking is api.SessionTracking.BY_CLIENT
+    )
     assert held.classes[1].scope is api.DeduplicationScope.CELL
     assert config.idle_for == 60.0 and config.connect_within == 1.0
 
@@ -69,8 +72,8 @@
     settings["classes"][0]["effect"] = "at_most_once"
     settings["classes"][1]["effect"] = "idempotent"
     read, write = translate_settings(settings).classes
-    assert (read.effect, read.freshness) == (api.Idempotency.NONE, api.Freshness.ANY)
-    assert (write.effect, write.freshness) == (api.Idempotency.IDEMPOTENT, api.Freshness.WRITE)
+    assert (read.idempotency, read.freshness) == (api.Idempotency.NONE, api.Freshness.ANY)
+    assert (write.idempotency, write.freshness) == (api.Idempotency.IDEMPOTENT, api.Freshness.WRITE)
 
 
 def test_settings_without_classes_are_refused():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -67,7 +67,7 @@
 
 
 def primary_of(stage) -> int | None:
-    return next((m["id"] for m in stage.endpoints() if m["primary"] and m["alive"]), None)
+    return next((m["id"] for m in stage.members() if m["primary"] and m["alive"]), None)
 
 
 def insert(held, rid: str, number: int = 1, **fields) -> dict:
@@ -120,7 +120,7 @@
     rough.fault("slow", factor=100)
     with connect(rough) as held:
         held.sendall(command(1, insert="log", documents=[{"_id": 1}], comment={"rid": "left"}))
-        wait_for(lambda: sum(m["connections"] for m in rough.endpoints()) > 0, "the write was never sent on")
+        wait_for(lambda: sum(m["connections"] for m in rough.members()) > 0, "the write was never sent on")
     with connect(rough) as held:
         assert insert(held, "after", maxTimeMS=2000)["ok"] == 1
     assert [r["rid"] for r in records(rough, "commit")] == ["left", "after"]
@@ -225,7 +225,7 @@
     rough.fault("slow", factor=60)
     with connect(rough) as held:
         held.sendall(command(1, insert="log", documents=[{"_id": 1}], comment={"rid": "owed"}))
-        wait_for(lambda: sum(m["connections"] for m in rough.endpoints()) > 0, "the write was never sent on")
+        wait_for(lambda: sum(m["connections"] for m in rough.members()) > 0, "the write was never sent on")
         rough.drivers["one"].process.terminate()
         assert receive(held)["ok"] == 1
         assert rough.drivers["one"].process.wait(timeout=WITHIN) == 0
--- a/tests/test_watch_streams.py
+++ b/tests/test_watch_streams.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decisions.discovery.watch_streams import BEAT, FRESH, PAUSE, QUIET, Watches
+from sedgepitch.decisions.discovery.watch_streams import BEAT, FRESH, PAUSE, QUIET, WatchStreams
 from sedgepitch.discovery import client as catalog
 from sedgepitch.discovery.client import BadVersion, Objects
 
@@ -80,7 +80,7 @@
 
 
 def test_a_silent_watch_is_held_until_another_has_spoken():
-    held: Watches[str] = Watches()
+    held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     assert held.sign("a", 0.0) == []
     due = held.due()
@@ -91,7 +91,7 @@
 
 
 def test_a_silent_watch_that_speaks_again_ends_nothing():
-    held: Watches[str] = Watches()
+    held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.sign("a", 0.0)
     held.opened("b", 3.0)
@@ -100,14 +100,14 @@
 
 
 def test_one_that_is_answered_but_has_nothing_to_say_is_given_a_beat():
-    held: Watches[str] = Watches()
+    held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.answered("a", 0.1)
     assert held.due() >= 0.1 + BEAT
 
 
 def test_part_of_an_object_is_a_sign_but_not_for_ever():
-    held: Watches[str] = Watches()
+    held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.sign("a", 0.0)
     held.stirs("a", 1.0, 2.0)
@@ -117,7 +117,7 @@
 
 
 def test_moved_keeps_the_one_that_is_heard_and_drops_those_that_wait_at_the_old_place():
-    held: Watches[str] = Watches()
+    held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.sign("a", 0.0)
     held.opened("b", 3.0)
@@ -140,7 +140,7 @@
 @given(STEPS)
 def test_every_order_of_events_leaves_a_watch_that_can_hear_or_one_about_to_be_opened(steps):
     """The owner as it is: opens when told, closes what it is told to. Judged after each event."""
-    held: Watches[int] = Watches()
+    held: WatchStreams[int] = WatchStreams()
     now, number, opened_at = 0.0, 0, []
     held.opened(number, now)
     for step, which, seconds in steps:
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("after", [0.0, 0.01, 0.9])
 def test_a_source_that_refuses_or_says_nothing_is_asked_steadily_and_not_without_pause(after):
-    held: Watches[int] = Watches()
+    held: WatchStreams[int] = WatchStreams()
     now, opened = 0.0, 0
     while now < 20.0:
         if held.opens(now):
