--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -63,7 +63,7 @@
         held.stale_read_handling is api.StaleReadHandling.SERVE
         and held.session_tracking is api.SessionTracking.BY_CLIENT
     )
-    assert held.classes[1].scope is api.DeduplicationScope.CELL
+    assert held.classes[1].deduplication_scope is api.DeduplicationScope.CELL
     assert config.idle_for == 60.0 and config.connect_within == 1.0
 
 
