--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 	touch $(STAMP)
 
 demo: $(STAMP)
-	$(RUN) badday
+	$(RUN) fault-scenario
 
 test: $(STAMP)
 	$(VENV)/bin/python -m pytest -q -n $(TEST_WORKERS) --dist loadfile $(PYTEST_OPTIONS)
--- a/benchmarks/baddays.py
+++ b/benchmarks/baddays.py
@@ -24,7 +24,7 @@
     """Play one day; returns its result with `tracebacks`, or with `error` where it could not be played."""
     place = root / str(seed)
     result = root / f"{seed}.json"
-    arguments = ["badday", "--seed", str(seed), "--length", str(length), "--burners", str(burners)]
+    arguments = ["fault-scenario", "--seed", str(seed), "--length", str(length), "--burners", str(burners)]
     done = subprocess.run(
         [sys.executable, "-m", "sedgepitch", *arguments, "--keep", str(place), "--json", str(result)],
         capture_output=True,
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -66,7 +66,7 @@
         script.write_text(yaml.safe_dump(day))
         arguments = ["--script", str(script), "--json", str(out), "--seed", str(seed), *flags]
         done = subprocess.run(
-            [sys.executable, "-m", "sedgepitch", "fleetday", *arguments], capture_output=True, text=True
+            [sys.executable, "-m", "sedgepitch", "fleet-scenario", *arguments], capture_output=True, text=True
         )
         if not out.exists():
             raise SystemExit(done.stderr.strip() or done.stdout[-500:])
--- /dev/null
+++ b/sedgepitch/cli/scenarios.py
@@ -0,0 +1,83 @@
+"""`sedgepitch fault-scenario` and `fleet-scenario`: scripted faults on loopback, audited by the rules."""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import click
+
+
+@click.command()
+@click.option("--seed", default=1, show_default=True, type=int, help="Of traffic and faults.")
+@click.option("--length", default=40.0, show_default=True, type=click.FloatRange(2, 600), help="Seconds.")
+@click.option("--script", type=click.Path(exists=True, dir_okay=False), help="Faults (YAML).")
+@click.option("--json", "json_path", type=click.Path(dir_okay=False), help="Write the result there.")
+@click.option("--keep", type=click.Path(file_okay=False), help="Keep records and logs in this directory.")
+@click.option("--driver-module", default="sedgepitch", hidden=True, help="Proxies to try the audit on.")
+@click.option("--slack", default=0.25, show_default=True, type=float, help="Of the audit, seconds.")
+@click.option("--burners", default=0, type=click.IntRange(0, 16), help="Processes that share a proxy's core.")
+def fault_scenario(
+    seed: int,
+    length: float,
+    script: str | None,
+    json_path: str | None,
+    keep: str | None,
+    driver_module: str,
+    slack: float,
+    burners: int,
+) -> None:
+    """Play a fault scenario on loopback sockets and check the five rules from the recorded traffic."""
+    from sedgepitch.scenarios.fault_scenario import BadDay, table
+
+    _play(
+        lambda: BadDay(seed, length, script, keep, driver_module, slack=slack, burners=burners),
+        table,
+        json_path,
+    )
+
+
+def _play(make: Callable[[], Any], table: Callable[[dict[str, Any]], str], json_path: str | None) -> None:
+    """Play a scenario and show its result; exits with 1 where a rule broke."""
+    from sedgepitch.scenarios.fault_scenario import DayError
+
+    try:
+        result = make().run(progress=sys.stderr.isatty())
+    except DayError as error:
+        raise click.ClickException(str(error)) from None
+    click.echo(table(result))
+    if json_path:
+        Path(json_path).write_text(json.dumps(result, indent=1), encoding="utf-8")
+    sys.exit(1 if any(rule["broken"] for rule in result["rules"]) else 0)
+
+
+@click.command()
+@click.option("--script", type=click.Path(exists=True, dir_okay=False), help="The scenario (YAML).")
+@click.option("--seed", default=1, show_default=True, type=int, help="Of traffic.")
+@click.option("--drivers", type=click.IntRange(1, 64), help="Instead of the script's.")
+@click.option("--alone", is_flag=True, help="Proxies know of no others.")
+@click.option("--told", is_flag=True, help="A yardstick: discovery says at once that a lost zone is gone.")
+@click.option("--json", "json_path", type=click.Path(dir_okay=False), help="Write the result there.")
+@click.option("--keep", type=click.Path(file_okay=False), help="Keep records and logs in this directory.")
+@click.option("--slack", default=0.25, show_default=True, type=float, help="Of the audit, seconds.")
+def fleet_scenario(
+    script: str | None,
+    seed: int,
+    drivers: int | None,
+    alone: bool,
+    told: bool,
+    json_path: str | None,
+    keep: str | None,
+    slack: float,
+) -> None:
+    """Play a scenario of many proxies and servers in zones, and check rules and zones from the records."""
+    from sedgepitch.scenarios.fleet_scenario import FleetDay, fleet_table, read_script
+
+    _play(
+        lambda: FleetDay(read_script(script), seed, not alone and not told, told, keep, drivers, slack),
+        fleet_table,
+        json_path,
+    )
--- a/sedgepitch/scenarios/processes.py
+++ b/sedgepitch/scenarios/processes.py
@@ -142,7 +142,7 @@
         for member in self.settings["members"]:
             member["address"] = "127.0.0.1:0"
         self.fleet = Process(
-            ["standins", "--config", self._write("fleet", self.settings)], directory / "fleet.log"
+            ["emulator", "--config", self._write("fleet", self.settings)], directory / "fleet.log"
         )
         self.control_address = self.fleet.ready()
         self.control = Control(self.control_address)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -56,7 +56,7 @@
     for arguments in (
         ["config", "check", str(path)],
         ["serve", "--config", str(path)],
-        ["standins", "--config", "no"],
+        ["emulator", "--config", "no"],
     ):
         done = subprocess.run(
             [sys.executable, "-m", "sedgepitch", *arguments], capture_output=True, text=True
--- a/tests/test_fault_scenario.py
+++ b/tests/test_fault_scenario.py
@@ -43,7 +43,15 @@
     tmp_path: Path, day: dict | None, length: float, slack: float = SLACK, **environment: str
 ) -> tuple[int, dict]:
     """Play a day in a process of its own; returns its exit code and result."""
-    arguments = ["badday", "--length", str(length), "--slack", str(slack), "--keep", str(tmp_path / "day")]
+    arguments = [
+        "fault-scenario",
+        "--length",
+        str(length),
+        "--slack",
+        str(slack),
+        "--keep",
+        str(tmp_path / "day"),
+    ]
     if day is not None:
         script = tmp_path / "script.yaml"
         script.write_text(yaml.safe_dump(day))
--- a/tests/test_fleet_scenario.py
+++ b/tests/test_fleet_scenario.py
@@ -135,7 +135,7 @@
     script.write_text(yaml.safe_dump(day))
     arguments = ["--script", str(script), "--json", str(out), "--keep", str(folder / name), "--slack", "1"]
     done = subprocess.run(
-        [sys.executable, "-m", "sedgepitch", "fleetday", *arguments],
+        [sys.executable, "-m", "sedgepitch", "fleet-scenario", *arguments],
         capture_output=True,
         text=True,
         timeout=300,
@@ -275,7 +275,7 @@
     script = tmp_path / "script.yaml"
     script.write_text(text)
     done = subprocess.run(
-        [sys.executable, "-m", "sedgepitch", "fleetday", "--script", str(script)],
+        [sys.executable, "-m", "sedgepitch", "fleet-scenario", "--script", str(script)],
         capture_output=True,
         text=True,
         timeout=120,
