--- a/sedgepitch/cli/workers.py
+++ b/sedgepitch/cli/workers.py
@@ -31,7 +31,7 @@
 
 
 def supervise(path: str, workers: int) -> int:
-    """Run the workers until SIGTERM or SIGINT, restarting one that dies with backoff; returns the exit code."""
+    """Run the workers until SIGTERM or SIGINT and restart those that die; returns the exit code."""
     shutdown_requested = False
     running: dict[int, subprocess.Popen[bytes]] = {}
 
--- a/sedgepitch/cli/zones.py
+++ b/sedgepitch/cli/zones.py
@@ -132,7 +132,7 @@
 @click.option("--within", default=0.0, type=click.FloatRange(0, 3600), help="Seconds over which to leave.")
 @REACH
 def zone_leave(name: str, path: str, within: float, reach: float) -> None:
-    """Have the fleet leave a zone, as far as the other zones have capacity, until the command is withdrawn."""
+    """Have the fleet leave a zone, as far as the others have capacity, until the command is withdrawn."""
     _command_zone(path, name, "leave", within, reach)
 
 
