--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -24,9 +24,10 @@
 from sedgepitch.audit.records import read as read_records
 from sedgepitch.audit.rules import ClassFacts, audit
 from sedgepitch.emulator.recorder import Recorder
-from sedgepitch.scenarios.fault_scenario import BadDay, day_settings
-from sedgepitch.scenarios.load_generator import Ask, Caller, Got, now
-from sedgepitch.scenarios.processes import Burners, Stage
+from sedgepitch.scenarios.fault_scenario import FaultScenario
+from sedgepitch.scenarios.load_generator import ClientAttempt, ClientOutcome, LoadClient, now
+from sedgepitch.scenarios.processes import CpuLoad, Stage
+from sedgepitch.scenarios.traffic import scenario_settings
 
 RATES = {"public": 1600.0, "council-a": 160.0, "council-b": 160.0, "stations": 30.0}
 READERS = ("public", "council-a", "council-b")
@@ -53,7 +54,7 @@
         from twisted.internet import reactor
 
         self.reactor: Any = reactor
-        settings = day_settings()
+        settings = scenario_settings()
         settings["module"] = {"drivers": 1}
         settings["standins"] |= {
             "cores": 1,
@@ -66,14 +67,16 @@
             del settings["door"]
         with tempfile.TemporaryDirectory() as place:
             stage = Stage(settings, Path(place))
-            burning = Burners(self.seconds + 30.0)
+            burning = CpuLoad(self.seconds + 30.0)
             try:
                 address = stage.driver("one")
                 pid = stage.drivers["one"].process.pid
                 if self.burners:
                     burning.beside(pid, 1, self.burners)
                 record = Recorder(f"{place}/clients.jsonl", "clients")
-                self.callers = {t: Caller(reactor, "one", address, record, app_name=t) for t in self.rates}
+                self.callers = {
+                    t: LoadClient(reactor, "one", address, record, app_name=t) for t in self.rates
+                }
                 self.began = now()
                 for tenant in self.rates:
                     self._next(tenant, 0.0)
@@ -95,7 +98,7 @@
             "map-read": ClassFacts("bounded", 0.5, "safe", 0.0),
             "upload": ClassFacts("write", 0.0, "keyed", 1.2),
         }
-        findings = audit(records, classes, BadDay().figures())
+        findings = audit(records, classes, FaultScenario().figures())
         third = max(1, len(memory) // 3)
         return {
             "counts": self.counts,
@@ -141,10 +144,10 @@
         session = session or self.random.randbytes(16)
         command |= {"lsid": {"id": bson.Binary(session, 4)}}
         command |= {"$db": "sky", "comment": {"class": name, "rid": rid}}
-        ask = Ask(rid, rid, "one", name, command, 0.8, writes, writes)
+        ask = ClientAttempt(rid, rid, "one", name, command, 0.8, writes, writes)
         self.callers[tenant].send(ask, lambda got: self._got(tenant, got, returning, session))
 
-    def _got(self, tenant: str, got: Got, returning: bool, session: bytes) -> None:
+    def _got(self, tenant: str, got: ClientOutcome, returning: bool, session: bytes) -> None:
         if returning:
             self.returned["served"] += got.verdict == "served"
             return
@@ -154,9 +157,9 @@
             self.times[tenant].append(got.elapsed)
         # One in ten of those promised a time comes back then, in its session.
         if got.verdict == "refused" and got.reply.get("promised") and self.random.random() < 0.1:
-            if now() - self.began + got.come_back < self.seconds:
+            if now() - self.began + got.retry_after < self.seconds:
                 self.returned["told"] += 1
-                self.reactor.callLater(got.come_back, self._ask, tenant, True, session)
+                self.reactor.callLater(got.retry_after, self._ask, tenant, True, session)
 
 
 def jain(values: list[float]) -> float:
--- a/sedgepitch/cli/scenarios.py
+++ b/sedgepitch/cli/scenarios.py
@@ -31,10 +31,13 @@
     burners: int,
 ) -> None:
     """Play a fault scenario on loopback sockets and check the five rules from the recorded traffic."""
-    from sedgepitch.scenarios.fault_scenario import BadDay, table
+    from sedgepitch.scenarios.fault_scenario import FaultScenario
+    from sedgepitch.scenarios.report import table
 
     _play(
-        lambda: BadDay(seed, length, script, keep, driver_module, slack=slack, burners=burners),
+        lambda: FaultScenario(
+            seed, length, script, keep, driver_module, slack=slack, cpu_load_processes=burners
+        ),
         table,
         json_path,
     )
@@ -42,11 +45,11 @@
 
 def _play(make: Callable[[], Any], table: Callable[[dict[str, Any]], str], json_path: str | None) -> None:
     """Play a scenario and show its result; exits with 1 where a rule broke."""
-    from sedgepitch.scenarios.fault_scenario import DayError
+    from sedgepitch.scenarios.errors import ScenarioError
 
     try:
         result = make().run(progress=sys.stderr.isatty())
-    except DayError as error:
+    except ScenarioError as error:
         raise click.ClickException(str(error)) from None
     click.echo(table(result))
     if json_path:
@@ -74,10 +77,12 @@
     slack: float,
 ) -> None:
     """Play a scenario of many proxies and servers in zones, and check rules and zones from the records."""
-    from sedgepitch.scenarios.fleet_scenario import FleetDay, fleet_table, read_script
+    from sedgepitch.scenarios.fleet_scenario import FleetScenario
+    from sedgepitch.scenarios.fleet_script import read_script
+    from sedgepitch.scenarios.report import fleet_table
 
     _play(
-        lambda: FleetDay(read_script(script), seed, not alone and not told, told, keep, drivers, slack),
+        lambda: FleetScenario(read_script(script), seed, not alone and not told, told, keep, drivers, slack),
         fleet_table,
         json_path,
     )
--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -10,7 +10,6 @@
 import random
 import sys
 import tempfile
-from dataclasses import dataclass, field
 from importlib.resources import files
 from pathlib import Path
 from typing import Any
@@ -18,129 +17,55 @@
 import bson
 import click
 import yaml
-from hdrh.histogram import HdrHistogram
 
 from sedgepitch.audit.records import read as read_records
-from sedgepitch.audit.rules import ClassFacts, Figures, Roles, audit
+from sedgepitch.audit.rules import ClassFacts, Figures, audit
 from sedgepitch.emulator.recorder import Recorder
-from sedgepitch.scenarios.load_generator import Ask, Caller, Got, now
-from sedgepitch.scenarios.processes import Burners, ProcessError, Stage
+from sedgepitch.scenarios.errors import ScenarioError
+from sedgepitch.scenarios.load_generator import ClientAttempt, ClientOutcome, LoadClient, now
+from sedgepitch.scenarios.processes import CpuLoad, ProcessError, Stage
+from sedgepitch.scenarios.report import reads_by_side
+from sedgepitch.scenarios.traffic import KINDS, PROXIES, RequestKind, Session, Tally, scenario_settings
 
-DRIVERS = 3
-RATE = 240.0  # requests a second over all drivers, on a quiet stretch
+REQUESTS_PER_S = 240.0  # requests a second over all drivers, on a quiet stretch
 SESSIONS = 40  # for each driver
-FULL_LENGTH = 40.0  # s; the length that the script's times are written for
-RETRY_WAIT = (0.1, 0.3)  # s before a client's own retry where it got no advice
-
-
-class DayError(Exception):
-    """The day could not be played; one line."""
-
-
-@dataclass(slots=True, frozen=True)
-class Kind:
-    """One class of the day's requests."""
-
-    name: str
-    share: float
-    freshness: str
-    deadline: float
-    aim: float
-    max_age: float = 0.0
-    effect: str = "safe"
-    window: float = 0.0
-
-
-KINDS = (
-    Kind("upload", 0.10, "write", 2.0, 0.2, effect="keyed", window=1.2),
-    Kind("note", 0.03, "write", 2.0, 0.2, effect="unsafe"),
-    Kind("own-read", 0.22, "session", 0.5, 0.2),
-    Kind("current-read", 0.03, "fresh", 0.5, 0.2),
-    Kind("history-read", 0.20, "any", 0.6, 0.2),
-    Kind("map-read", 0.42, "bounded", 0.8, 0.2, max_age=0.5),
-)
-
-
-def day_settings() -> dict[str, Any]:
-    """The settings of drivers and fleet: the example, with times that suit a short day."""
-    settings: dict[str, Any] = yaml.safe_load(
-        files("sedgepitch.config").joinpath("example.yaml").read_text(encoding="utf-8")
-    )
-    settings["module"] = {"drivers": DRIVERS}
-    settings["log"] = {"level": "info", "format": "json", "lines_per_second": 2000}
-    settings["rules"] |= {"warm_within": "5 s"}
-    settings["standins"] |= {
-        "read_work": {"least": "5 ms", "most": "10 ms"},
-        "write_work": {"least": "4 ms", "most": "8 ms"},
-        "cores": 2,
-        "warm_within": "5 s",
-    }
-    return settings
-
-
-@dataclass
-class Session:
-    """One station's session: its id, its key count, and its last acknowledged write."""
-
-    lsid: bson.Binary
-    number: int = 0
-    last_write: str | None = None
-    after: bson.Timestamp | None = None
-
-
-@dataclass
-class Tally:
-    """What became of one class's requests (client retries counted with their first try)."""
-
-    asked: int = 0
-    in_time: int = 0
-    late: int = 0
-    refused: int = 0
-    failed: int = 0
-    other: int = 0
-    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
-
-    def as_dict(self) -> dict[str, Any]:
-        """Return it for a report; times in milliseconds."""
-        out = {n: getattr(self, n) for n in ("asked", "in_time", "late", "refused", "failed", "other")}
-        for name, share in (("p50_ms", 50.0), ("p99_ms", 99.0)):
-            out[name] = self.times.get_value_at_percentile(share) / 1000.0 if self.times.total_count else None
-        return out
+SCRIPT_LENGTH_S = 40.0  # s; the length that the script's times are written for
+RETRY_WAIT_S = (0.1, 0.3)  # s before a client's own retry where it got no advice
 
 
-class BadDay:
+class FaultScenario:
     """One day. `run` plays it and returns the result; it must be the reactor's first use in the process."""
 
     def __init__(
         self,
         seed: int = 1,
-        length: float = FULL_LENGTH,
+        length: float = SCRIPT_LENGTH_S,
         script: str | None = None,
         keep: str | None = None,
         driver_module: str = "sedgepitch",
-        rate: float = RATE,
+        rate: float = REQUESTS_PER_S,
         slack: float = 0.25,
         settings: dict[str, Any] | None = None,
-        burners: int = 0,
-        drivers: int = DRIVERS,
+        cpu_load_processes: int = 0,
+        drivers: int = PROXIES,
     ) -> None:
         self.drivers = drivers
-        self.seed, self.length, self.keep, self.burners = seed, length, keep, burners
+        self.seed, self.length, self.keep, self.cpu_load_processes = seed, length, keep, cpu_load_processes
         self.random = random.Random(seed)
         self.driver_module, self.rate, self.slack = driver_module, rate, slack
-        self.settings = settings or day_settings()
-        self.troubles = self._script(script)
+        self.settings = settings or scenario_settings()
+        self.faults = self._script(script)
         self.tallies = {kind.name: Tally() for kind in KINDS}
-        self.callers: dict[str, Caller] = {}
+        self.clients: dict[str, LoadClient] = {}
         self.sessions: dict[str, list[Session]] = {}
         self.factor = 1.0
         self.count = 0
         self.planned = 0.0
         self.reactor: Any = None
-        self.under_way = 0
+        self.in_flight = 0
         self.drawing = True
         self.errors: list[str] = []
-        self.burning = Burners(length + 30.0)
+        self.cpu_load = CpuLoad(length + 30.0)
 
     def _script(self, path: str | None) -> list[dict[str, Any]]:
         try:
@@ -151,16 +76,18 @@
             else:
                 text = Path(path).read_text(encoding="utf-8")
             raw = yaml.safe_load(text)
-            troubles = [dict(t) for t in raw["troubles"]]
+            faults = [dict(t) for t in raw["troubles"]]
             for part, values in (raw.get("settings") or {}).items():
                 self.settings[part] = {**self.settings.get(part, {}), **values}
             self.rate = float(raw.get("rate", self.rate))
-            for number, trouble in enumerate(troubles, 1):
-                if not (0 <= float(trouble["at"]) <= 1) or not isinstance(trouble["do"], str):
-                    raise DayError(f"{path}: trouble {number}: 'at' is a share of the day and 'do' a name")
-            return troubles
+            for number, fault_step in enumerate(faults, 1):
+                if not (0 <= float(fault_step["at"]) <= 1) or not isinstance(fault_step["do"], str):
+                    raise ScenarioError(
+                        f"{path}: trouble {number}: 'at' is a share of the day and 'do' a name"
+                    )
+            return faults
         except (OSError, yaml.YAMLError, KeyError, TypeError, ValueError) as error:
-            raise DayError(f"{path}: {str(error).splitlines()[0]}") from None
+            raise ScenarioError(f"{path}: {str(error).splitlines()[0]}") from None
 
     def run(self, progress: bool = False) -> dict[str, Any]:
         """Play the day; raises DayError where its processes do not come up."""
@@ -170,14 +97,14 @@
             try:
                 stage = Stage(self.settings, directory, self.driver_module)
             except ProcessError as error:
-                raise DayError(str(error)) from None
+                raise ScenarioError(str(error)) from None
             try:
                 return self._play(stage, directory, progress)
             except ProcessError as error:
-                raise DayError(str(error)) from None
+                raise ScenarioError(str(error)) from None
             finally:
                 stage.stop()
-                self.burning.stop()
+                self.cpu_load.stop()
 
     def _play(self, stage: Stage, directory: Path, progress: bool) -> dict[str, Any]:
         from twisted.internet import reactor
@@ -190,20 +117,20 @@
             name = f"driver-{number}"
             address = stage.driver(name, **self.driver_changes(name, number))
             self.started(name)
-            self.callers[name] = Caller(reactor, name, address, record)
-            if self.burners:
-                self.burning.beside(stage.drivers[name].process.pid, number, self.burners)
+            self.clients[name] = LoadClient(reactor, name, address, record)
+            if self.cpu_load_processes:
+                self.cpu_load.beside(stage.drivers[name].process.pid, number, self.cpu_load_processes)
             self.sessions[name] = [
                 Session(bson.Binary(self.random.randbytes(16), 4)) for _ in range(SESSIONS)
             ]
         self.settled()
         self.began = now()
-        for trouble in self.troubles:
-            self.reactor.callLater(float(trouble["at"]) * self.length, self._trouble, trouble)
+        for fault_step in self.faults:
+            self.reactor.callLater(float(fault_step["at"]) * self.length, self._start_fault, fault_step)
         self.reactor.callLater(0.0, self._next_arrival)
         self.reactor.callLater(self.length, self._close)
         bar = (
-            click.progressbar(length=round(self.length), label="bad day", file=_terminal())
+            click.progressbar(length=round(self.length), label="bad day", file=sys.stderr)
             if progress
             else None
         )
@@ -216,7 +143,7 @@
         record.close()
         stage.stop()
         if self.errors:
-            raise DayError(self.errors[0])
+            raise ScenarioError(self.errors[0])
         return self._result(directory)
 
     def driver_changes(self, name: str, number: int) -> dict[str, dict[str, Any]]:
@@ -254,14 +181,14 @@
                 kind = candidate
                 break
             draw -= candidate.share
-        driver = self.random.choice(sorted(self.callers))
+        driver = self.random.choice(sorted(self.clients))
         session = self.random.choice(self.sessions[driver])
         self.tallies[kind.name].asked += 1
         self._try(kind, driver, session, tries=0, op="", started=now())
 
     def _try(
         self,
-        kind: Kind,
+        kind: RequestKind,
         driver: str,
         session: Session,
         tries: int,
@@ -294,7 +221,7 @@
         if keyed and unsure:  # members forget the key: a try that could run after that is none to make
             patience = max(0.01, min(patience, kind.window - (now() - started)))
         leaves = self.random.random() < 0.02  # half of them before their request can have been read
-        ask = Ask(
+        ask = ClientAttempt(
             rid=rid,
             op=op,
             driver=driver,
@@ -306,29 +233,29 @@
             need=session.last_write if kind.freshness == "session" else None,
             leave_after=max(0.0, self.random.uniform(-0.02, 0.02)) if leaves else None,
         )
-        self.under_way += 1
+        self.in_flight += 1
 
-        def done(got: Got) -> None:
-            self.under_way -= 1
+        def done(got: ClientOutcome) -> None:
+            self.in_flight -= 1
             if got.verdict == "served" and writes and keyed:
                 session.last_write, session.after = rid, got.reply.get("operationTime")
             retry = self.drawing and tries < 1 and self._may_retry(kind, got, now() - started)
             if not retry:
                 self._count(kind, got, now() - started)
                 return
-            wait = got.come_back or self.random.uniform(*RETRY_WAIT)
-            other = driver if keyed else self.random.choice(sorted(self.callers))
+            wait = got.retry_after or self.random.uniform(*RETRY_WAIT_S)
+            other = driver if keyed else self.random.choice(sorted(self.clients))
             self.reactor.callLater(wait, again, other, got.verdict not in ("refused", "unsent"))
 
         def again(other: str, unsure: bool) -> None:
             if self.drawing:
                 self._try(kind, other, session, tries + 1, op, started, key, unsure)
             else:  # the day is over; what came of the first try stands
-                self._count(kind, Got(ask, "refused", 0.0), now() - started)
+                self._count(kind, ClientOutcome(ask, "refused", 0.0), now() - started)
 
-        self.callers[driver].send(ask, done)
+        self.clients[driver].send(ask, done)
 
-    def _may_retry(self, kind: Kind, got: Got, passed: float) -> bool:
+    def _may_retry(self, kind: RequestKind, got: ClientOutcome, passed: float) -> bool:
         """A refusal and a try that was never made may be tried again; a lost one only where that is safe."""
         if got.verdict in ("refused", "unsent"):
             return True
@@ -336,7 +263,7 @@
             return kind.effect == "safe" or (kind.effect == "keyed" and passed < kind.window / 3)
         return got.verdict == "failed" and kind.effect == "safe"
 
-    def _count(self, kind: Kind, got: Got, passed: float) -> None:
+    def _count(self, kind: RequestKind, got: ClientOutcome, passed: float) -> None:
         tally = self.tallies[kind.name]
         if got.verdict == "served":
             tally.times.record_value(max(1, round(passed * 1e6)))
@@ -349,14 +276,14 @@
 
     # Troubles
 
-    def _trouble(self, trouble: dict[str, Any]) -> None:
-        short = min(1.0, self.length / FULL_LENGTH)
-        fields = {k: v for k, v in trouble.items() if k not in ("at", "do")}
+    def _start_fault(self, fault_step: dict[str, Any]) -> None:
+        short = min(1.0, self.length / SCRIPT_LENGTH_S)
+        fields = {k: v for k, v in fault_step.items() if k not in ("at", "do")}
         if "for" in fields and fields["for"] >= 1:
             fields["for"] *= short
         if "then" in fields and fields["then"].get("for", 0) >= 1:
             fields["then"] = {**fields["then"], "for": fields["then"]["for"] * short}
-        do = trouble["do"]
+        do = fault_step["do"]
         if do == "burst":
             self.factor = float(fields.get("factor", 2.0))
             self.reactor.callLater(float(fields.get("for", 2.0)), setattr, self, "factor", 1.0)
@@ -372,8 +299,8 @@
     def _start(self, name: str) -> None:
         self.stage.driver(name)
         self.started(name)
-        if self.burners:  # those of its first life still run
-            self.burning.beside(self.stage.drivers[name].process.pid, int(name.rpartition("-")[2]), 0)
+        if self.cpu_load_processes:  # those of its first life still run
+            self.cpu_load.beside(self.stage.drivers[name].process.pid, int(name.rpartition("-")[2]), 0)
 
     def _fault(self, do: str, fields: dict[str, Any]) -> None:
         self.stage.fault(do, **fields)
@@ -384,11 +311,11 @@
         end = now() + 6.0
 
         def look() -> None:
-            if self.under_way and now() < end:
+            if self.in_flight and now() < end:
                 self.reactor.callLater(0.05, look)
                 return
-            for caller in self.callers.values():
-                caller.close()
+            for client in self.clients.values():
+                client.close()
             self.reactor.callLater(0.1, self.reactor.stop)
 
         look()
@@ -407,7 +334,7 @@
             "requests": sum(t.asked for t in self.tallies.values()),
             "rules": [f.as_dict() for f in findings],
             "classes": {name: tally.as_dict() for name, tally in self.tallies.items()},
-            "reads": _where(records),
+            "reads": reads_by_side(records),
             "delays": self._delays(records, directory),
         }
 
@@ -440,69 +367,3 @@
             rules.warm_within,
             self.slack,
         )
-
-
-def _where(records: list[dict[str, Any]]) -> dict[str, dict[str, int]]:
-    """Reads served, by class: at the primary of that moment, or at a replica."""
-    from sedgepitch.audit.rules import Evidence
-
-    evidence = Evidence(records)
-    roles = Roles(evidence)
-    out: dict[str, dict[str, int]] = {}
-    for rid, ask in evidence.asked.items():
-        answer = next((a for a in evidence.got.get(rid, []) if a["verdict"] == "served"), None)
-        if ask["w"] or answer is None or answer.get("m") is None:
-            continue
-        side = "primary" if roles.primary(0, answer["t"]) == answer["m"] else "replicas"
-        row = out.setdefault(ask["cls"], {"primary": 0, "replicas": 0})
-        row[side] += 1
-    return out
-
-
-def _terminal() -> Any:
-    return sys.stderr
-
-
-def table(result: dict[str, Any]) -> str:
-    """The result as a person reads it."""
-    lines = [
-        f"{result['requests']} requests in {result['length_s']:g} s, {result['drivers']} drivers, "
-        f"{result['members']} members, seed {result['seed']}",
-        "",
-        f"{'rule':32}{'checked':>9}{'broken':>8}",
-    ]
-    for rule in result["rules"]:
-        name = f"{rule['rule']}. {rule['name']}"
-        verdict = "kept" if not rule["broken"] else "BROKEN"
-        lines.append(f"{name:32}{rule['checked']:>9}{rule['broken']:>8}  {verdict}")
-        lines += [f"     {text}" for text in rule["told"][:5]]
-    head = (
-        "class",
-        "asked",
-        "in time",
-        "late",
-        "refused",
-        "failed",
-        "left/lost",
-        "p50 ms",
-        "p99 ms",
-        "at replicas",
-    )
-    columns: list[str] = list(head[1:])
-    lines += ["", f"{head[0]:14}" + "".join(f"{name:>12}" for name in columns)]
-    for name, row in result["classes"].items():
-        where = result["reads"].get(name)
-        share = f"{where['replicas'] / max(1, sum(where.values())):.0%}" if where else "-"
-        figures = [row[k] for k in ("asked", "in_time", "late", "refused", "failed", "other")]
-        times = ["-" if row[k] is None else f"{row[k]:.1f}" for k in ("p50_ms", "p99_ms")]
-        lines.append(f"{name:14}" + "".join(f"{value!s:>12}" for value in [*figures, *times, share]))
-    lines.append("")
-    for who, row in sorted(result["delays"].items()):
-        more = ", ".join(
-            f"{row[k]:g} {k}" for k in ("too_slow", "hurried", "overdue", "faults") if row.get(k)
-        )
-        text = (
-            f"{who} were at most {row['longest'] * 1000:.0f} ms late, {row['mean'] * 1000:.2f} ms in the mean"
-        )
-        lines.append(text + (f"; {more}" if more else ""))
-    return "\n".join(lines)
--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -19,104 +19,37 @@
 import sys
 import threading
 import time
-from importlib.resources import files
 from pathlib import Path
-from typing import Any, Literal
-
-import yaml
-from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
+from typing import Any
 
 from sedgepitch.peers.keys import load_keys, new_key_file
-from sedgepitch.scenarios.fault_scenario import BadDay, DayError, Kind, day_settings, table
-from sedgepitch.scenarios.load_generator import Got, now
+from sedgepitch.scenarios.errors import ScenarioError
+from sedgepitch.scenarios.fault_scenario import FaultScenario
+from sedgepitch.scenarios.fleet_script import Script, Step
+from sedgepitch.scenarios.load_generator import ClientOutcome, now
 from sedgepitch.scenarios.network_links import Link
 from sedgepitch.scenarios.peer_processes import processor_time
+from sedgepitch.scenarios.traffic import RequestKind, scenario_settings
 
-PATIENCE = 30.0  # s that a step waits at most for what has to be said before it
-LOOK = 0.2  # s between looks at what was said
-WORTH = {"upload": 6.0, "note": 2.0, "own-read": 3.0, "map-read": 3.0}  # as the example settings say; else 1
-
-
-class Step(BaseModel):
-    """One trouble. `at` and `for` are seconds of the script's own day."""
-
-    model_config = ConfigDict(extra="forbid", frozen=True, populate_by_name=True)
-
-    at: float = Field(ge=0)
-    do: Literal[
-        "lose", "crash", "slow", "lag", "drain", "cut", "cut_peers", "lossy_peers", "garbage", "burst",
-        "kill", "start", "freeze", "leave", "return",
-    ]  # fmt: skip
-    lasts: float = Field(0.0, ge=0, alias="for")
-    zone: str = ""
-    part: float = Field(1.0, gt=0, le=1)  # of the zone's members, or of the drivers
-    origin: str = Field("", alias="from")
-    to: str = ""
-    drivers: list[int] = []
-    factor: float = Field(10.0, gt=0)
-    each: float = Field(0.0, ge=0)  # s between one member and the next
-    once: Literal["", "left", "returning"] = ""  # not before most drivers have said so of the zone
-
-
-class Script(BaseModel):
-    """A whole day."""
-
-    model_config = ConfigDict(extra="forbid", frozen=True)
-
-    length: float = Field(60.0, gt=0, le=600)
-    drivers: int = Field(12, ge=1, le=64)
-    members: int = Field(9, ge=2, le=60)
-    zones: list[str] = Field(["north", "middle", "south"], min_length=1, max_length=6)
-    rate: float = Field(240.0, gt=0, le=2000)
-    settings: dict[str, dict[str, Any]] = {}
-    wrong_key: list[int] = []  # drivers whose key file is another
-    beside: list[
-        str
-    ] = []  # Python's arguments for other peers; {name}, {key}, {seed} are put in, routes added
-    steps: list[Step] = Field([], max_length=200)
-
-    @model_validator(mode="after")
-    def _names(self) -> Script:
-        for number, step in enumerate(self.steps, 1):
-            for name in (step.zone, step.origin, step.to):
-                if name and name not in self.zones:
-                    raise ValueError(f"step {number}: there is no zone '{name}'")
-            if step.do in ("lose", "crash", "slow", "lag", "drain", "leave", "return") and not step.zone:
-                raise ValueError(f"step {number}: '{step.do}' needs a zone")
-            if step.once and not step.zone:
-                raise ValueError(f"step {number}: 'once' needs a zone")
-            if step.do == "cut" and not (step.origin and step.to):
-                raise ValueError(f"step {number}: a cut needs 'from' and 'to'")
-            if any(not 1 <= d <= self.drivers for d in step.drivers):
-                raise ValueError(f"step {number}: drivers are 1 to {self.drivers}")
-        return self
-
-
-def read_script(path: str | None) -> Script:
-    """Read a script, or the one that comes with the package. Raises DayError with its place."""
-    try:
-        if path is None:
-            text = files("sedgepitch.scenarios").joinpath("fleet_scenario.yaml").read_text(encoding="utf-8")
-        else:
-            text = Path(path).read_text(encoding="utf-8")
-        return Script.model_validate(yaml.safe_load(text))
-    except ValidationError as error:
-        first = error.errors()[0]
-        place = ".".join(str(p) for p in first["loc"])
-        raise DayError(f"{path}: {place}: {first['msg']}") from None
-    except (OSError, yaml.YAMLError) as error:
-        raise DayError(f"{path}: {str(error).splitlines()[0]}") from None
+STEP_WAIT_MAX_S = 30.0  # s that a step waits at most for what has to be said before it
+POLL_INTERVAL_S = 0.2  # s between looks at what was said
+PRIORITY_WEIGHTS = {
+    "upload": 6.0,
+    "note": 2.0,
+    "own-read": 3.0,
+    "map-read": 3.0,
+}  # as the example settings say; else 1
 
 
 def _last_address(log: Path, event: str) -> str:
     """Where the last life of a driver said that it listens."""
     lines = [x for x in log.read_text(encoding="utf-8", errors="replace").splitlines() if f'"{event}"' in x]
     if not lines:
-        raise DayError(f"{log.name}: nothing said of {event}")
+        raise ScenarioError(f"{log.name}: nothing said of {event}")
     return str(json.loads(lines[-1])["address"])
 
 
-class FleetDay(BadDay):
+class FleetScenario(FaultScenario):
     """One day. `together` is whether drivers act on zones together; else each acts alone."""
 
     def __init__(
@@ -131,7 +64,7 @@
     ) -> None:
         self.script, self.together, self.told = script, together, told
         count = drivers or script.drivers
-        settings = day_settings()
+        settings = scenario_settings()
         zones = script.zones
         settings["members"] = [
             {"id": n + 1, "address": "127.0.0.1:0", "zone": zones[n % len(zones)], "primary": n == 0}
@@ -144,7 +77,7 @@
         super().__init__(
             seed, script.length, keep=keep, rate=script.rate, slack=slack, settings=settings, drivers=count
         )
-        self.troubles = []
+        self.faults = []
         self.zone_of = {f"driver-{n}": zones[(n - 1) % len(zones)] for n in range(1, count + 1)}
         self.links: dict[tuple[str, str], Link] = {}
         self.metrics: dict[str, str] = {}
@@ -211,12 +144,12 @@
             able = [n for n in self.zone_of if int(n.rpartition("-")[2]) not in self.script.wrong_key]
             while not all(len(self._alive(n)) == len(able) for n in able):
                 if now() > end:
-                    raise DayError("the drivers did not find each other within 60 s")
+                    raise ScenarioError("the drivers did not find each other within 60 s")
         for number, command in enumerate(self.script.beside, 1):
             self._beside(f"beside-{number}", command)
         self.used = self._used()
         for step in self.script.steps:
-            self.reactor.callLater(step.at, self._due, step, now() + step.at + PATIENCE)
+            self.reactor.callLater(step.at, self._due, step, now() + step.at + STEP_WAIT_MAX_S)
 
     def _used(self) -> dict[str, tuple[int, float]]:
         """Seconds of processor time by driver, with its process."""
@@ -246,7 +179,7 @@
         there = [m["id"] for m in self.settings["members"] if m["zone"] == zone]
         return there[: max(1, round(part * len(there)))]
 
-    def _whom(self, step: Step) -> list[str]:
+    def _proxies_of(self, step: Step) -> list[str]:
         """The drivers that a step names: by number, or a part of those of a zone, or of all."""
         if step.drivers:
             return [f"driver-{n}" for n in step.drivers if n <= self.drivers]
@@ -262,7 +195,7 @@
         elif now() > by:
             self.errors.append(f"most drivers never were {step.once} with {step.zone}")
         else:
-            self.reactor.callLater(LOOK, self._due, step, by)
+            self.reactor.callLater(POLL_INTERVAL_S, self._due, step, by)
 
     def _step(self, step: Step) -> None:
         self.record("step", **step.model_dump(by_alias=True))
@@ -270,7 +203,7 @@
         if do in ("lose", "crash", "slow", "lag", "drain"):
             members = self._members(step.zone, step.part)
             for index, member in enumerate(members):
-                self.reactor.callLater(index * step.each, self._befall, do, member, lasts, step.factor)
+                self.reactor.callLater(index * step.each, self._inject_fault, do, member, lasts, step.factor)
             if do == "lose" and self.told:  # the yardstick: discovery says so at that moment
                 for member in members:
                     self._do("drain", member=member, **{"for": lasts})
@@ -279,43 +212,43 @@
                 for name in [n for n, zone in self.zone_of.items() if zone == step.origin]:
                     self._do("cut", member=member, driver=name, **{"for": lasts})
         elif do in ("cut_peers", "lossy_peers", "garbage"):
-            self._harm(step, True)
+            self._harm_links(step, True)
             if lasts:
-                self.reactor.callLater(lasts, self._harm, step, False)
+                self.reactor.callLater(lasts, self._harm_links, step, False)
         elif do == "burst":
             self.factor = step.factor
             self.reactor.callLater(lasts, setattr, self, "factor", 1.0)
         elif do in ("leave", "return"):
-            name = self._whom(step)[0]
-            self._later(self._order, name, step)
+            name = self._proxies_of(step)[0]
+            self._later(self._send_zone_command, name, step)
         elif do == "kill":
-            for name in self._whom(step):
+            for name in self._proxies_of(step):
                 self.record("killed", d=name)
                 self.stage.drivers[name].kill()
         elif do == "start":
-            for name in self._whom(step):
+            for name in self._proxies_of(step):
                 self._later(self._start, name)
         elif do == "freeze":
-            for name in self._whom(step):
+            for name in self._proxies_of(step):
                 self.record("frozen", d=name)
                 self.stage.drivers[name].process.send_signal(signal.SIGSTOP)
                 self.frozen.add(name)
-                self.reactor.callLater(lasts, self._wake, name)
+                self.reactor.callLater(lasts, self._resume, name)
 
-    def _wake(self, name: str) -> None:
+    def _resume(self, name: str) -> None:
         if name in self.frozen:
             self.frozen.discard(name)
             self.stage.drivers[name].process.send_signal(signal.SIGCONT)
             self.record("woken", d=name)
 
-    def _befall(self, do: str, member: int, lasts: float, factor: float) -> None:
+    def _inject_fault(self, do: str, member: int, lasts: float, factor: float) -> None:
         if do == "lose":
             self._do("cut", member=member, driver="*", **{"for": lasts})
         else:
             more = {} if do in ("crash", "drain") else {"factor": factor}
             self._do(do, member=member, **more, **{"for": lasts})
 
-    def _harm(self, step: Step, on: bool) -> None:
+    def _harm_links(self, step: Step, on: bool) -> None:
         """Links from one zone to another, or all of them."""
         for (origin, name), link in self.links.items():
             if step.origin not in ("", origin) or step.to not in ("", self.zone_of[name]):
@@ -326,9 +259,9 @@
             elif step.do == "lossy_peers":
                 link.loss, link.doubled, link.delay = (0.2, 0.1, 0.1) if on else (0.0, 0.0, 0.0)
             elif step.do == "garbage" and on:
-                threading.Thread(target=self._throw, args=(link, step.lasts), daemon=True).start()
+                threading.Thread(target=self._send_garbage, args=(link, step.lasts), daemon=True).start()
 
-    def _throw(self, link: Link, lasts: float) -> None:
+    def _send_garbage(self, link: Link, lasts: float) -> None:
         """Garbage and what was sent before, over and over."""
         end, count = now() + lasts, 0
         while now() < end and not link.closed:
@@ -338,7 +271,7 @@
             if count % 20 == 0:
                 time.sleep(0.01)
 
-    def _order(self, name: str, step: Step) -> None:
+    def _send_zone_command(self, name: str, step: Step) -> None:
         """What `sedgepitch zone` does, once."""
         from urllib.request import Request, urlopen
 
@@ -359,7 +292,7 @@
 
     def _close(self) -> None:
         for name in list(self.frozen):
-            self._wake(name)
+            self._resume(name)
         spent = [
             t - self.used[n][1] for n, (pid, t) in self._used().items() if self.used.get(n, (0,))[0] == pid
         ]
@@ -368,10 +301,10 @@
 
     # What came of it
 
-    def _count(self, kind: Kind, got: Got, passed: float) -> None:
+    def _count(self, kind: RequestKind, got: ClientOutcome, passed: float) -> None:
         super()._count(kind, got, passed)
         good = got.verdict == "served" and passed <= kind.aim
-        self.outcomes.append((now() - passed, good, WORTH.get(kind.name, 1.0)))
+        self.outcomes.append((now() - passed, good, PRIORITY_WEIGHTS.get(kind.name, 1.0)))
 
     def _result(self, directory: Path) -> dict[str, Any]:
         result = super()._result(directory)
@@ -458,25 +391,3 @@
                 told = json.loads(line)
                 events.append({**told, "driver": log.stem})
     return sorted(events, key=lambda e: e["at"])
-
-
-def fleet_table(result: dict[str, Any]) -> str:
-    """The result as a person reads it."""
-    heads = ("trouble", "zone", "at s", "left by", "first s", "last s", "95% away s", "in vain", "back s")
-    widths = (10, 10, 7, 8, 9, 9, 11, 8, 8)
-    lines = [
-        table(result),
-        "",
-        "".join(f"{h:>{w}}" for h, w in zip(heads, widths, strict=True))
-        + "   worth in time: before, during, after",
-    ]
-    for row in result["zones"]:
-        cells = (
-            row["do"], row["zone"], row["at"], row["left"], row["first_left_s"], row["last_left_s"],
-            row["in_vain_95_s"], row["sent_in_vain"], row["back_last_s"],
-        )  # fmt: skip
-        text = "".join(f"{'-' if c is None else c:>{w}}" for c, w in zip(cells, widths, strict=True))
-        lines.append(
-            f"{text}   {row['worth_before']:.3f}, {row['worth_during']:.3f}, {row['worth_after']:.3f}"
-        )
-    return "\n".join(lines)
--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientAttempt:
     """One try of one request."""
 
     rid: str
@@ -42,16 +42,16 @@
 
 
 @dataclass(slots=True)
-class Got:
+class ClientOutcome:
     """How a try ended: served, refused, failed, closed (no connection any more), unsent, or left."""
 
-    ask: Ask
+    ask: ClientAttempt
     verdict: str
     elapsed: float
     reply: dict[str, Any] = field(default_factory=dict)
 
     @property
-    def come_back(self) -> float:
+    def retry_after(self) -> float:
         """When the driver asks to be asked again, in seconds; 0 for no advice."""
         return float(self.reply.get("retryAfterMS", 0)) / 1000.0
 
@@ -59,26 +59,26 @@
 class Connection(FrameReceiver):
     """One client connection."""
 
-    def __init__(self, caller: Caller) -> None:
+    def __init__(self, client: LoadClient) -> None:
         super().__init__()
-        self.caller = caller
+        self.client = client
         self.number = 0
-        self.ask: Ask | None = None
-        self.done: Callable[[Got], None] | None = None
+        self.ask: ClientAttempt | None = None
+        self.done: Callable[[ClientOutcome], None] | None = None
         self.timer: Any = None
         self.up = False
 
     def connectionMade(self) -> None:
         """Begin with what waits."""
         self.transport.set_no_delay()
-        if not self.caller.app_name:
+        if not self.client.app_name:
             self.up = True
             self._write()
             return
-        client = {"application": {"name": self.caller.app_name}}
+        client = {"application": {"name": self.client.app_name}}
         self.transport.write(codec.build(bson.encode({"hello": 1, "client": client, "$db": "admin"}), 0, 0))
 
-    def begin(self, ask: Ask, done: Callable[[Got], None]) -> None:
+    def begin(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
         """Carry one try."""
         self.ask, self.done = ask, done
         if self.up:
@@ -94,21 +94,21 @@
         ask.asked = now()
         record = {"rid": ask.rid, "op": ask.op, "d": ask.driver, "cls": ask.class_name, "w": ask.writes}
         self.transport.write(message)
-        self.caller.record(
+        self.client.record(
             "ask", t=ask.asked, by=ask.asked + ask.patience, keyed=ask.keyed, need=ask.need, **record
         )
         if ask.leave_after == 0.0:
             self._leave()
         elif ask.leave_after is not None:
-            self.timer = self.caller.reactor.callLater(ask.leave_after, self._leave)
+            self.timer = self.client.reactor.callLater(ask.leave_after, self._leave)
         else:
             # A client that is never answered gives up long after its time; the audit has then seen it.
-            self.timer = self.caller.reactor.callLater(ask.patience + 2.0, self._never)
+            self.timer = self.client.reactor.callLater(ask.patience + 2.0, self._never)
 
     def _leave(self) -> None:
         self.timer = None
         if self.ask is not None:
-            self.caller.record("left", rid=self.ask.rid)
+            self.client.record("left", rid=self.ask.rid)
             self._end("left", {})
         self.transport.abortConnection()
 
@@ -119,7 +119,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes; how long they waited is this process's own delay."""
-        self.caller.record.waited(now() - self.transport.arrived)
+        self.client.record.waited(now() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
@@ -135,14 +135,14 @@
             self._write()
             return
         if self.ask is None or message.response_to != self.number:
-            self.caller.record("extra", d=self.caller.driver)
+            self.client.record("extra", d=self.client.driver)
             return
         labels = reply.get("errorLabels") or []
         served = reply.get("ok") == 1
         verdict = "served" if served else "refused" if "NoWritesPerformed" in labels else "failed"
         self._end(verdict, reply)
         if self.up:
-            self.caller.idle.append(self)
+            self.client.idle.append(self)
 
     def _end(self, verdict: str, reply: dict[str, Any]) -> None:
         if self.timer is not None:
@@ -156,20 +156,20 @@
         at = self.transport.arrived if verdict in ("served", "refused", "failed") else now()
         if ask.asked:
             if verdict not in ("left", "lost"):
-                self.caller.record(
+                self.client.record(
                     "got", t=at, rid=ask.rid, verdict=verdict, m=member.get("id"), i=member.get("applied")
                 )
-        done(Got(ask, verdict, at - ask.asked if ask.asked else 0.0, reply))
+        done(ClientOutcome(ask, verdict, at - ask.asked if ask.asked else 0.0, reply))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """The driver hung up."""
         self.up = False
-        if self in self.caller.idle:
-            self.caller.idle.remove(self)
+        if self in self.client.idle:
+            self.client.idle.remove(self)
         self._end("closed", {})
 
 
-class Caller(ClientFactory):
+class LoadClient(ClientFactory):
     """All client connections to one driver."""
 
     noisy = False
@@ -182,7 +182,7 @@
         self.idle: list[Connection] = []
         self.opened = 0
 
-    def send(self, ask: Ask, done: Callable[[Got], None]) -> None:
+    def send(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
         """Make one try; `done` hears how it ended."""
         if self.idle:
             self.idle.pop().begin(ask, done)
--- a/sedgepitch/scenarios/processes.py
+++ b/sedgepitch/scenarios/processes.py
@@ -18,7 +18,7 @@
 
 import yaml
 
-READY_WITHIN = 60.0  # s; generous, machines are shared
+READY_TIMEOUT_S = 60.0  # s; generous, machines are shared
 
 
 class ProcessError(Exception):
@@ -48,7 +48,7 @@
 
     def ready(self) -> tuple[str, int]:
         """Wait until it serves; returns its address. Raises ProcessError."""
-        end = time.monotonic() + READY_WITHIN
+        end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end:
             try:
                 line = self.lines.get(timeout=0.2)
@@ -81,7 +81,7 @@
         return self.process.returncode
 
 
-class Burners:
+class CpuLoad:
     """A slow machine: processes that only compute, on the core that another is pinned to. They end alone."""
 
     def __init__(self, lasts: float) -> None:
@@ -95,15 +95,15 @@
         os.sched_setaffinity(pid, core)
         text = f"import time\nend = time.monotonic() + {self.lasts}\nwhile time.monotonic() < end: pass"
         for _ in range(count):
-            burner = subprocess.Popen([sys.executable, "-c", text])
-            os.sched_setaffinity(burner.pid, core)
-            self.running.append(burner)
+            process = subprocess.Popen([sys.executable, "-c", text])
+            os.sched_setaffinity(process.pid, core)
+            self.running.append(process)
 
     def stop(self) -> None:
         """End them all."""
-        for burner in self.running:
-            burner.kill()
-            burner.wait()
+        for process in self.running:
+            process.kill()
+            process.wait()
         self.running = []
 
 
--- /dev/null
+++ b/sedgepitch/scenarios/traffic.py
@@ -0,0 +1,84 @@
+"""The clients' traffic of a scenario: kinds of requests, sessions, and a tally of what became of them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from importlib.resources import files
+from typing import Any
+
+import bson
+import yaml
+from hdrh.histogram import HdrHistogram
+
+PROXIES = 3
+
+
+@dataclass(slots=True, frozen=True)
+class RequestKind:
+    """One class of the day's requests."""
+
+    name: str
+    share: float
+    freshness: str
+    deadline: float
+    aim: float
+    max_age: float = 0.0
+    effect: str = "safe"
+    window: float = 0.0
+
+
+KINDS = (
+    RequestKind("upload", 0.10, "write", 2.0, 0.2, effect="keyed", window=1.2),
+    RequestKind("note", 0.03, "write", 2.0, 0.2, effect="unsafe"),
+    RequestKind("own-read", 0.22, "session", 0.5, 0.2),
+    RequestKind("current-read", 0.03, "fresh", 0.5, 0.2),
+    RequestKind("history-read", 0.20, "any", 0.6, 0.2),
+    RequestKind("map-read", 0.42, "bounded", 0.8, 0.2, max_age=0.5),
+)
+
+
+def scenario_settings() -> dict[str, Any]:
+    """The settings of drivers and fleet: the example, with times that suit a short day."""
+    settings: dict[str, Any] = yaml.safe_load(
+        files("sedgepitch.config").joinpath("example.yaml").read_text(encoding="utf-8")
+    )
+    settings["module"] = {"drivers": PROXIES}
+    settings["log"] = {"level": "info", "format": "json", "lines_per_second": 2000}
+    settings["rules"] |= {"warm_within": "5 s"}
+    settings["standins"] |= {
+        "read_work": {"least": "5 ms", "most": "10 ms"},
+        "write_work": {"least": "4 ms", "most": "8 ms"},
+        "cores": 2,
+        "warm_within": "5 s",
+    }
+    return settings
+
+
+@dataclass
+class Session:
+    """One station's session: its id, its key count, and its last acknowledged write."""
+
+    lsid: bson.Binary
+    number: int = 0
+    last_write: str | None = None
+    after: bson.Timestamp | None = None
+
+
+@dataclass
+class Tally:
+    """What became of one class's requests (client retries counted with their first try)."""
+
+    asked: int = 0
+    in_time: int = 0
+    late: int = 0
+    refused: int = 0
+    failed: int = 0
+    other: int = 0
+    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
+
+    def as_dict(self) -> dict[str, Any]:
+        """Return it for a report; times in milliseconds."""
+        out = {n: getattr(self, n) for n in ("asked", "in_time", "late", "refused", "failed", "other")}
+        for name, share in (("p50_ms", 50.0), ("p99_ms", 99.0)):
+            out[name] = self.times.get_value_at_percentile(share) / 1000.0 if self.times.total_count else None
+        return out
