--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -12,6 +12,8 @@
 from sedgepitch.decisions.request_classes import Classifier, Match, Rule, variants
 from sedgepitch.routing import messages as api
 
+PEER_NAME_MAX = 64  # characters
+
 
 class Model(BaseModel):
     """Keys that nobody knows are mistakes."""
@@ -275,28 +277,41 @@
     standins: StandinsModel | None = None
 
     @model_validator(mode="after")
-    def _hangs_together(self) -> Settings:
-        groups = [g.id for g in self.groups]
+    def _names_are_unique(self) -> Settings:
         named: tuple[tuple[str, list[object]], ...] = (
             ("classes", [c.name for c in self.classes]),
-            ("groups", [*groups]),
+            ("groups", [g.id for g in self.groups]),
             ("members", [m.id for m in self.members]),
         )
         for kind, values in named:
             twice = {v for v in values if values.count(v) > 1}
             if twice:
                 raise ValueError(f"{kind}: {sorted(map(str, twice))[0]} stands there twice")
+        return self
+
+    @model_validator(mode="after")
+    def _groups_exist(self) -> Settings:
+        groups = [g.id for g in self.groups]
         for member in self.members:
             if member.group not in groups:
                 raise ValueError(
                     f"members: member {member.id} is of group {member.group}, which is not there"
                 )
+        return self
+
+    @model_validator(mode="after")
+    def _bounds_outlast_a_decision(self) -> Settings:
+        handover = self.limits.handover_within
         for cls in self.classes:
-            if cls.freshness is api.Freshness.BOUNDED and self.limits.handover_within >= cls.max_age / 2:
+            if cls.freshness is api.Freshness.BOUNDED and handover >= cls.max_age / 2:
                 raise ValueError(f"limits: handover_within must be under half of the max_age of '{cls.name}'")
-            if cls.effect is api.Idempotency.KEYED and self.limits.handover_within >= cls.window / 2:
+            if cls.effect is api.Idempotency.KEYED and handover >= cls.window / 2:
                 raise ValueError(f"limits: handover_within must be under half of the window of '{cls.name}'")
-        if self.peers is not None and not 0 < len(self.driver.name) <= 64:
+        return self
+
+    @model_validator(mode="after")
+    def _parts_have_what_they_need(self) -> Settings:
+        if self.peers is not None and not 0 < len(self.driver.name) <= PEER_NAME_MAX:
             raise ValueError("driver: name needs 1 to 64 characters where there are peers")
         if self.zones is not None and self.peers is None:
             raise ValueError("zones: they are judged with peers, and there is no part 'peers'")
--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -29,6 +29,8 @@
 
 REQUESTS_PER_S = 240.0  # requests a second over all drivers, on a quiet stretch
 SESSIONS = 40  # for each driver
+STATIONS = 200  # that the readings are of
+DISCONNECT_SHARE = 0.02  # of the clients
 SCRIPT_LENGTH_S = 40.0  # s; the length that the script's times are written for
 RETRY_WAIT_S = (0.1, 0.3)  # s before a client's own retry where it got no advice
 
@@ -197,63 +199,85 @@
         key: int = 0,
         unsure: bool = False,
     ) -> None:
+        """Make one attempt of a request; `unsure` says that an earlier one may have run."""
         self.count += 1
         rid = f"{kind.name}-{self.count}"
         op = op or rid
-        writes, keyed = kind.freshness == "write", kind.effect == "keyed"
-        station = self.random.randrange(200)
-        comment = {"class": kind.name, "rid": rid}
-        lsid = {"id": session.lsid}
-        if writes:
+        if kind.keyed and not key:
+            session.number += 1
+            key = session.number
+        command = self._command(kind, session, rid, op, key)
+        attempt = self._attempt(kind, driver, session, rid, op, command, unsure, started)
+        self.in_flight += 1
+
+        def done(outcome: ClientOutcome) -> None:
+            self.in_flight -= 1
+            if outcome.verdict == "served" and kind.keyed:
+                session.last_write = rid
+                session.after = outcome.reply.get("operationTime")
+            retry = self.drawing and tries < 1 and self._may_retry(kind, outcome, now() - started)
+            if not retry:
+                self._count(kind, outcome, now() - started)
+                return
+            wait_s = outcome.retry_after or self.random.uniform(*RETRY_WAIT_S)
+            other = driver if kind.keyed else self.random.choice(sorted(self.clients))
+            self.reactor.callLater(wait_s, again, other, outcome.verdict not in ("refused", "unsent"))
+
+        def again(other: str, may_have_run: bool) -> None:
+            if self.drawing:
+                self._try(kind, other, session, tries + 1, op, started, key, may_have_run)
+            else:  # the scenario is over; what came of the first attempt stands
+                self._count(kind, ClientOutcome(attempt, "refused", 0.0), now() - started)
+
+        self.clients[driver].send(attempt, done)
+
+    def _command(self, kind: RequestKind, session: Session, rid: str, op: str, key: int) -> dict[str, Any]:
+        """Return the MongoDB command of one attempt."""
+        station = self.random.randrange(STATIONS)
+        session_id = {"id": session.lsid}
+        if kind.writes:
             document = {"station": station, "op": op}
             command: dict[str, Any] = {"insert": "readings", "documents": [document], "ordered": True}
-            if keyed:
-                if not key:
-                    session.number += 1
-                    key = session.number
-                command |= {"lsid": lsid, "txnNumber": bson.Int64(key)}
+            if kind.keyed:
+                command |= {"lsid": session_id, "txnNumber": bson.Int64(key)}
         else:
-            command = {"find": "readings", "filter": {"station": station}, "limit": 3, "lsid": lsid}
+            command = {"find": "readings", "filter": {"station": station}, "limit": 3, "lsid": session_id}
             if kind.freshness == "session" and session.after is not None:
                 command["readConcern"] = {"afterClusterTime": session.after}
-        command |= {"$db": "sky", "comment": comment}
+        return command | {"$db": "sky", "comment": {"class": kind.name, "rid": rid}}
+
+    def _attempt(
+        self,
+        kind: RequestKind,
+        driver: str,
+        session: Session,
+        rid: str,
+        op: str,
+        command: dict[str, Any],
+        unsure: bool,
+        started: float,
+    ) -> ClientAttempt:
+        """Return one attempt: how long its client waits for it, and whether it disconnects before that."""
         patience = kind.deadline * self.random.uniform(0.4, 1.0)
-        if keyed and unsure:  # members forget the key: a try that could run after that is none to make
+        if (
+            kind.keyed and unsure
+        ):  # servers forget the key: an attempt that could run after that must not be made
             patience = max(0.01, min(patience, kind.window - (now() - started)))
-        leaves = self.random.random() < 0.02  # half of them before their request can have been read
-        ask = ClientAttempt(
+        leaves = (
+            self.random.random() < DISCONNECT_SHARE
+        )  # half of them before their request can have been read
+        return ClientAttempt(
             rid=rid,
             op=op,
             driver=driver,
             class_name=kind.name,
             command=command,
             patience=patience,
-            writes=writes,
-            keyed=keyed,
+            writes=kind.writes,
+            keyed=kind.keyed,
             need=session.last_write if kind.freshness == "session" else None,
             leave_after=max(0.0, self.random.uniform(-0.02, 0.02)) if leaves else None,
         )
-        self.in_flight += 1
-
-        def done(got: ClientOutcome) -> None:
-            self.in_flight -= 1
-            if got.verdict == "served" and writes and keyed:
-                session.last_write, session.after = rid, got.reply.get("operationTime")
-            retry = self.drawing and tries < 1 and self._may_retry(kind, got, now() - started)
-            if not retry:
-                self._count(kind, got, now() - started)
-                return
-            wait = got.retry_after or self.random.uniform(*RETRY_WAIT_S)
-            other = driver if keyed else self.random.choice(sorted(self.clients))
-            self.reactor.callLater(wait, again, other, got.verdict not in ("refused", "unsent"))
-
-        def again(other: str, unsure: bool) -> None:
-            if self.drawing:
-                self._try(kind, other, session, tries + 1, op, started, key, unsure)
-            else:  # the day is over; what came of the first try stands
-                self._count(kind, ClientOutcome(ask, "refused", 0.0), now() - started)
-
-        self.clients[driver].send(ask, done)
 
     def _may_retry(self, kind: RequestKind, got: ClientOutcome, passed: float) -> bool:
         """A refusal and a try that was never made may be tried again; a lost one only where that is safe."""
--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -19,6 +19,7 @@
 import sys
 import threading
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -198,42 +199,67 @@
             self.reactor.callLater(POLL_INTERVAL_S, self._due, step, by)
 
     def _step(self, step: Step) -> None:
+        """Carry out one step, whose kind has a method of its own."""
         self.record("step", **step.model_dump(by_alias=True))
-        do, lasts = step.do, step.lasts
-        if do in ("lose", "crash", "slow", "lag", "drain"):
-            members = self._members(step.zone, step.part)
-            for index, member in enumerate(members):
-                self.reactor.callLater(index * step.each, self._inject_fault, do, member, lasts, step.factor)
-            if do == "lose" and self.told:  # the yardstick: discovery says so at that moment
-                for member in members:
-                    self._do("drain", member=member, **{"for": lasts})
-        elif do == "cut":
-            for member in self._members(step.to, step.part):
-                for name in [n for n, zone in self.zone_of.items() if zone == step.origin]:
-                    self._do("cut", member=member, driver=name, **{"for": lasts})
-        elif do in ("cut_peers", "lossy_peers", "garbage"):
-            self._harm_links(step, True)
-            if lasts:
-                self.reactor.callLater(lasts, self._harm_links, step, False)
-        elif do == "burst":
-            self.factor = step.factor
-            self.reactor.callLater(lasts, setattr, self, "factor", 1.0)
-        elif do in ("leave", "return"):
-            name = self._proxies_of(step)[0]
-            self._later(self._send_zone_command, name, step)
-        elif do == "kill":
-            for name in self._proxies_of(step):
-                self.record("killed", d=name)
-                self.stage.drivers[name].kill()
-        elif do == "start":
-            for name in self._proxies_of(step):
-                self._later(self._start, name)
-        elif do == "freeze":
-            for name in self._proxies_of(step):
-                self.record("frozen", d=name)
-                self.stage.drivers[name].process.send_signal(signal.SIGSTOP)
-                self.frozen.add(name)
-                self.reactor.callLater(lasts, self._resume, name)
+        handlers: dict[str, Callable[[Step], None]] = {
+            "cut": self._partition_endpoints,
+            "cut_peers": self._harm_links_for_a_while,
+            "lossy_peers": self._harm_links_for_a_while,
+            "garbage": self._harm_links_for_a_while,
+            "burst": self._burst,
+            "leave": self._command_zone,
+            "return": self._command_zone,
+            "kill": self._kill_proxies,
+            "start": self._start_proxies,
+            "freeze": self._suspend_proxies,
+        }
+        handlers.get(step.do, self._fault_zone)(step)
+
+    def _fault_zone(self, step: Step) -> None:
+        """Give each endpoint of a part of a zone the same fault, one after another."""
+        members = self._members(step.zone, step.part)
+        for index, member in enumerate(members):
+            self.reactor.callLater(
+                index * step.each, self._inject_fault, step.do, member, step.lasts, step.factor
+            )
+        if step.do == "lose" and self.told:  # the yardstick: discovery says so at that moment
+            for member in members:
+                self._do("drain", member=member, **{"for": step.lasts})
+
+    def _partition_endpoints(self, step: Step) -> None:
+        """Cut the endpoints of one zone off from the proxies of another."""
+        proxies = [name for name, zone in self.zone_of.items() if zone == step.origin]
+        for member in self._members(step.to, step.part):
+            for name in proxies:
+                self._do("cut", member=member, driver=name, **{"for": step.lasts})
+
+    def _harm_links_for_a_while(self, step: Step) -> None:
+        self._harm_links(step, True)
+        if step.lasts:
+            self.reactor.callLater(step.lasts, self._harm_links, step, False)
+
+    def _burst(self, step: Step) -> None:
+        self.factor = step.factor
+        self.reactor.callLater(step.lasts, setattr, self, "factor", 1.0)
+
+    def _command_zone(self, step: Step) -> None:
+        self._later(self._send_zone_command, self._proxies_of(step)[0], step)
+
+    def _kill_proxies(self, step: Step) -> None:
+        for name in self._proxies_of(step):
+            self.record("killed", d=name)
+            self.stage.drivers[name].kill()
+
+    def _start_proxies(self, step: Step) -> None:
+        for name in self._proxies_of(step):
+            self._later(self._start, name)
+
+    def _suspend_proxies(self, step: Step) -> None:
+        for name in self._proxies_of(step):
+            self.record("frozen", d=name)
+            self.stage.drivers[name].process.send_signal(signal.SIGSTOP)
+            self.frozen.add(name)
+            self.reactor.callLater(step.lasts, self._resume, name)
 
     def _resume(self, name: str) -> None:
         if name in self.frozen:
--- a/sedgepitch/scenarios/traffic.py
+++ b/sedgepitch/scenarios/traffic.py
@@ -26,6 +26,16 @@
     effect: str = "safe"
     window: float = 0.0
 
+    @property
+    def writes(self) -> bool:
+        """Whether its requests are writes."""
+        return self.freshness == "write"
+
+    @property
+    def keyed(self) -> bool:
+        """Whether its requests carry an idempotency key."""
+        return self.effect == "keyed"
+
 
 KINDS = (
     RequestKind("upload", 0.10, "write", 2.0, 0.2, effect="keyed", window=1.2),
