--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -134,7 +134,7 @@
     router = Router(settings.module_settings(), 1)
     listings = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
     router.handle(10.0, [api.EndpointListUpdate(listings, complete=True)])
-    router.members[1].limit = 0.0  # the primary has no room
+    router.endpoints[1].concurrency_limit = 0.0  # the primary has no room
     gate = AdmissionController(AdmissionSettings(), 1, 10.0) if door else None
     for n in range(pending):
         number = 1_000_000 + n
--- a/sedgepitch/node/driver.py
+++ b/sedgepitch/node/driver.py
@@ -289,12 +289,13 @@
                 continue
             link = self.endpoints.links.get(endpoint.id)
             lanes = (len(link.pool.lanes), len(link.pool.idle)) if link else (0, 0)
-            role = "P" if self.engine.router.groups[endpoint.group].primary is endpoint else "r"
+            health = endpoint.ejection_reason.value if endpoint.ejection_reason else "good"
+            role = "P" if self.engine.router.groups[endpoint.group_id].primary is endpoint else "r"
             words.append(
                 f"{self.membership.names.get(endpoint.id, endpoint.id)}:{endpoint.state.value}/{role}"
-                f"/{endpoint.suspect or 'good'}/out{len(endpoint.out)}/lanes{lanes[0]}-{lanes[1]}"
-                f"/breaks{endpoint.breaks}/rest{max(0.0, endpoint.rest_until - now):.1f}"
-                f"/limit{endpoint.limit:.1f}/strain{endpoint.strain:.2f}/load{endpoint.load:.0f}"
+                f"/{health}/out{len(endpoint.in_flight)}/lanes{lanes[0]}-{lanes[1]}"
+                f"/breaks{endpoint.connection_failures}/rest{max(0.0, endpoint.ejected_until - now):.1f}"
+                f"/limit{endpoint.concurrency_limit:.1f}/strain{endpoint.latency_ratio:.2f}/load{endpoint.reported_load:.0f}"
                 f"/lag{min(99.0, now - endpoint.position):.2f}"
             )
         return " ".join(words)
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -25,6 +25,7 @@
 from sedgepitch.peers.service import Peers
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
+from sedgepitch.routing.records import EjectionReason
 
 LOOK = 0.1  # s between looks at the own evidence
 LEAST_GAP = 0.2  # s between two tellings of the own digest
@@ -156,7 +157,7 @@
         suspects = {
             m.id: m.zone
             for m in self.engine.router.endpoints.values()
-            if m.suspect in ("silent", "down")
+            if m.ejection_reason in (EjectionReason.SILENT, EjectionReason.UNREACHABLE)
             and m.trial is None
             and m.zone
             and m.state is api.EndpointState.UP
--- a/sedgepitch/routing/messages.py
+++ b/sedgepitch/routing/messages.py
@@ -57,6 +57,15 @@
     NOT_ELIGIBLE = "miss"
 
 
+NEVER_RAN = (
+    AttemptResult.OVERLOADED,
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.NOT_SENT,
+    AttemptResult.NOT_ELIGIBLE,
+)
+"""Results which prove that the attempt had no effect."""
+
+
 class StaleReadHandling(Enum):
     """What a member does with a read for which it lags too far."""
 
--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -6,13 +6,17 @@
 
 from __future__ import annotations
 
-import random
 from collections.abc import Iterable
 from itertools import islice
-from statistics import median
+from random import Random
 
 from sedgepitch.routing import messages as api
+from sedgepitch.routing.freshness import FreshnessRules
+from sedgepitch.routing.health_checks import HealthChecks
+from sedgepitch.routing.idle_connections import IdleConnections
+from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.messages import (
+    NEVER_RAN,
     AttemptResult,
     DeduplicationScope,
     EndpointState,
@@ -21,23 +25,33 @@
     SessionTracking,
     StaleReadHandling,
 )
+from sedgepitch.routing.records import (
+    NEVER,
+    POSITION_ROUNDING_S,
+    EjectionReason,
+    Endpoint,
+    InFlightAttempt,
+    ReadPreference,
+    ReplicaGroup,
+    RoutedRequest,
+)
+from sedgepitch.routing.response_deadlines import overdue_after, silence_deadline, silent_since
+from sedgepitch.routing.side_comparison import (
+    COMPARISON_PERIOD_S,
+    compare_sides,
+    record_latency,
+    side_for_read,
+)
+from sedgepitch.routing.slow_start import SlowStart
+from sedgepitch.routing.state import RouterState
 
 # The mechanism (paper: Huang et al.; "ours" where the paper or the design page leaves it open).
-PERIOD = 5.0  # s between comparisons of the two sides; ours, the paper has 60
-THRESHOLD = 0.5  # a side must answer in under this share of the other's median; paper's Decision Threshold
-EXPLORE = 0.04  # share of open reads that try the other side; paper's Exploration Fraction is 0.10
-LEAST_SAMPLE = 5  # answers a side needs in a period to be compared; ours, one fast answer proves nothing
 # Freshness.
-SESSIONS = 4096  # of a group that are remembered one by one; where more wrote, older ones are held to a floor
-POSITION_SLACK = 0.001  # s; positions and commits are told in whole milliseconds, rounded either way
 ASK_MOST = 2  # replicas that a read may ask for their position before it is placed
-PROBE_GAP = 0.25  # least time between two probes of a member, as a share of that bound
 # Health.
 BREAKS = 3  # connections in a row that break, with no answer between, which show that a member is down
 FADE, ONE_IN = 0.9, 1.2  # the weight of each after one more answer; more than that is a full table
-SILENCE = 8.0  # answers that a member should have given meanwhile, judged by its peers' latency
 OVERTAKEN = 4  # answers to requests sent later that show one as lost on its way, not as waiting its turn
-OVERDUE = 4.0  # times the mean answer after which one so overtaken gets a second copy
 FAILING = 0.35  # share of failed answers above which a member is rested
 REST = (0.5, 4.0)  # s that a suspected member rests: at first, and at most; doubles with each failed trial
 TRIALS = 3  # good trials in a row that bring back a member that was failing
@@ -52,159 +66,53 @@
 WAIT = 0.15  # share of its aim that a read may wait for room before it is refused
 HEDGE_ROOM = 0.4  # share of a member's room that second copies may use: they must not feed an overload
 OWN_ZONE = 0.15  # share of the aim by which a member elsewhere must be quicker to win a tie
-COLD_SHARE = 0.5  # share of the stated overload multiple, for its warmth, that a cold member may be sent
 BUDGET = (0.15, 5.0)  # resends and second copies: earned by each request, and kept at most
-PATROL = 4.0  # looks at waiting requests within the shortest aim
 KEEP_WARM = 0.5  # s; a driver spreads over as many members as it would use this often each, two at least
 FORGET_GONE = 12  # periods after which a member that is gone is forgotten
-FORGET_IDLE = 1.5  # growth, each period, of the idle time after which a connection is taken for lost
-NEVER = float("inf")
-GOLDEN = 0.618034  # spreads one request's luck over the members
 
 DEAD = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)  # what a process that does not run answers
-NEVER_RAN = (
-    AttemptResult.OVERLOADED,
-    AttemptResult.CONNECT_FAILED,
-    AttemptResult.NOT_SENT,
-    AttemptResult.NOT_ELIGIBLE,
-)
 
 
-Sent = tuple[float, "Request", int]  # when; for whom; the count of answers from which on it is overtaken
-
-
-class Member:
-    """What this driver knows of one member, from its own traffic, reports and the list."""
-
-    def __init__(self, entry: api.EndpointEntry, start_limit: float) -> None:
-        self.id, self.group, self.zone = entry.endpoint, entry.group, entry.zone
-        self.size, self.state, self.started = entry.size, entry.state, entry.started
-        self.listed_primary = self.hearsay = False  # named primary by the late list against its own word
-        self.position, self.lag, self.role_at = -NEVER, NEVER, -NEVER
-        self.out: dict[tuple[int, int], Sent] = {}
-        self.lost: set[tuple[int, int]] = set()  # of those, the overtaken
-        self.last_answer = self.watched = self.used_at = -NEVER
-        self.turn = 0.0
-        self.idle = 0.0  # how long its connections had been unused before the last send
-        self.failing = 0.0
-        self.suspect = ""  # why it is kept from traffic: "silent", "down" or "failing"
-        self.rest, self.rest_until = REST[0], 0.0
-        self.trial, self.good_trials = None, 0
-        self.limit, self.limit_at = start_limit, -NEVER  # own requests in flight
-        self.spare = 1.0  # as a primary: the chance of a read that might go elsewhere
-        self.strain, self.cold_from = 0.0, -NEVER
-        self.answers = self.breaks = self.gone_for = 0
-        self.unreached = 0.0  # connections of late that did not come about
-        self.load, self.load_at = 0.0, -NEVER  # as it reported
-        self.dead = False  # a probe has failed since it was lost
-        self.probing, self.probed_at = False, -NEVER
-
-    def silent_from(self) -> float:
-        """Since when it owes an answer, those lost on their way left out."""
-        owed = next((sent for key, (sent, _, _) in self.out.items() if key not in self.lost), NEVER)
-        return max(self.last_answer, self.watched, owed)
-
-
-class Group:
-    """The members that hold the same data: who is primary, the two samples, and the side in use."""
-
-    def __init__(self) -> None:
-        self.order: list[Member] = []  # this driver's own order of preference
-        self.suspects: dict[int, Member] = {}
-        self.primary: Member | None = None
-        self.side_replicas = True
-        self.samples: tuple[list[float], list[float]] = ([], [])  # replicas', primary's
-        self.waiting: list[Request] = []
-        self.scout_at = self.seek_at = self.asked_at = -NEVER
-        self.scout: int | None = None
-        self.scouted = -1  # the member tried last
-        self.gap = 1.0  # s between this driver's requests for the group
-        self.last: Request | None = None
-        self.sessions: dict[str, float] = {}  # the last commit of each, as far as seen here
-        self.writing: dict[str, int] = {}  # a session's write attempts that are out
-        self.session_floor = -NEVER
-
-    def compare(self) -> None:
-        """The paper's comparison, once a period; between the thresholds, or without a sample, hold."""
-        replicas, primary = self.samples
-        if len(replicas) >= LEAST_SAMPLE and len(primary) >= LEAST_SAMPLE:
-            on_replicas, on_primary = median(replicas), median(primary)
-            if on_replicas < THRESHOLD * on_primary:
-                self.side_replicas = True
-            elif on_primary < THRESHOLD * on_replicas:
-                self.side_replicas = False
-        self.samples = ([], [])
-
-    def told_role(self, endpoint: Member, primary: bool, at: float) -> bool:
-        """Take evidence of a role, the newest counts; true where it made a new primary known."""
-        if at < endpoint.role_at:
-            return False
-        endpoint.role_at, endpoint.hearsay = at, False
-        if not primary and self.primary is endpoint:
-            self.primary = None
-        elif primary and self.primary is not endpoint and (not self.primary or at >= self.primary.role_at):
-            self.primary = endpoint
-            return True
+def told_role(group: ReplicaGroup, endpoint: Endpoint, primary: bool, at: float) -> bool:
+    """Take evidence of a role, the newest counts; true where it made a new primary known."""
+    if at < endpoint.role_known_at:
         return False
-
-
-class Request:
-    """One request that is owed an answer, and the attempts made for it."""
-
-    def __init__(
-        self, event: api.RequestReceived, cls: api.RequestClass, group: Group, now: float, luck: float
+    endpoint.role_known_at, endpoint.role_unconfirmed = at, False
+    if not primary and group.primary is endpoint:
+        group.primary = None
+    elif (
+        primary and group.primary is not endpoint and (not group.primary or at >= group.primary.role_known_at)
     ):
-        self.id, self.cls, self.group, self.session = event.request, cls, group, event.session
-        self.until = now + event.time_left
-        self.useful = (
-            self.until if cls.late_priority_weight > 0 else min(self.until, now + cls.latency_objective)
-        )
-        self.need = -NEVER
-        self.attempts: list[Member] = []
-        self.out: dict[int, float] = {}
-        self.may_have_run: list[tuple[Member, float]] = []
-        self.done = self.hedged = self.served = self.stuck = False
-        self.asked, self.turned_away, self.not_before = 0, 0, 0.0
-        self.erred: list[Member] = []
-        self.worthy, self.luck = 1.0, luck
-        self.bound = cls.freshness in (Freshness.WRITE, Freshness.FRESH)  # to the primary
-        late = cls.late_priority_weight > 0 and cls.freshness is Freshness.WRITE
-        self.give_up = self.until if late else min(self.until, now + WAIT * cls.latency_objective)
+        group.primary = endpoint
+        return True
+    return False
 
 
 class Router:
     """Decides for one driver. Feed it events with ``handle``; carry out the actions it returns, in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.rules = settings, settings.rules
-        self.random = random.Random(seed)
+        self.state = state = RouterState(settings, Random(seed))
+        self.settings, self.rules, self.random = settings, settings.rules, state.random
         self.classes = {c.name: c for c in settings.classes}
-        self.work = {c.name: c.latency_objective * 0.2 for c in settings.classes}
-        self.groups: dict[int, Group] = {}
-        self.endpoints: dict[int, Member] = {}
-        self.requests: dict[int, Request] = {}
-        self.now, self.actions = 0.0, []
-        self.latency_objective = latency_objective = min(c.latency_objective for c in settings.classes)
-        self.patrol_every, self.margin = max(settings.tick, latency_objective / PATROL), 3.0 * settings.tick
-        self.typical = latency_objective * 0.2  # an answer's latency
+        self.groups, self.endpoints, self.requests = state.groups, state.endpoints, state.requests
+        self.latencies = LatencyEstimates(state)
+        self.slow_start = SlowStart(state)
+        self.health_checks = HealthChecks(state)
+        self.freshness = FreshnessRules(state)
+        self.idle_connections = IdleConnections(self.latencies)
         # A driver of a large fleet may have one request at a member, of whatever class.
         self.first_limit = max(1.0 / LEAST_WORTHY, LIMIT[1] / max(1, settings.proxy_instances))
         self.first_spare = min(1.0, max(LIMIT[0], SPARE * LIMIT[1] / max(1, settings.proxy_instances)))
-        self.wake_at, self.wakes, self.stalled = -NEVER, 0, False
-        self.busy: dict[int, Member] = {}
-        self.zone_strain: dict[str, float] = {}
-        self.zone_shares: dict[str, float] = {}  # of zones that are used in part, as told
-        self.load_cost = (0.0, 1.0)  # s of latency for each unit of reported load: a regression's two sums
-        self.heard_at, self.idle_limit, self.idle_lost = -NEVER, NEVER, 0
         self.next_period, self.budget = -NEVER, 1.0
         self.subscribe_at, self.subscribe_pause = -NEVER if settings.subscription_required else NEVER, REST[0]
-        bounds = [c.max_staleness for c in settings.classes if c.freshness is Freshness.BOUNDED]
-        self.bound = min(bounds, default=latency_objective)
 
     def handle(self, now: float, events: Iterable[api.Event]) -> list[api.Action]:
         """Take the events of one moment, in order, and return what to do about them."""
-        self.now, self.actions = now, []
-        self.stalled = now - self.wake_at > self.patrol_every  # what waited for us looks late and is not
+        self.state.now, self.state.actions = now, []
+        self.state.event_loop_blocked = (
+            now - self.state.timer_at > self.state.check_interval
+        )  # what waited for us looks late and is not
         if now >= self.next_period:
             self.on_period()
         for event in events:
@@ -221,22 +129,15 @@
                     self.on_shares({zone: share for zone, share in event.shares if share < 1.0})
                 case api.EndpointListFailed():
                     self.subscribe_at = now + self.subscribe_pause * (1.0 + self.random.random())
-                    self.wake(self.subscribe_at)
+                    self.state.set_timer(self.subscribe_at)
                     most = max(REST[0], self.rules.max_poll_interval / 4)
                     self.subscribe_pause = min(self.subscribe_pause * 2.0, most)
                 case api.ClientDisconnected():
                     if request := self.requests.pop(event.request, None):
                         request.done = True
-        if now >= self.wake_at - self.settings.tick / 2:
+        if now >= self.state.timer_at - self.settings.tick / 2:
             self.patrol()
-        return self.actions
-
-    def wake(self, at: float) -> None:
-        """Have a timer by then. There is none while nothing is due: hundreds of drivers are mostly idle."""
-        if at < self.wake_at:
-            self.wake_at = at
-            self.wakes += 1
-            self.actions.append(api.SetTimer(max(self.settings.tick, at - self.now), self.wakes))
+        return self.state.actions
 
     # The member list
 
@@ -254,51 +155,64 @@
     def on_listing(self, entry: api.EndpointEntry) -> None:
         """Apply one entry: state, start and role. The role is late, so answers outrank it."""
         endpoint = self.endpoints.get(entry.endpoint)
-        group = self.groups.setdefault(endpoint.group if endpoint else entry.group, Group())
+        group = self.groups.setdefault(endpoint.group_id if endpoint else entry.group, ReplicaGroup())
         if endpoint is None:
-            endpoint = self.endpoints[entry.endpoint] = Member(entry, self.first_limit)
-            endpoint.spare = self.first_spare
-            endpoint.turn = self.random.random() ** (1.0 / endpoint.size)  # the larger, the likelier early
-            group.order.append(endpoint)
-            group.order.sort(key=lambda m: -m.turn)
-            endpoint.cold_from = entry.started if entry.started > 0 else -NEVER
-        elif entry.started > endpoint.started:
-            endpoint.started = endpoint.cold_from = entry.started
-            if endpoint.suspect == "down":
-                endpoint.rest_until = self.now + REST[0] * self.random.random()
+            endpoint = self.endpoints[entry.endpoint] = Endpoint(
+                id=entry.endpoint,
+                group_id=entry.group,
+                zone=entry.zone,
+                size=entry.size,
+                state=entry.state,
+                started_at=entry.started,
+                preference_weight=0.0,
+                concurrency_limit=self.first_limit,
+                primary_read_share=self.first_spare,
+            )
+            endpoint.preference_weight = self.random.random() ** (
+                1.0 / endpoint.size
+            )  # the larger, the likelier early
+            group.endpoints.append(endpoint)
+            group.endpoints.sort(key=lambda m: -m.preference_weight)
+            endpoint.warming_since = entry.started if entry.started > 0 else -NEVER
+        elif entry.started > endpoint.started_at:
+            endpoint.started_at = endpoint.warming_since = entry.started
+            if endpoint.ejection_reason is EjectionReason.UNREACHABLE:
+                endpoint.ejected_until = self.state.now + REST[0] * self.random.random()
         endpoint.state, endpoint.size = entry.state, entry.size
-        if entry.primary and not endpoint.listed_primary:
+        if entry.primary and not endpoint.listed_as_primary:
             held = group.primary
-            if held is None or held.suspect or held.state is not EndpointState.UP:
-                denied = endpoint.role_at > -NEVER
-                group.told_role(endpoint, True, max(endpoint.role_at, held.role_at if held else -NEVER))
-                endpoint.hearsay = denied
-        endpoint.listed_primary = entry.primary
+            if held is None or held.ejection_reason or held.state is not EndpointState.UP:
+                denied = endpoint.role_known_at > -NEVER
+                told_role(
+                    group, endpoint, True, max(endpoint.role_known_at, held.role_known_at if held else -NEVER)
+                )
+                endpoint.role_unconfirmed = denied
+        endpoint.listed_as_primary = entry.primary
 
     def on_shares(self, shares: dict[str, float]) -> None:
         """Use zones as told; where none was used and some is now, the suspects there may be tried at once."""
+        returned = self.slow_start.set_zone_weights(shares)
         for group in self.groups.values():
-            for endpoint in group.suspects.values():
-                if self.zone_shares.get(endpoint.zone, 1.0) <= 0.0 < shares.get(endpoint.zone, 1.0):
-                    endpoint.rest, endpoint.rest_until = REST[0], self.now
-        self.zone_shares = shares
+            for endpoint in group.ejected.values():
+                if endpoint.zone in returned:
+                    endpoint.ejection_time, endpoint.ejected_until = REST[0], self.state.now
 
     # Answers and reports
 
     def on_finished(self, event: api.AttemptFinished) -> None:
         """Learn from the end of an attempt, then serve, resend or give the request up."""
         endpoint = self.endpoints.get(event.endpoint)
-        if endpoint is None or (event.request, event.attempt) not in endpoint.out:
+        if endpoint is None or (event.request, event.attempt) not in endpoint.in_flight:
             return
-        sent, request, lost_from = endpoint.out.pop((event.request, event.attempt))
-        endpoint.lost.discard((event.request, event.attempt))
-        if not endpoint.out:
-            self.busy.pop(endpoint.id, None)
-        group = self.groups[endpoint.group]
-        if self.marks(request):
-            self.wrote(request.group, request.session, event)
+        attempt = endpoint.in_flight.pop((event.request, event.attempt))
+        sent, request, lost_from = attempt.sent_at, attempt.request, attempt.overtaken_from
+        endpoint.overtaken.discard((event.request, event.attempt))
+        if not endpoint.in_flight:
+            self.state.endpoints_in_use.pop(endpoint.id, None)
+        group = self.groups[endpoint.group_id]
+        self.freshness.write_finished(request, event)
         self.learn(endpoint, group, event, request, lost_from)
-        request.out.pop(event.attempt)
+        request.in_flight.pop(event.attempt)
         if group.waiting:
             self.place_waiting(group)
         if request.done or event.final:
@@ -307,39 +221,36 @@
         if event.result not in NEVER_RAN:
             request.may_have_run.append((endpoint, sent))
         if event.result is AttemptResult.OVERLOADED:
-            request.turned_away += 1
-            request.not_before = self.now + self.patrol_every * (2.0**request.turned_away - 2.0)
-        if not request.out:
+            request.overload_rejections += 1
+            request.retry_at = self.state.now + self.state.check_interval * (
+                2.0**request.overload_rejections - 2.0
+            )
+        if not request.in_flight:
             self.next_step(request)
 
-    def marks(self, request: Request) -> bool:
-        """Whether what it writes is remembered here for its session's reads."""
-        own = request.session and request.cls.freshness is Freshness.WRITE
-        return bool(own) and self.settings.session_tracking is not SessionTracking.BY_CLIENT
-
-    def wrote(self, group: Group, session: str, event: api.AttemptFinished) -> None:
-        """What the session's reads must see from now on: the commit, or all until now where it is not told.
-
-        An attempt that may have run, though its answer was lost, may have committed until its end.
-        """
-        group.writing[session] -= 1
-        if not group.writing[session]:
-            del group.writing[session]
-        if event.result not in NEVER_RAN:
-            told = event.position if event.result is AttemptResult.OK else None
-            group.sessions[session] = max(group.sessions.get(session, 0.0), told or self.now)
-
     def learn(
-        self, endpoint: Member, group: Group, event: api.AttemptFinished, request: Request, lost_from: int
+        self,
+        endpoint: Endpoint,
+        group: ReplicaGroup,
+        event: api.AttemptFinished,
+        request: RoutedRequest,
+        lost_from: int,
     ) -> None:
         """Role, position, health, load and the side's sample, from one outcome."""
-        now, cls, result, key = self.now, request.cls, event.result, (event.request, event.attempt)
-        if event.primary is not None and group.told_role(endpoint, event.primary, now):
+        now, cls, result, key = (
+            self.state.now,
+            request.request_class,
+            event.result,
+            (event.request, event.attempt),
+        )
+        if event.primary is not None and told_role(group, endpoint, event.primary, now):
             self.place_waiting(group)
         self.on_report(endpoint, event.report)
         if event.primary is False:
             self.on_report(endpoint, api.LoadReport(event.position))
-        gain = min(0.5, max(0.1, (now - endpoint.last_answer) / PERIOD))  # few answers weigh more each
+        gain = min(
+            0.5, max(0.1, (now - endpoint.last_answer_at) / COMPARISON_PERIOD_S)
+        )  # few answers weigh more each
         answered = result in (
             AttemptResult.OK,
             AttemptResult.ERROR,
@@ -347,109 +258,123 @@
             AttemptResult.NOT_ELIGIBLE,
         )
         if answered:
-            endpoint.last_answer, endpoint.breaks = now, 0
-            self.heard_at = now
+            endpoint.last_answer_at, endpoint.connection_failures = now, 0
+            self.state.last_answer_at = now
             if result is not AttemptResult.ERROR:
                 self.on_good(endpoint, key, gain)
             elif cls.freshness is not Freshness.WRITE:
-                request.erred.append(endpoint)
+                request.errors.append(endpoint)
             request.served = request.served or result is AttemptResult.OK
-            while request.served and request.erred:  # an error is a member's if all went well elsewhere
-                self.blame(request.erred.pop())
-        elif result is AttemptResult.CONNECT_FAILED and endpoint.out and now - endpoint.last_answer < REST[0]:
-            endpoint.unreached += 1.0
-            if endpoint.unreached > ONE_IN:
-                endpoint.limit = max(
-                    LIMIT[0], len(endpoint.out) * BACK_OFF
+            while request.served and request.errors:  # an error is a member's if all went well elsewhere
+                self.blame(request.errors.pop())
+        elif (
+            result is AttemptResult.CONNECT_FAILED
+            and endpoint.in_flight
+            and now - endpoint.last_answer_at < REST[0]
+        ):
+            endpoint.recent_connect_failures += 1.0
+            if endpoint.recent_connect_failures > ONE_IN:
+                endpoint.concurrency_limit = max(
+                    LIMIT[0], len(endpoint.in_flight) * BACK_OFF
                 )  # a full table, not a dead process
         elif result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET):
             if endpoint.trial == key:
-                self.distrust(endpoint, "down")
-            elif not endpoint.suspect:
+                self.distrust(endpoint, EjectionReason.UNREACHABLE)
+            elif not endpoint.ejection_reason:
                 self.broke(endpoint, result)
         elif result is AttemptResult.TIMEOUT and endpoint.trial == key:
-            self.distrust(endpoint, "silent")
+            self.distrust(endpoint, EjectionReason.SILENT)
         if endpoint.trial == key:
             endpoint.trial = None
-        if result not in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.OVERLOADED) or self.stalled:
+        if (
+            result not in (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.OVERLOADED)
+            or self.state.event_loop_blocked
+        ):
             return
         share = 1.5 if result is AttemptResult.OVERLOADED else min(1.5, event.elapsed / cls.latency_objective)
         if result is AttemptResult.OK:
             endpoint.answers += 1
-            endpoint.unreached *= FADE
+            endpoint.recent_connect_failures *= FADE
         elif result is AttemptResult.TIMEOUT and endpoint.answers >= lost_from:
             return  # those sent later were answered, so the member is not too busy
         late = result is not AttemptResult.OK or event.elapsed > LATE * cls.latency_objective
-        strained = endpoint.strain > STRAINED
-        around = self.zone_strain.get(endpoint.zone, 0.0)
-        endpoint.strain += gain * (share - endpoint.strain)
-        self.zone_strain[endpoint.zone] = around + 0.2 * (share - around)
+        strained = endpoint.latency_ratio > STRAINED
+        self.latencies.observe_ratio(endpoint, share, gain)
         if (
             late
             and (strained or result is AttemptResult.OVERLOADED)
-            and now - endpoint.limit_at > self.work[cls.name]
+            and now - endpoint.limit_reduced_at > self.latencies.service_time[cls.name]
         ):
-            endpoint.limit = max(LIMIT[0], min(endpoint.limit, len(endpoint.out) + 1.0) * BACK_OFF)
-            endpoint.limit_at = now
+            endpoint.concurrency_limit = max(
+                LIMIT[0], min(endpoint.concurrency_limit, len(endpoint.in_flight) + 1.0) * BACK_OFF
+            )
+            endpoint.limit_reduced_at = now
             if self.first_spare < 1.0:
-                endpoint.spare = max(LIMIT[0], endpoint.spare * BACK_OFF)
-        elif not late and len(endpoint.out) + 1 > endpoint.limit / 2:
-            endpoint.limit += max(GROW_LEAST, GROW * endpoint.limit)
-            endpoint.spare = min(1.0, endpoint.spare + GROW_LEAST)
-        if cls.freshness in (Freshness.BOUNDED, Freshness.ANY) and result is not AttemptResult.OVERLOADED:
-            group.samples[endpoint is group.primary].append(event.elapsed)
-        if result is AttemptResult.OK and event.report and event.report.load:
-            load, (cost, square) = event.report.load, self.load_cost
-            cost += load * max(0.0, event.elapsed - self.work[cls.name])
-            self.load_cost = (0.98 * cost, 0.98 * (square + load * load))
+                endpoint.primary_read_share = max(LIMIT[0], endpoint.primary_read_share * BACK_OFF)
+        elif not late and len(endpoint.in_flight) + 1 > endpoint.concurrency_limit / 2:
+            endpoint.concurrency_limit += max(GROW_LEAST, GROW * endpoint.concurrency_limit)
+            endpoint.primary_read_share = min(1.0, endpoint.primary_read_share + GROW_LEAST)
+        if result is not AttemptResult.OVERLOADED:
+            record_latency(group, endpoint, request, event.elapsed)
         if result is AttemptResult.OK:
-            self.idle_lost = 0 if endpoint.idle > SILENCE * self.typical else self.idle_lost
-            self.typical += 0.05 * (event.elapsed - self.typical)
-            known = self.work[cls.name]
-            self.work[cls.name] = known + 0.02 * known * (3.0 if event.elapsed > known * 1.5 else -1.0)
+            self.idle_connections.answered(endpoint)
+            self.latencies.observe_answer(cls, event)
 
-    def on_good(self, endpoint: Member, key: tuple[int, int], gain: float) -> None:
+    def on_good(self, endpoint: Endpoint, key: tuple[int, int], gain: float) -> None:
         """Silence is over with an answer; after errors a suspected member needs several good trials."""
-        endpoint.failing *= 1.0 - gain
-        if endpoint.suspect == "failing" and endpoint.trial == key:
-            endpoint.good_trials += 1
-        if endpoint.suspect and (endpoint.suspect != "failing" or endpoint.good_trials >= TRIALS):
-            endpoint.suspect, endpoint.failing, endpoint.trial, endpoint.rest = "", 0.0, None, REST[0]
-            del self.groups[endpoint.group].suspects[endpoint.id]
-
-    def broke(self, endpoint: Member, result: AttemptResult) -> None:
+        endpoint.error_rate *= 1.0 - gain
+        if endpoint.ejection_reason is EjectionReason.FAILING and endpoint.trial == key:
+            endpoint.consecutive_successes += 1
+        if endpoint.ejection_reason and (
+            endpoint.ejection_reason is not EjectionReason.FAILING or endpoint.consecutive_successes >= TRIALS
+        ):
+            endpoint.ejection_reason, endpoint.error_rate, endpoint.trial, endpoint.ejection_time = (
+                None,
+                0.0,
+                None,
+                REST[0],
+            )
+            del self.groups[endpoint.group_id].ejected[endpoint.id]
+
+    def broke(self, endpoint: Endpoint, result: AttemptResult) -> None:
         """A connection's end is not a member's: ask it, and see whether the next ones break as well."""
-        endpoint.breaks = endpoint.breaks + 1 if result in DEAD else 0
-        if endpoint.breaks >= BREAKS:
-            self.distrust(endpoint, "down")
-        elif endpoint.breaks:
-            self.probe(endpoint)
+        endpoint.connection_failures = endpoint.connection_failures + 1 if result in DEAD else 0
+        if endpoint.connection_failures >= BREAKS:
+            self.distrust(endpoint, EjectionReason.UNREACHABLE)
+        elif endpoint.connection_failures:
+            self.health_checks.request(endpoint)
 
-    def blame(self, endpoint: Member) -> None:
+    def blame(self, endpoint: Endpoint) -> None:
         """One more error that was the member's own, not the request's."""
-        endpoint.failing += 0.15 * (1.0 - endpoint.failing)
-        if endpoint.suspect == "failing" or (not endpoint.suspect and endpoint.failing > FAILING):
-            self.distrust(endpoint, "failing")
+        endpoint.error_rate += 0.15 * (1.0 - endpoint.error_rate)
+        if endpoint.ejection_reason is EjectionReason.FAILING or (
+            not endpoint.ejection_reason and endpoint.error_rate > FAILING
+        ):
+            self.distrust(endpoint, EjectionReason.FAILING)
 
-    def distrust(self, endpoint: Member, why: str) -> None:
+    def distrust(self, endpoint: Endpoint, why: EjectionReason) -> None:
         """Keep traffic away for a while, longer each time a trial fails; never all drivers at one moment."""
-        endpoint.rest = min(endpoint.rest * 2.0, REST[1]) if endpoint.suspect else REST[0]
-        endpoint.dead = endpoint.dead and bool(endpoint.suspect)
-        endpoint.suspect, endpoint.trial, endpoint.good_trials = why, None, 0
-        endpoint.rest_until = self.now + endpoint.rest * (0.75 + 0.5 * self.random.random())
-        self.groups[endpoint.group].suspects[endpoint.id] = endpoint
+        endpoint.ejection_time = (
+            min(endpoint.ejection_time * 2.0, REST[1]) if endpoint.ejection_reason else REST[0]
+        )
+        endpoint.failed_health_check = endpoint.failed_health_check and bool(endpoint.ejection_reason)
+        endpoint.ejection_reason, endpoint.trial, endpoint.consecutive_successes = why, None, 0
+        endpoint.ejected_until = self.state.now + endpoint.ejection_time * (0.75 + 0.5 * self.random.random())
+        self.groups[endpoint.group_id].ejected[endpoint.id] = endpoint
 
-    def on_report(self, endpoint: Member, report: api.LoadReport | None) -> None:
+    def on_report(self, endpoint: Endpoint, report: api.LoadReport | None) -> None:
         """Positions only grow; one ahead of now is not believed. A report is as old as its position."""
         position = report.position if report else None
         if report and report.load is not None:
-            endpoint.load, endpoint.load_at = report.load, self.now
+            endpoint.reported_load, endpoint.load_reported_at = report.load, self.state.now
         if position is None:
             return
-        if endpoint.position < position <= self.now + POSITION_SLACK:
-            endpoint.position, endpoint.lag = position, self.now - position
-        group = self.groups[endpoint.group]
-        if report.primary is not None and group.told_role(endpoint, report.primary, min(position, self.now)):
+        if endpoint.position < position <= self.state.now + POSITION_ROUNDING_S:
+            endpoint.position, endpoint.replication_lag = position, self.state.now - position
+        group = self.groups[endpoint.group_id]
+        if report.primary is not None and told_role(
+            group, endpoint, report.primary, min(position, self.state.now)
+        ):
             self.place_waiting(group)
 
     def on_probed(self, event: api.HealthCheckFinished) -> None:
@@ -457,96 +382,70 @@
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is None:
             return
-        group, endpoint.probing = self.groups[endpoint.group], False
+        group, endpoint.health_check_pending = self.groups[endpoint.group_id], False
         self.on_report(endpoint, event.report)
-        if endpoint.suspect == "down" and event.result is AttemptResult.OK:
-            if endpoint.dead:
-                endpoint.cold_from = max(endpoint.cold_from, self.now)  # it was dead, so it has restarted
-            endpoint.suspect, endpoint.rest_until = "silent", self.now
-        elif endpoint.suspect == "down":
-            self.distrust(endpoint, "down")
-            endpoint.dead = True
-        elif endpoint.breaks and not endpoint.suspect:
+        if endpoint.ejection_reason is EjectionReason.UNREACHABLE and event.result is AttemptResult.OK:
+            if endpoint.failed_health_check:
+                endpoint.warming_since = max(
+                    endpoint.warming_since, self.state.now
+                )  # it was dead, so it has restarted
+            endpoint.ejection_reason, endpoint.ejected_until = EjectionReason.SILENT, self.state.now
+        elif endpoint.ejection_reason is EjectionReason.UNREACHABLE:
+            self.distrust(endpoint, EjectionReason.UNREACHABLE)
+            endpoint.failed_health_check = True
+        elif endpoint.connection_failures and not endpoint.ejection_reason:
             self.broke(endpoint, event.result)
-        elif event.result is AttemptResult.TIMEOUT and not endpoint.suspect:
-            if self.heard_at > self.now - event.elapsed > endpoint.last_answer:
-                self.distrust(endpoint, "silent")  # asked in vain: else reads wait for it again and again
+        elif event.result is AttemptResult.TIMEOUT and not endpoint.ejection_reason:
+            if self.state.last_answer_at > self.state.now - event.elapsed > endpoint.last_answer_at:
+                self.distrust(
+                    endpoint, EjectionReason.SILENT
+                )  # asked in vain: else reads wait for it again and again
         if group.waiting:
             self.place_waiting(group)
-        if group.suspects and group.last is not None:
-            self.tend(group, group.last)
+        if group.ejected and group.last_request is not None:
+            self.tend(group, group.last_request)
 
     # Who may be sent to, who is recent enough, who is primary
 
-    def may_send(self, endpoint: Member, request: Request, room: float = 1.0) -> bool:
+    def may_send(self, endpoint: Endpoint, request: RoutedRequest, room: float = 1.0) -> bool:
         """Drain, cold start, health and load; limits below one are chances, eased off by zone."""
-        if not self.open_to(endpoint, request):
+        if not self.slow_start.accepts(endpoint, request):
             return False
-        if endpoint.suspect:
-            alone = request.cls.idempotency is not Idempotency.IDEMPOTENT or not self.settings.hedging
-            return self.due(endpoint) and (alone or request.stuck)
-        if self.now + self.queueing(endpoint) > request.useful:
+        if endpoint.ejection_reason:
+            alone = (
+                request.request_class.idempotency is not Idempotency.IDEMPOTENT or not self.settings.hedging
+            )
+            return self.due(endpoint) and (alone or request.needs_trial)
+        if self.state.now + self.latencies.queueing_delay(endpoint) > request.useful_until:
             return False  # the answer would come too late to earn
         around = (
-            self.zone_strain.get(endpoint.zone, 0.0)
-            if self.now - endpoint.last_answer > self.latency_objective
+            self.latencies.zone_ratio.get(endpoint.zone, 0.0)
+            if self.state.now - endpoint.last_answer_at > self.state.latency_objective
             else 0.0
         )
         ease = max(LIMIT[0], min(1.0, (1.0 - around) / (1.0 - SPARE)))
-        share, under_way = endpoint.limit * request.worthy * room * ease, len(endpoint.out)
-        if request.bound:  # reads that may go elsewhere take no room from what may not
-            under_way = sum(other.bound for _, other, _ in endpoint.out.values())
-            if not under_way and share < 1.0 and (self.now - endpoint.used_at) * share > self.typical:
+        share, under_way = (
+            endpoint.concurrency_limit * request.limit_share * room * ease,
+            len(endpoint.in_flight),
+        )
+        if request.primary_only:  # reads that may go elsewhere take no room from what may not
+            under_way = sum(other.request.primary_only for other in endpoint.in_flight.values())
+            if (
+                not under_way
+                and share < 1.0
+                and (self.state.now - endpoint.last_sent_at) * share > self.latencies.typical
+            ):
                 return True  # less than that share of the time
-        return under_way + request.luck < share
+        return under_way + request.sampling_draw < share
 
-    def due(self, endpoint: Member) -> bool:
+    def due(self, endpoint: Endpoint) -> bool:
         """Its rest is over and it may have a trial; a dead one is probed first, unless probes always fail."""
-        dead = endpoint.suspect == "down" and self.settings.health_checks and endpoint.rest < REST[1]
-        return not dead and endpoint.trial is None and self.now >= endpoint.rest_until
-
-    def warmth(self, endpoint: Member) -> float:
-        """The share of its capacity that a member surely has by now."""
-        start, within = self.rules.initial_capacity, self.rules.slow_start_window
-        age = self.now - endpoint.cold_from
-        return 1.0 if age >= within else start + (1.0 - start) * max(0.0, age) / within
-
-    def open_to(self, endpoint: Member, request: Request) -> bool:
-        """Rules 3 and 4: not drained; and a cold one gets its warmth's share of own requests, by chance."""
-        if endpoint.state is not EndpointState.UP or not self.zone_open(endpoint, request):
-            return False
-        if endpoint.cold_from + self.rules.slow_start_window <= self.now:
-            return True
-        share = COLD_SHARE * self.rules.overload_factor * self.warmth(endpoint)
-        if not request.bound:
-            share /= sum(m.state is EndpointState.UP for m in request.group.order)
-        return (request.luck + endpoint.id * GOLDEN) % 1.0 < share
-
-    def zone_open(self, endpoint: Member, request: Request) -> bool:
-        """A zone that is left, or come back to, bears its share of reads; the primary does what it must."""
-        main = endpoint is request.group.primary and request.cls.freshness is Freshness.SESSION
-        return request.bound or main or request.luck < self.zone_shares.get(endpoint.zone, 1.0)
-
-    def fresh_enough(self, endpoint: Member, request: Request) -> bool:
-        """By its last known position, at this moment, the member holds all that the read must see."""
-        kind = request.cls.freshness
-        if kind is Freshness.ANY:
-            return True
-        if kind is Freshness.BOUNDED:
-            return endpoint.position >= self.now - request.cls.max_staleness + POSITION_SLACK
-        return kind is Freshness.SESSION and endpoint.position >= self.need(request) + POSITION_SLACK
-
-    def need(self, request: Request) -> float:
-        """The position a session's read must see: remembered ones grow while it waits or is tried again.
-
-        A write that is out may have been committed until now: whether its answer is lost shows only later.
-        """
-        if self.settings.session_tracking is not SessionTracking.BY_CLIENT:
-            held = request.group.sessions.get(request.session, request.group.session_floor)
-            request.need = max(request.need, held)
-            if request.session in request.group.writing:
-                return self.now
-        return request.need
+        dead = (
+            endpoint.ejection_reason is EjectionReason.UNREACHABLE
+            and self.settings.health_checks
+            and endpoint.ejection_time < REST[1]
+        )
+        return not dead and endpoint.trial is None and self.state.now >= endpoint.ejected_until
 
     # Requests
 
@@ -556,60 +455,82 @@
         if event.request in self.requests:
             return
         if cls is None or group is None:
-            self.actions.append(api.Reject(event.request))
+            self.state.actions.append(api.Reject(event.request))
             return
-        request = self.requests[event.request] = Request(event, cls, group, self.now, self.random.random())
+        until = self.state.now + event.time_left
+        late = cls.late_priority_weight > 0 and cls.freshness is Freshness.WRITE
+        request = self.requests[event.request] = RoutedRequest(
+            id=event.request,
+            request_class=cls,
+            group=group,
+            session=event.session,
+            deadline=until,
+            useful_until=(
+                until if cls.late_priority_weight > 0 else min(until, self.state.now + cls.latency_objective)
+            ),
+            wait_until=until if late else min(until, self.state.now + WAIT * cls.latency_objective),
+            primary_only=cls.freshness in (Freshness.WRITE, Freshness.FRESH),
+            sampling_draw=self.random.random(),
+        )
         self.budget = min(BUDGET[1], self.budget + BUDGET[0])
         if self.settings.session_tracking is SessionTracking.BY_CLIENT and event.session_age > 0:
-            request.need = self.now - event.session_age
-        group.gap += 0.1 * (min(PERIOD, self.now - group.asked_at) - group.gap)
-        group.asked_at, group.last = self.now, request
-        best = max(c.priority_weight / self.work[c.name] for c in self.settings.classes)
-        request.worthy = (
-            LEAST_WORTHY + (1.0 - LEAST_WORTHY) * cls.priority_weight / self.work[cls.name] / best
+            request.required_position = self.state.now - event.session_age
+        group.request_interval += 0.1 * (
+            min(COMPARISON_PERIOD_S, self.state.now - group.last_request_at) - group.request_interval
+        )
+        group.last_request_at, group.last_request = self.state.now, request
+        best = max(c.priority_weight / self.latencies.service_time[c.name] for c in self.settings.classes)
+        request.limit_share = (
+            LEAST_WORTHY
+            + (1.0 - LEAST_WORTHY) * cls.priority_weight / self.latencies.service_time[cls.name] / best
         )
         self.place(request)
-        if group.suspects:
+        if group.ejected:
             self.tend(group, request)
 
-    def place(self, request: Request) -> None:
+    def place(self, request: RoutedRequest) -> None:
         """Send to the best member that may take it now; let it wait for one while that can still help."""
-        cls, now = request.cls, self.now
-        if request.until - now < max(self.margin, self.work[cls.name] / 2):
+        cls, now = request.request_class, self.state.now
+        if request.deadline - now < max(self.state.answer_margin, self.latencies.service_time[cls.name] / 2):
             self.finish(request)
             return
-        endpoint = self.choose(request) if now >= request.not_before else None
+        endpoint = self.choose(request) if now >= request.retry_at else None
         # What no trusted member takes is the trial of a suspect: else a group whose members were all but
         # one cut off for a while is never used again, as trials are copies of what the others serve.
-        request.stuck = endpoint is None and bool(request.group.suspects)
-        if request.stuck and now >= request.not_before:
+        request.needs_trial = endpoint is None and bool(request.group.ejected)
+        if request.needs_trial and now >= request.retry_at:
             endpoint = self.choose(request)
         if endpoint is not None and self.may_resend(request, endpoint):
             self.send(request, endpoint)
-        elif now + self.margin >= request.give_up or self.window_over(request):
+        elif now + self.state.answer_margin >= request.wait_until or self.window_over(request):
             self.finish(request)
         else:
             request.group.waiting.append(request)
-            self.wake(min(request.give_up - self.margin, now + self.patrol_every))
+            self.state.set_timer(
+                min(request.wait_until - self.state.answer_margin, now + self.state.check_interval)
+            )
 
-    def choose(self, request: Request) -> Member | None:
+    def choose(self, request: RoutedRequest) -> Endpoint | None:
         """The side, then the pick within it."""
-        group, cls, primary = request.group, request.cls, request.group.primary
+        group, cls, primary = request.group, request.request_class, request.group.primary
         if cls.freshness is Freshness.WRITE and primary is None:
             return self.scout(group, request)
-        if request.bound:
-            doubtful = cls.freshness is Freshness.FRESH and primary is not None and primary.hearsay
+        if request.primary_only:
+            doubtful = cls.freshness is Freshness.FRESH and primary is not None and primary.role_unconfirmed
             if primary is None or (not doubtful and self.may_send(primary, request)):
                 return primary
-            lost = cls.freshness is Freshness.WRITE and primary.suspect
+            lost = cls.freshness is Freshness.WRITE and primary.ejection_reason
             return self.scout(group, request) if lost else None
-        on_replicas = group.side_replicas != (self.random.random() < EXPLORE)
-        on_replicas = on_replicas or cls.freshness is Freshness.SESSION
-        main = None if primary is None or primary in request.attempts or primary.hearsay else primary
-        if main is not None and (main.limit < 1.0 or self.strain(main) > SPARE):
+        on_replicas = side_for_read(self.state, request) is ReadPreference.SECONDARY
+        main = None if primary is None or primary in request.attempts or primary.role_unconfirmed else primary
+        if main is not None and (main.concurrency_limit < 1.0 or self.latencies.latency_ratio(main) > SPARE):
             main = None
-        elif main is not None and request.luck > main.spare:  # where reads may go elsewhere at all
-            main = None if any(m is not main and m.state is EndpointState.UP for m in group.order) else main
+        elif (
+            main is not None and request.sampling_draw > main.primary_read_share
+        ):  # where reads may go elsewhere at all
+            main = (
+                None if any(m is not main and m.state is EndpointState.UP for m in group.endpoints) else main
+            )
         if not on_replicas and main is not None and self.may_send(main, request, LEAST_WORTHY):
             return main
         if (endpoint := self.pick(request)) is not None:
@@ -617,168 +538,173 @@
         wait = self.ask_first(request) or main is None or not self.may_send(main, request)
         return None if wait else main
 
-    def ask_first(self, request: Request) -> bool:
+    def ask_first(self, request: RoutedRequest) -> bool:
         """Before the primary bears a read: ask a likely replica for its position, twice at most."""
         tells = self.settings.health_checks and self.settings.reports_position
-        if request.asked >= ASK_MOST or request.cls.freshness is Freshness.ANY or not tells:
+        if (
+            request.position_checks >= ASK_MOST
+            or request.request_class.freshness is Freshness.ANY
+            or not tells
+        ):
             return False
-        if self.now + 2.0 * self.margin >= request.give_up:
+        if self.state.now + 2.0 * self.state.answer_margin >= request.wait_until:
             return False
-        bound = (
-            request.cls.max_staleness
-            if request.cls.freshness is Freshness.BOUNDED
-            else self.now - self.need(request)
-        )
+        bound = self.freshness.max_staleness(request)
         if bound <= 0.0:  # no replica is at the present
             return False
         passed = [request.group.primary, *request.attempts]
-        others = (m for m in request.group.order if m not in passed and self.may_send(m, request))
-        likely = list(islice((m for m in others if m.lag < bound or self.may_ask(m)), 2))
+        others = (m for m in request.group.endpoints if m not in passed and self.may_send(m, request))
+        likely = list(
+            islice(
+                (m for m in others if m.replication_lag < bound or self.health_checks.position_check_due(m)),
+                2,
+            )
+        )
         if likely:
-            request.asked += 1
-            self.probe(min(likely, key=self.busyness))
+            request.position_checks += 1
+            self.health_checks.request(min(likely, key=self.busyness))
         return bool(likely)
 
-    def may_ask(self, endpoint: Member) -> bool:
-        """One that is far behind is asked more rarely."""
-        behind = self.now - endpoint.position
-        gap = max(PROBE_GAP * self.bound, 0.25 * min(behind, PERIOD) if behind > self.bound else 0.0)
-        return not endpoint.probing and self.now - endpoint.probed_at >= gap
-
-    def pick(self, request: Request, room: float = 1.0) -> Member | None:
+    def pick(self, request: RoutedRequest, room: float = 1.0) -> Endpoint | None:
         """Two-choice among the replicas that qualify, by own requests in flight for their size.
 
         A driver with little traffic keeps to the first few of its order, so that connections stay in use.
         """
         group = request.group
-        reach = max(2, int(KEEP_WARM / max(group.gap, self.settings.tick)))
-        keep_known = group.gap * len(group.order) < self.bound / 2  # one probe serves several reads
+        reach = max(2, int(KEEP_WARM / max(group.request_interval, self.settings.tick)))
+        keep_known = (
+            group.request_interval * len(group.endpoints) < self.health_checks.staleness_bound / 2
+        )  # one probe serves several reads
         able, qualified = [], []
-        for endpoint in group.order:
+        for endpoint in group.endpoints:
             if endpoint is group.primary or endpoint in request.attempts:
                 continue
             if self.may_send(endpoint, request, room):
                 able.append(endpoint)
-                if self.fresh_enough(endpoint, request):
+                if self.freshness.fresh_enough(endpoint, request):
                     qualified.append(endpoint)
                     if len(qualified) == reach:
                         break
-                elif keep_known and self.may_ask(endpoint):
-                    self.probe(endpoint)
+                elif keep_known and self.health_checks.position_check_due(endpoint):
+                    self.health_checks.request(endpoint)
         if not qualified:
             checked = able if self.settings.stale_read_handling is not StaleReadHandling.SERVE else []
             return max(checked, key=lambda m: m.position, default=None)
-        weights = [m.size * self.warmth(m) for m in qualified]
+        weights = [m.size * self.slow_start.capacity_share(m) for m in qualified]
         return min(self.random.choices(qualified, weights, k=2), key=self.busyness)
 
-    def busyness(self, endpoint: Member) -> tuple[float, float]:
+    def busyness(self, endpoint: Endpoint) -> tuple[float, float]:
         """Own requests in flight for its size and warmth; on a tie the quicker, then the own zone."""
-        capacity = endpoint.size * self.warmth(endpoint)
-        return len(endpoint.out) / capacity, self.strain(endpoint) + OWN_ZONE * (
+        capacity = endpoint.size * self.slow_start.capacity_share(endpoint)
+        return len(endpoint.in_flight) / capacity, self.latencies.latency_ratio(endpoint) + OWN_ZONE * (
             endpoint.zone != self.settings.zone
         )
 
-    def strain(self, endpoint: Member) -> float:
-        """Mean latency as a share of the aim; its zone's stands in where own answers are few."""
-        return max(
-            endpoint.strain,
-            self.zone_strain.get(endpoint.zone, 0.0),
-            self.queueing(endpoint) / self.latency_objective,
-        )
-
-    def queueing(self, endpoint: Member) -> float:
-        """What its reported load adds to an answer's time, by what such reports have meant here: a hint."""
-        recent = self.now - endpoint.load_at < 2.0 * REST[0]
-        return endpoint.load * self.load_cost[0] / self.load_cost[1] if recent else 0.0
-
-    def scout(self, group: Group, request: Request) -> Member | None:
+    def scout(self, group: ReplicaGroup, request: RoutedRequest) -> Endpoint | None:
         """With no primary known one write at a time tries the members in id order, then pauses.
 
         The next one goes on where it stopped: a group may have more members than a request has attempts.
         """
-        taken = group.scout != request.id and group.scout in self.requests
+        taken = group.discovering_request != request.id and group.discovering_request in self.requests
         spent = len(request.attempts) >= max(1, self.settings.max_attempts - 2)
-        if taken or spent or self.now < group.scout_at:
+        if taken or spent or self.state.now < group.attempts_resume_at:
             return None
-        for endpoint in sorted(group.order, key=lambda m: (m.id <= group.scouted, m.id)):
+        for endpoint in sorted(group.endpoints, key=lambda m: (m.id <= group.last_candidate, m.id)):
             if endpoint not in request.attempts and self.may_send(endpoint, request):
-                group.scout, group.scouted = request.id, endpoint.id
+                group.discovering_request, group.last_candidate = request.id, endpoint.id
                 return endpoint
-        group.scout, group.scout_at = None, self.now + REST[0]
+        group.discovering_request, group.attempts_resume_at = None, self.state.now + REST[0]
         return None
 
-    def send(self, request: Request, endpoint: Member) -> None:
+    def send(self, request: RoutedRequest, endpoint: Endpoint) -> None:
         """Send, and keep count; a trial of a suspected member is marked as such.
 
         Where connections were found lost after less idle time, those of this member are closed first.
         """
         key = (request.id, len(request.attempts))
         request.attempts.append(endpoint)
-        request.out[key[1]] = self.now
-        if self.marks(request):
-            request.group.writing[request.session] = request.group.writing.get(request.session, 0) + 1
-        endpoint.out[key] = (self.now, request, endpoint.answers + len(endpoint.out) + OVERTAKEN)
-        endpoint.idle, endpoint.used_at = self.now - endpoint.used_at, self.now
-        self.busy[endpoint.id] = endpoint
-        if endpoint.suspect:
+        request.in_flight[key[1]] = self.state.now
+        self.freshness.write_started(request)
+        overtaken_from = endpoint.answers + len(endpoint.in_flight) + OVERTAKEN
+        endpoint.in_flight[key] = InFlightAttempt(self.state.now, request, overtaken_from)
+        endpoint.idle_before_send, endpoint.last_sent_at = (
+            self.state.now - endpoint.last_sent_at,
+            self.state.now,
+        )
+        self.state.endpoints_in_use[endpoint.id] = endpoint
+        if endpoint.ejection_reason:
             endpoint.trial = key
-            endpoint.rest_until = self.now + endpoint.rest
+            endpoint.ejected_until = self.state.now + endpoint.ejection_time
         else:
-            self.wake(min(self.silence_due(endpoint), self.now + self.overdue_after(endpoint)))
-        if self.idle_limit < endpoint.idle < NEVER:
-            self.actions.append(api.CloseIdleConnections(endpoint.id))
-        self.actions.append(api.SendAttempt(request.id, endpoint.id, 0.0))
+            self.state.set_timer(
+                min(
+                    silence_deadline(endpoint, self.latencies),
+                    self.state.now + overdue_after(endpoint, self.latencies),
+                )
+            )
+        self.idle_connections.close_before_send(endpoint)
+        self.state.actions.append(api.SendAttempt(request.id, endpoint.id, 0.0))
 
-    def may_resend(self, request: Request, endpoint: Member) -> bool:
+    def may_resend(self, request: RoutedRequest, endpoint: Endpoint) -> bool:
         """All rules for an attempt at this member; every send passes here."""
-        settings, cls = self.settings, request.cls
-        over = request.done or len(request.attempts) >= settings.max_attempts or self.now >= request.until
-        if over or (request.out and not settings.hedging) or not self.open_to(endpoint, request):
+        settings, cls = self.settings, request.request_class
+        over = (
+            request.done
+            or len(request.attempts) >= settings.max_attempts
+            or self.state.now >= request.deadline
+        )
+        if (
+            over
+            or (request.in_flight and not settings.hedging)
+            or not self.slow_start.accepts(endpoint, request)
+        ):
             return False
-        risky = request.may_have_run + [(request.attempts[hop], sent) for hop, sent in request.out.items()]
+        risky = request.may_have_run + [
+            (request.attempts[hop], sent) for hop, sent in request.in_flight.items()
+        ]
         if cls.idempotency is Idempotency.IDEMPOTENT or not risky:
             return True
         if cls.idempotency is Idempotency.NONE or self.window_over(request):
             return False
         return cls.deduplication_scope is DeduplicationScope.ALL or all(
-            tried.group == endpoint.group for tried, _ in risky
+            tried.group_id == endpoint.group_id for tried, _ in risky
         )
 
-    def window_over(self, request: Request) -> bool:
+    def window_over(self, request: RoutedRequest) -> bool:
         """Whether members may have forgotten the key of an attempt that may have run."""
-        sent = [at for _, at in request.may_have_run] + list(request.out.values())
-        limit = request.cls.deduplication_window - self.settings.tick
+        sent = [at for _, at in request.may_have_run] + list(request.in_flight.values())
+        limit = request.request_class.deduplication_window - self.settings.tick
         return (
-            request.cls.idempotency is not Idempotency.IDEMPOTENT
+            request.request_class.idempotency is not Idempotency.IDEMPOTENT
             and bool(sent)
-            and self.now - min(sent) > limit
+            and self.state.now - min(sent) > limit
         )
 
-    def next_step(self, request: Request) -> None:
+    def next_step(self, request: RoutedRequest) -> None:
         """After a failed attempt: another one where rules, time and budget allow, else the final answer."""
-        cls = request.cls
-        over = self.now >= request.useful
+        cls = request.request_class
+        over = self.state.now >= request.useful_until
         over = over or len(request.attempts) >= self.settings.max_attempts
         over = over or (cls.idempotency is Idempotency.NONE and bool(request.may_have_run))
-        over = over or len(request.erred) > 1  # two members agree that the request itself is bad
+        over = over or len(request.errors) > 1  # two members agree that the request itself is bad
         if request.may_have_run and not over:
             over = self.budget < 1.0
             self.budget -= not over
         (self.finish if over else self.place)(request)
 
-    def finish(self, request: Request) -> None:
+    def finish(self, request: RoutedRequest) -> None:
         """The one final answer: refused only where trying again is harmless, else failed."""
-        cls = request.cls
-        risky = bool(request.may_have_run or request.out)
+        cls = request.request_class
+        risky = bool(request.may_have_run or request.in_flight)
         wide = cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
         if risky and cls.idempotency is not Idempotency.IDEMPOTENT and not wide:
-            self.actions.append(api.Fail(request.id))
+            self.state.actions.append(api.Fail(request.id))
         else:  # the client may come back after the crowd that it was refused for has had its time
             pause = min(self.settings.max_retry_after, cls.deadline * (0.5 + self.random.random()))
-            self.actions.append(api.Reject(request.id, pause if self.settings.retry_after else 0.0))
+            self.state.actions.append(api.Reject(request.id, pause if self.settings.retry_after else 0.0))
         self.close(request)
 
-    def close(self, request: Request) -> None:
+    def close(self, request: RoutedRequest) -> None:
         """Nothing more is owed or sent for this request."""
         request.done = True
         self.requests.pop(request.id, None)
@@ -787,13 +713,13 @@
 
     def patrol(self) -> None:
         """Silence, waiting requests, the subscription; then sleep until the next of them is due."""
-        self.wake_at = NEVER
-        if self.now >= self.subscribe_at:
+        self.state.timer_at = NEVER
+        if self.state.now >= self.subscribe_at:
             self.subscribe_at = NEVER
-            self.actions.append(api.WatchEndpointList())
-        self.wake(self.subscribe_at)
-        for endpoint in list(self.busy.values()):
-            if not endpoint.suspect:
+            self.state.actions.append(api.WatchEndpointList())
+        self.state.set_timer(self.subscribe_at)
+        for endpoint in list(self.state.endpoints_in_use.values()):
+            if not endpoint.ejection_reason:
                 self.look_for_silence(endpoint)
         for group in self.groups.values():
             if group.waiting:
@@ -802,117 +728,97 @@
 
     def on_period(self) -> None:
         """The paper's comparison; and what is remembered for long is let go."""
-        self.next_period = self.now + PERIOD
-        self.idle_limit *= FORGET_IDLE
+        self.next_period = self.state.now + COMPARISON_PERIOD_S
+        self.idle_connections.end_period()
         for group in self.groups.values():
-            group.compare()
-            floor = min((m.position for m in group.order if m.state is EndpointState.UP), default=-NEVER)
-            if len(group.sessions) > SESSIONS:  # one member that tells nothing would keep them for ever
-                floor = max(floor, sorted(group.sessions.values())[-SESSIONS] + POSITION_SLACK)
-            group.session_floor = max(group.session_floor, floor)
-            group.sessions = {k: v for k, v in group.sessions.items() if v + POSITION_SLACK > floor}
+            compare_sides(group)
+            self.freshness.forget_sessions(group)
         for endpoint in list(self.endpoints.values()):
-            endpoint.gone_for = endpoint.gone_for + 1 if endpoint.state is EndpointState.GONE else 0
-            if endpoint.gone_for > FORGET_GONE and not endpoint.out:
+            endpoint.periods_gone = endpoint.periods_gone + 1 if endpoint.state is EndpointState.GONE else 0
+            if endpoint.periods_gone > FORGET_GONE and not endpoint.in_flight:
                 self.forget(endpoint)
 
-    def forget(self, endpoint: Member) -> None:
+    def forget(self, endpoint: Endpoint) -> None:
         """Nothing is known any more of a member that has long been gone: ids that come back are rare."""
-        group = self.groups[endpoint.group]
-        group.order.remove(endpoint)
-        group.suspects.pop(endpoint.id, None)
+        group = self.groups[endpoint.group_id]
+        group.endpoints.remove(endpoint)
+        group.ejected.pop(endpoint.id, None)
         group.primary = None if group.primary is endpoint else group.primary
         del self.endpoints[endpoint.id]
 
-    def silence_due(self, endpoint: Member) -> float:
-        """When the answers that a member owes make its silence remarkable."""
-        waiting = max(1, len(endpoint.out) - len(endpoint.lost))
-        return endpoint.silent_from() + max(2.0, SILENCE / waiting) * self.typical
-
-    def overdue_after(self, endpoint: Member) -> float:
-        """How long after its send a request is remarkable that a member has not answered, though others."""
-        return OVERDUE * max(self.typical, endpoint.strain * self.latency_objective)
-
-    def look_for_silence(self, endpoint: Member) -> None:
+    def look_for_silence(self, endpoint: Endpoint) -> None:
         """Help requests at a silent member; suspect it if others answered and its connection was in use."""
-        after = self.overdue_after(endpoint)
-        for key, (sent, request, lost_from) in list(endpoint.out.items()):
-            if self.now < sent + after:
-                self.wake(sent + after)
+        after = overdue_after(endpoint, self.latencies)
+        for key, attempt in list(endpoint.in_flight.items()):
+            if self.state.now < attempt.sent_at + after:
+                self.state.set_timer(attempt.sent_at + after)
                 break
-            if endpoint.answers >= lost_from:
-                endpoint.lost.add(key)
-                self.hedge(request, endpoint)
-        due = self.silence_due(endpoint)
-        if self.now < due:
-            self.wake(due)
+            if endpoint.answers >= attempt.overtaken_from:
+                endpoint.overtaken.add(key)
+                self.hedge(attempt.request, endpoint)
+        due = silence_deadline(endpoint, self.latencies)
+        if self.state.now < due:
+            self.state.set_timer(due)
             return
-        since = endpoint.silent_from()
-        for _, request, _ in list(endpoint.out.values()):
-            self.hedge(request)
-        if len(endpoint.out) == 1 and SILENCE * self.typical < endpoint.idle < min(self.idle_limit, 1e9):
-            self.idle_lost += 1  # twice with no such send answered between: connections are dropped unseen
-            if self.idle_lost > 1:
-                self.idle_limit = endpoint.idle / 2.0
-        elif self.heard_at > since:
-            self.distrust(endpoint, "silent")
+        since = silent_since(endpoint)
+        for attempt in list(endpoint.in_flight.values()):
+            self.hedge(attempt.request)
+        lost_connection = self.idle_connections.explains_silence(endpoint)
+        if not lost_connection and self.state.last_answer_at > since:
+            self.distrust(endpoint, EjectionReason.SILENT)
             return
-        endpoint.watched = self.now
-        self.wake(self.silence_due(endpoint))
+        endpoint.silence_excused_at = self.state.now
+        self.state.set_timer(silence_deadline(endpoint, self.latencies))
 
-    def seek_primary(self, group: Group) -> None:
+    def seek_primary(self, group: ReplicaGroup) -> None:
         """While requests wait for a primary, ask members for their role: as many as there are waiting."""
-        lost = group.primary is None or group.primary.suspect
-        if not lost or self.now < group.seek_at:
+        lost = group.primary is None or group.primary.ejection_reason
+        if not lost or self.state.now < group.role_checks_resume_at:
             return
-        group.seek_at = self.now + REST[0] / 2
-        for endpoint in self.random.sample(group.order, min(len(group.order), len(group.waiting))):
-            self.probe(endpoint)
+        group.role_checks_resume_at = self.state.now + REST[0] / 2
+        for endpoint in self.random.sample(group.endpoints, min(len(group.endpoints), len(group.waiting))):
+            self.health_checks.request(endpoint)
 
-    def tend(self, group: Group, request: Request) -> None:
+    def tend(self, group: ReplicaGroup, request: RoutedRequest) -> None:
         """Try suspects whose rest is over, by a copy of a safe read, so that nothing is lost by a trial."""
-        for endpoint in list(group.suspects.values()):
-            unused = self.zone_shares.get(endpoint.zone, 1.0) <= 0.0
-            if self.now < endpoint.rest_until or endpoint.trial or unused:
+        for endpoint in list(group.ejected.values()):
+            unused = self.slow_start.zone_is_left(endpoint)
+            if self.state.now < endpoint.ejected_until or endpoint.trial or unused:
                 continue
             copy = (
-                request.out
-                and request.cls.idempotency is Idempotency.IDEMPOTENT
+                request.in_flight
+                and request.request_class.idempotency is Idempotency.IDEMPOTENT
                 and endpoint not in request.attempts
             )
             copy = copy and self.may_resend(request, endpoint)
-            if copy and self.due(endpoint) and self.fresh_enough(endpoint, request):
+            if copy and self.due(endpoint) and self.freshness.fresh_enough(endpoint, request):
                 self.send(request, endpoint)
-            elif (copy or not self.due(endpoint)) and self.now - endpoint.probed_at >= REST[0] / 2:
-                self.probe(endpoint)
-
-    def probe(self, endpoint: Member) -> None:
-        """Ask a member for its report."""
-        if self.settings.health_checks and not endpoint.probing and endpoint.state is EndpointState.UP:
-            endpoint.probing, endpoint.probed_at = True, self.now
-            self.actions.append(api.CheckHealth(endpoint.id))
+            elif (copy or not self.due(endpoint)) and self.state.now - endpoint.health_checked_at >= REST[
+                0
+            ] / 2:
+                self.health_checks.request(endpoint)
 
-    def hedge(self, request: Request, lost_at: Member | None = None) -> None:
+    def hedge(self, request: RoutedRequest, lost_at: Endpoint | None = None) -> None:
         """A second copy of a safe read that waits too long, while the budget lasts.
 
         Of what was overtaken, the same member gets the copy where no other may: it does answer others.
         """
-        cls, endpoint = request.cls, None
+        cls, endpoint = request.request_class, None
         if request.done or request.hedged or self.budget < 1.0:
             return
-        if cls.idempotency is Idempotency.IDEMPOTENT and not request.bound:
+        if cls.idempotency is Idempotency.IDEMPOTENT and not request.primary_only:
             endpoint = self.pick(request, HEDGE_ROOM)
         if endpoint is None and lost_at and self.may_send(lost_at, request, HEDGE_ROOM):
-            serves = lost_at is request.group.primary or self.fresh_enough(lost_at, request)
+            serves = lost_at is request.group.primary or self.freshness.fresh_enough(lost_at, request)
             endpoint = lost_at if serves else None
-        if endpoint is not None and not endpoint.suspect and self.may_resend(request, endpoint):
+        if endpoint is not None and not endpoint.ejection_reason and self.may_resend(request, endpoint):
             request.hedged = True
             self.budget -= 1.0
             self.send(request, endpoint)
 
-    def place_waiting(self, group: Group) -> None:
+    def place_waiting(self, group: ReplicaGroup) -> None:
         """Place what waits, the most worth per work first; give up what has waited too long."""
-        waiting, group.waiting = sorted(group.waiting, key=lambda r: -r.worthy), []
+        waiting, group.waiting = sorted(group.waiting, key=lambda r: -r.limit_share), []
         for request in waiting:
-            if not request.done and not request.out:
+            if not request.done and not request.in_flight:
                 self.place(request)
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -13,8 +13,10 @@
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
 from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.messages import EndpointState
 from sedgepitch.routing.router import Router
+from sedgepitch.routing.slow_start import SlowStart
 
 
 def lose_requests() -> None:
@@ -50,15 +52,15 @@
 def trust_the_cold() -> None:
     """Rule 4: a member that has just started is sent as much as any other; silence is not felt."""
     Router.distrust = lambda self, endpoint, why: None
-    Router.open_to = lambda self, endpoint, request: endpoint.state is EndpointState.UP
-    Router.warmth = lambda self, endpoint: 1.0
+    SlowStart.accepts = lambda self, endpoint, request: endpoint.state is EndpointState.UP
+    SlowStart.capacity_share = lambda self, endpoint: 1.0
     Router.may_send = lambda self, endpoint, request, room=1.0: endpoint.state is EndpointState.UP
-    Router.busyness = lambda self, endpoint: (-endpoint.cold_from, 0.0)  # the newest first
+    Router.busyness = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the newest first
 
 
 def read_anywhere() -> None:
     """Rule 5: every replica counts as fresh enough."""
-    Router.fresh_enough = lambda self, endpoint, request: True
+    FreshnessRules.fresh_enough = lambda self, endpoint, request: True
 
 
 def answer_late() -> None:
@@ -89,14 +91,14 @@
     """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the driver."""
 
     def fresh_enough(self, endpoint, request):
-        now, self.now = self.now, self.now - 0.8
+        now, self.state.now = self.state.now, self.state.now - 0.8
         try:
             return true_fresh(self, endpoint, request)
         finally:
-            self.now = now
+            self.state.now = now
 
-    true_fresh = Router.fresh_enough
-    Router.fresh_enough = fresh_enough
+    true_fresh = FreshnessRules.fresh_enough
+    FreshnessRules.fresh_enough = fresh_enough
 
 
 GUARDS = (lose_requests, resend_anything, ignore_drains, trust_the_cold, read_anywhere)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -376,7 +376,7 @@
         AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
-        endpoint.limit = 0.0  # the module has room nowhere
+        endpoint.concurrency_limit = 0.0  # the module has room nowhere
     answers = []
     for number in range(8):
         command = ClientRequest("note", 0, 0.5, "payload", tenant="t", client=str(number), mark=str(number))
@@ -399,7 +399,7 @@
         AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
-        endpoint.limit = 0.0
+        endpoint.concurrency_limit = 0.0
     accounts = [
         front.engine.submit(ClientRequest("note", 0, 0.5, "p", mark=str(n)), lambda a: None) for n in range(4)
     ]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -72,7 +72,7 @@
         rig.timers, rig.log = [], []
         if number in (500, 1_999):
             marks.append(len(rig.router.endpoints))
-    assert marks[-1] <= marks[0] + 5 and len(rig.router.groups[1].order) <= marks[0] + 5
+    assert marks[-1] <= marks[0] + 5 and len(rig.router.groups[1].endpoints) <= marks[0] + 5
 
 
 def test_fresh_ids_keys_and_connections_by_the_ten_thousand_leave_nothing_in_the_front():
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -27,8 +27,8 @@
         "owed": request_table.pending,
         "settled": request_table.settled,
         "module_requests": len(router.requests),
-        "out_at_members": sum(len(m.out) for m in router.endpoints.values()),
-        "probing": [m.id for m in router.endpoints.values() if m.probing],
+        "out_at_members": sum(len(m.in_flight) for m in router.endpoints.values()),
+        "probing": [m.id for m in router.endpoints.values() if m.health_check_pending],
         "events": len(front.engine.events),
     }
 
@@ -299,7 +299,7 @@
     front.turn()
     assert not wires.sent
     assert not front.engine.request_table.accounts
-    assert not any(m.out for m in front.engine.router.endpoints.values())
+    assert not any(m.in_flight for m in front.engine.router.endpoints.values())
 
 
 def test_bytes_that_wait_behind_a_full_socket_end_with_their_connection():
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -8,6 +8,7 @@
 
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState, Idempotency, StaleReadHandling
+from sedgepitch.routing.records import EjectionReason, ReadPreference
 from sedgepitch.routing.router import Router
 from tests.support.router_harness import SETTINGS, Rig, entry, finals, placed, sends
 
@@ -53,7 +54,7 @@
 def test_side_holds_without_a_sample_of_the_primary():
     rig = Rig(endpoints=(entry(2), entry(3)))
     serve(rig, "any", 600, {2: 0.05, 3: 0.05})
-    assert rig.router.groups[1].side_replicas
+    assert rig.router.groups[1].read_preference is ReadPreference.SECONDARY
 
 
 def test_silent_member_is_rested_and_its_safe_reads_are_copied():
@@ -92,11 +93,11 @@
     for _ in range(200):
         answer(rig, rig.ask("any")[0], bad=3)
         rig.run(0.01)
-    assert rig.router.endpoints[3].suspect == "failing"
+    assert rig.router.endpoints[3].ejection_reason is EjectionReason.FAILING
     for _ in range(500):
         answer(rig, rig.ask("any")[0])
         rig.run(0.02)
-    assert rig.router.endpoints[3].suspect == ""
+    assert rig.router.endpoints[3].ejection_reason is None
 
 
 def test_requests_that_fail_everywhere_are_no_members_fault():
@@ -112,7 +113,7 @@
             attempt += 1
         assert attempt <= 2
         rig.run(0.02)
-    assert not rig.router.groups[1].suspects
+    assert not rig.router.groups[1].ejected
 
 
 def test_lost_connection_rests_a_member_until_a_probe_and_a_trial():
@@ -135,7 +136,7 @@
 
 def test_a_trial_is_a_copy_so_that_nothing_is_lost_by_it():
     rig = Rig()
-    rig.router.distrust(rig.router.endpoints[3], "silent")
+    rig.router.distrust(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.run(0.7)
     request, actions = rig.ask("any")
     assert sorted(sends(actions, request))[-1] == 3 and len(sends(actions, request)) == 2
@@ -143,7 +144,7 @@
 
 def test_probes_that_always_fail_do_not_keep_a_member_out():
     rig = Rig()
-    rig.router.distrust(rig.router.endpoints[3], "down")
+    rig.router.distrust(rig.router.endpoints[3], EjectionReason.UNREACHABLE)
     start = len(rig.log)
     for _ in range(800):
         request, actions = rig.ask("any", ttl=0.3)
@@ -235,7 +236,7 @@
     rig = Rig()
     rig.heard(2, 0.3)
     rig.run(0.3)
-    rig.router.endpoints[3].probed_at = rig.now
+    rig.router.endpoints[3].health_checked_at = rig.now
     request, actions = rig.ask("bounded")
     if 1 not in sends(actions, request):
         assert api.CheckHealth(2) in actions and sends(actions, request) == []
@@ -250,7 +251,7 @@
     endpoint = max(by_member, key=lambda m: len(by_member[m]))
     rig.end(by_member[endpoint][0], 0, endpoint, AttemptResult.OK, primary=False)
     rig.end(by_member[endpoint][1], 0, endpoint, AttemptResult.CONNECT_FAILED)
-    assert rig.router.endpoints[endpoint].suspect == ""
+    assert rig.router.endpoints[endpoint].ejection_reason is None
 
 
 def test_subscription_is_asked_for_and_retried_with_back_off():
@@ -283,10 +284,10 @@
 
 def test_a_restarted_member_is_taken_back_as_cold():
     rig = Rig()
-    rig.router.distrust(rig.router.endpoints[2], "down")
+    rig.router.distrust(rig.router.endpoints[2], EjectionReason.UNREACHABLE)
     rig.run(1.0)
     rig.feed(api.EndpointListUpdate((entry(2, started=rig.now),), complete=False))
-    assert rig.router.warmth(rig.router.endpoints[2]) < 0.3
+    assert rig.router.slow_start.capacity_share(rig.router.endpoints[2]) < 0.3
 
 
 def test_the_same_events_give_the_same_actions():
@@ -342,7 +343,7 @@
     request, actions = rig.ask("any")
     first = sends(actions, request)[0]
     rig.run(0.5)
-    assert len(sends(rig.log, request)) == 2 and not rig.router.groups[1].suspects
+    assert len(sends(rig.log, request)) == 2 and not rig.router.groups[1].ejected
     rig.end(request, 1, sends(rig.log, request)[1], AttemptResult.OK, primary=False)
     rig.end(request, 0, first, AttemptResult.TIMEOUT, final=True)
     rig.run(3.0)
@@ -355,7 +356,7 @@
     for _ in range(4):
         rig.ask("any", ttl=5.0)
     rig.run(2.0)
-    assert not rig.router.groups[1].suspects
+    assert not rig.router.groups[1].ejected
 
 
 def test_after_a_standstill_of_the_driver_latency_teaches_nothing():
@@ -363,23 +364,23 @@
     serve(rig, "any", 60, {1: 0.02, 2: 0.02, 3: 0.02})
     request, actions = rig.ask("any")
     endpoint = rig.router.endpoints[sends(actions, request)[0]]
-    before = endpoint.strain
+    before = endpoint.latency_ratio
     rig.now += 1.0  # timers were due meanwhile; all comes at once
     rig.feed(
         api.AttemptFinished(request, 0, endpoint.id, AttemptResult.OK, 1.0, True, primary=endpoint.id == 1)
     )
-    assert endpoint.strain == before and not endpoint.suspect
+    assert endpoint.latency_ratio == before and not endpoint.ejection_reason
 
 
 def test_a_limit_below_one_is_a_chance():
     rig = Rig()
     for endpoint in rig.router.endpoints.values():
-        endpoint.limit = 0.3
+        endpoint.concurrency_limit = 0.3
     sent = [len(sends(rig.ask("any", ttl=0.3)[1])) for _ in range(1)]
     for seed in range(200):
         other = Rig(seed=seed)
         for endpoint in other.router.endpoints.values():
-            endpoint.limit = 0.3
+            endpoint.concurrency_limit = 0.3
         sent.append(len(sends(other.ask("any", ttl=0.3)[1])))
     assert 0 < sum(sent) < 0.6 * len(sent)
 
@@ -420,7 +421,7 @@
 
 def test_a_strained_primary_keeps_its_room_for_writes():
     rig = Rig()
-    rig.router.endpoints[1].strain = 0.9
+    rig.router.endpoints[1].latency_ratio = 0.9
     rig.feed(
         api.EndpointListUpdate(
             (entry(2, state=EndpointState.DRAINING), entry(3, state=EndpointState.DRAINING)), complete=False
@@ -435,7 +436,7 @@
     """Only the primary may be used, with that limit."""
     drained = (entry(2, state=EndpointState.DRAINING), entry(3, state=EndpointState.DRAINING))
     rig.feed(api.EndpointListUpdate(drained, complete=False))
-    rig.router.endpoints[1].limit = limit
+    rig.router.endpoints[1].concurrency_limit = limit
     return rig.router.endpoints[1]
 
 
@@ -445,9 +446,9 @@
     for seed in range(40):
         rig = Rig(seed=seed)
         primary_alone(rig, 2.0)
-        while len(rig.router.endpoints[1].out) < 2 and rig.ids < 30:
+        while len(rig.router.endpoints[1].in_flight) < 2 and rig.ids < 30:
             placed(rig, "any", ttl=0.9)
-        held.append(len(rig.router.endpoints[1].out))
+        held.append(len(rig.router.endpoints[1].in_flight))
         assert sends(rig.ask(name)[1]) == [1], seed
     assert max(held) == 2
 
@@ -469,12 +470,12 @@
             rig = Rig(replace(SETTINGS, proxy_instances=drivers, health_checks=False), seed=seed)
             primary = primary_alone(rig, 8.0) if alone else rig.router.endpoints[1]
             for _ in range(before):
-                primary.limit = 1.5
+                primary.concurrency_limit = 1.5
                 request, _ = rig.ask("write")
                 rig.run(took)
                 rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.OK, took, True, primary=True))
-            primary.limit, primary.strain = 8.0, 0.0
-            rig.router.zone_strain.clear()
+            primary.concurrency_limit, primary.latency_ratio = 8.0, 0.0
+            rig.router.latencies.zone_ratio.clear()
             used += placed(rig, "bounded")[1] == [1]  # nothing is known of the replicas' positions
         return used / 300
 
@@ -490,11 +491,11 @@
         rig = Rig(seed=seed)
         primary = primary_alone(rig, 0.3)
         request, _ = rig.ask("write", ttl=1.9)
-        rig.run(rig.router.typical / 0.3 + 0.06)
+        rig.run(rig.router.latencies.typical / 0.3 + 0.06)
         assert sends(rig.log, request) == [1], "it had not been used for long"
         later, actions = rig.ask("write", ttl=1.9)
         assert sends(actions, later) == [], "one is under way already"
-        assert primary.limit == 0.3
+        assert primary.concurrency_limit == 0.3
 
 
 def test_a_write_that_is_safe_is_not_copied_to_a_replica():
@@ -586,10 +587,10 @@
             rig.run(0.05)
     rig.feed(api.HealthCheckFinished(3, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 60.0)))
     rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 1.0)))
-    assert rig.router.queueing(rig.router.endpoints[3]) > 0.2
+    assert rig.router.latencies.queueing_delay(rig.router.endpoints[3]) > 0.2
     assert all(sends(rig.ask("any")[1]) != [3] for _ in range(3))
     rig.run(2.0)  # a report is a hint while it is recent
-    assert rig.router.queueing(rig.router.endpoints[3]) == 0.0
+    assert rig.router.latencies.queueing_delay(rig.router.endpoints[3]) == 0.0
 
 
 def test_a_strained_zone_eases_off_the_limits_of_members_not_heard_of_lately():
@@ -599,7 +600,7 @@
         sent[strain] = 0
         for seed in range(100):
             rig = Rig(replace(SETTINGS, proxy_instances=400), seed=seed)
-            rig.router.zone_strain["a"] = strain
+            rig.router.latencies.zone_ratio["a"] = strain
             sent[strain] += len(sends(rig.ask("any", ttl=0.3)[1]))
     assert sent[1.0] < 0.5 * sent[0.2]
 
@@ -608,8 +609,8 @@
     # cut and healed: all but one were found down while a zone was cut off; probes are answered again.
     rig = Rig()
     for endpoint in (2, 3):
-        rig.router.distrust(rig.router.endpoints[endpoint], "silent")
-    rig.router.endpoints[1].limit = 0.1  # and the one that is trusted is full
+        rig.router.distrust(rig.router.endpoints[endpoint], EjectionReason.SILENT)
+    rig.router.endpoints[1].concurrency_limit = 0.1  # and the one that is trusted is full
     rig.run(5.0)
     used = set()
     for _ in range(4):
@@ -618,7 +619,7 @@
         for endpoint in sends(actions, request):
             rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
     assert used & {2, 3}
-    assert any(not rig.router.endpoints[m].suspect for m in (2, 3))
+    assert any(not rig.router.endpoints[m].ejection_reason for m in (2, 3))
 
 
 def test_a_probe_in_vain_keeps_reads_from_a_member_while_others_answer():
@@ -630,11 +631,11 @@
     other = 5 - served if served != 1 else 2
     rig.end(request, 0, served, AttemptResult.OK, primary=served == 1)
     rig.feed(api.HealthCheckFinished(other, AttemptResult.TIMEOUT, 0.25))
-    assert rig.router.endpoints[other].suspect == "silent"
+    assert rig.router.endpoints[other].ejection_reason is EjectionReason.SILENT
 
 
 def test_a_probe_in_vain_while_nobody_answers_blames_no_member():
     rig = Rig()
     rig.run(1.0)
     rig.feed(api.HealthCheckFinished(2, AttemptResult.TIMEOUT, 0.25))
-    assert not rig.router.endpoints[2].suspect
+    assert not rig.router.endpoints[2].ejection_reason
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -5,8 +5,9 @@
 from dataclasses import replace
 
 from sedgepitch.routing import messages as api
+from sedgepitch.routing.freshness import SESSIONS_MAX
 from sedgepitch.routing.messages import AttemptResult
-from sedgepitch.routing.router import SESSIONS
+from sedgepitch.routing.records import EjectionReason
 from tests.support.mongodb_harness import Front
 from tests.support.router_harness import SETTINGS, Rig, entry, finals, sends
 from tests.test_engine import ask
@@ -62,7 +63,7 @@
         rig.run(0.6)
         rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.TIMEOUT, 0.6, False))
         assert finals(rig.log, request)
-    return rig.router.endpoints[1].limit
+    return rig.router.endpoints[1].concurrency_limit
 
 
 def test_time_outs_of_what_was_overtaken_cut_no_limit_and_those_of_what_waits_do():
@@ -87,18 +88,18 @@
     quick.answer()
     front.turn()
     assert len(got) == 1 and not silent.abandoned
-    assert front.engine.request_table.accounts and front.engine.router.endpoints[silent.endpoint].out
+    assert front.engine.request_table.accounts and front.engine.router.endpoints[silent.endpoint].in_flight
     front.turn(1.0)
     assert silent.abandoned
     assert not front.engine.request_table.accounts
-    assert not any(m.out for m in front.engine.router.endpoints.values())
+    assert not any(m.in_flight for m in front.engine.router.endpoints.values())
 
 
 def test_a_member_long_gone_is_forgotten_and_sessions_are_kept_only_where_they_are_needed():
     rig = Rig()
     answered_after(rig, "write", 60)
     rig.end(rig.ask("write", session="s")[0], 0, 1, AttemptResult.OK, position=rig.now)
-    assert not rig.router.groups[1].sessions
+    assert not rig.router.groups[1].session_commits
     rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(2)), complete=True))
     for _ in range(10):
         answered_after(rig, "write", 60)
@@ -107,14 +108,14 @@
     for _ in range(10):
         answered_after(rig, "write", 60)
         rig.run(6.0)
-    assert set(rig.router.endpoints) == {1, 2} and len(rig.router.groups[1].order) == 2
+    assert set(rig.router.endpoints) == {1, 2} and len(rig.router.groups[1].endpoints) == 2
     answered_after(rig, "any", 20)
 
 
 def test_sessions_are_bounded_where_a_member_never_tells_and_those_let_go_still_see_their_writes():
     rig = Rig(replace(SETTINGS, session_tracking=api.SessionTracking.BY_PROXY, health_checks=False))
     begun = rig.now
-    for number in range(3 * SESSIONS):
+    for number in range(3 * SESSIONS_MAX):
         rig.end(
             rig.ask("write", session=f"s{number}")[0], 0, 1, AttemptResult.OK, primary=True, position=rig.now
         )
@@ -122,9 +123,9 @@
     rig.run(6.0)
     rig.feed()
     group = rig.router.groups[1]
-    assert SESSIONS / 4 < len(group.sessions) <= SESSIONS and "s0" not in group.sessions
-    assert f"s{number}" in group.sessions
-    rig.router.endpoints[1].limit = 0.5  # no room for reads
+    assert SESSIONS_MAX / 4 < len(group.session_commits) <= SESSIONS_MAX and "s0" not in group.session_commits
+    assert f"s{number}" in group.session_commits
+    rig.router.endpoints[1].concurrency_limit = 0.5  # no room for reads
     rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(begun, False)))
     read, actions = rig.ask("session", session="s0")
     assert not sends(actions, read)
@@ -139,11 +140,11 @@
     answered_after(rig, "write", 60)
     first = rig.ask("write")[0]
     actions = rig.end(first, 0, 1, AttemptResult.RESET)
-    assert api.CheckHealth(1) in actions and not rig.router.endpoints[1].suspect
+    assert api.CheckHealth(1) in actions and not rig.router.endpoints[1].ejection_reason
     assert sends(rig.log, first) == [1, 1], "it may be repeated, and the member is there"
     rig.end(first, 1, 1, AttemptResult.RESET)
     rig.end(first, 2, 1, AttemptResult.RESET)
-    assert rig.router.endpoints[1].suspect == "down"
+    assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE
 
 
 def test_an_answer_between_two_breaks_starts_the_count_anew():
@@ -152,7 +153,7 @@
     for _ in range(6):
         rig.end(rig.ask("write")[0], 0, 1, AttemptResult.CONNECT_FAILED)
         answered_after(rig, "write", 12)
-        assert not rig.router.endpoints[1].suspect
+        assert not rig.router.endpoints[1].ejection_reason
 
 
 def test_a_process_that_does_not_run_is_known_by_its_probes():
@@ -160,21 +161,21 @@
     answered_after(rig, "write", 60)
     rig.end(rig.ask("unsafe")[0], 0, 1, AttemptResult.RESET)
     probes = 0
-    while not rig.router.endpoints[1].suspect and probes < 5:
+    while not rig.router.endpoints[1].ejection_reason and probes < 5:
         probes += 1
         rig.feed(api.HealthCheckFinished(1, AttemptResult.CONNECT_FAILED, 0.001))
-    assert rig.router.endpoints[1].suspect == "down" and probes == 2
+    assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE and probes == 2
 
 
 def test_one_connection_that_does_not_come_about_is_no_full_table_and_several_are():
     rig = Rig()
     answered_after(rig, "write", 60)
     held = [rig.ask("unsafe")[0] for _ in range(4)]
-    before = rig.router.endpoints[1].limit
+    before = rig.router.endpoints[1].concurrency_limit
     rig.end(held[0], 0, 1, AttemptResult.CONNECT_FAILED)
-    assert rig.router.endpoints[1].limit == before
+    assert rig.router.endpoints[1].concurrency_limit == before
     rig.end(held[1], 0, 1, AttemptResult.CONNECT_FAILED)
-    assert rig.router.endpoints[1].limit < before / 2
+    assert rig.router.endpoints[1].concurrency_limit < before / 2
 
 
 def test_requests_that_were_overtaken_do_not_make_their_member_silent():
@@ -187,14 +188,14 @@
         answered_after(rig, "write", 2)
         answered_after(rig, "any", 4)
         rig.run(0.045)  # well under what one request may wait, more than five may
-        assert not rig.router.endpoints[1].suspect
-    assert len(rig.router.endpoints[1].lost) == 5
+        assert not rig.router.endpoints[1].ejection_reason
+    assert len(rig.router.endpoints[1].overtaken) == 5
 
 
 def test_a_lost_read_is_sent_again_to_its_member_where_no_other_may_serve_it():
     rig = Rig(endpoints=(entry(1, primary=True), entry(2)))
-    rig.router.distrust(rig.router.endpoints[1], "down")
-    rig.router.endpoints[1].rest_until = rig.now + 1e6
+    rig.router.distrust(rig.router.endpoints[1], EjectionReason.UNREACHABLE)
+    rig.router.endpoints[1].ejected_until = rig.now + 1e6
     rig.router.random.random = lambda: 0.5  # no exploration
     answered_after(rig, "any", 60)
     request, actions = rig.ask("any", ttl=0.6)
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -10,6 +10,7 @@
 
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState, SessionTracking, StaleReadHandling
+from sedgepitch.routing.records import EjectionReason
 from tests.support.router_harness import SETTINGS, Rig, entry, finals, placed, sends
 
 # Rule 1: one final answer, in time
@@ -139,7 +140,7 @@
     # Incident ie07cc6: a trial by copy went to a suspect that the list had removed meanwhile.
     rig = Rig()
     request, _ = rig.ask("write", ttl=1.9)
-    rig.router.distrust(rig.router.endpoints[3], "silent")
+    rig.router.distrust(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.feed(api.EndpointListUpdate((entry(3, state=EndpointState.GONE),), complete=False))
     rig.run(0.8)
     if how == "stuck write":
@@ -236,7 +237,7 @@
     rig = Rig()
     rig.heard(2, 0.2)
     for age, endpoint in ((0.3, 2), (0.1, 1), (0.2, 1)):
-        rig.router.endpoints[3].probing = True
+        rig.router.endpoints[3].health_check_pending = True
         request, used = placed(rig, "session", session_age=age)
         assert used == [endpoint]
         rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
@@ -329,7 +330,7 @@
         rig.heard(endpoint, 0.0)
     write, actions = rig.ask("write", session="s")
     assert sends(actions, write) == [1]
-    rig.router.endpoints[1].limit = 0.5  # room for what it alone serves: what no replica may serve waits
+    rig.router.endpoints[1].concurrency_limit = 0.5  # for what no replica may serve
     rig.run(0.05)
     early, actions = rig.ask("session", session="s")
     assert sends(actions, early) == []
@@ -415,12 +416,12 @@
     write, _ = rig.ask("write", session="s", ttl=1.9)
     if how == "waiting":
         for endpoint in rig.router.endpoints.values():
-            endpoint.limit = 0.0
+            endpoint.concurrency_limit = 0.0
     read, actions = rig.ask("session", session="s")
     assert bool(sends(actions, read)) is (how != "waiting")
     rig.now += 0.01
     for endpoint in (2, 3):
-        rig.router.endpoints[endpoint].limit = 4.0
+        rig.router.endpoints[endpoint].concurrency_limit = 4.0
     rig.end(write, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     if how == "tried again":
         rig.end(read, 0, sends(actions, read)[0], AttemptResult.CONNECT_FAILED)
--- a/tests/test_router_zone_weights.py
+++ b/tests/test_router_zone_weights.py
@@ -80,7 +80,7 @@
             else:
                 held.end(request, at, endpoint, AttemptResult.OK, position=held.now)
     held.run(1.0)
-    suspects = {m.id for m in held.router.endpoints.values() if m.suspect}
+    suspects = {m.id for m in held.router.endpoints.values() if m.ejection_reason}
     assert suspects == {3, 4}
     held.feed(api.ZoneWeights((("b", 0.0),)))
     mark = len(held.log)
@@ -93,5 +93,5 @@
     assert not {3, 4} & set(sends(later))
     assert not [a for a in later if isinstance(a, api.CheckHealth) and a.endpoint in (3, 4)]
     held.feed(api.ZoneWeights((("b", 0.5),)))  # what may be used again may be tried at once
-    assert all(held.router.endpoints[m].rest_until <= held.now for m in (3, 4))
-    assert {m.id for m in held.router.endpoints.values() if m.suspect} == {3, 4}
+    assert all(held.router.endpoints[m].ejected_until <= held.now for m in (3, 4))
+    assert {m.id for m in held.router.endpoints.values() if m.ejection_reason} == {3, 4}
