--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -11,6 +11,8 @@
 from random import Random
 
 from sedgepitch.routing import messages as api
+from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
+from sedgepitch.routing.eligibility import Eligibility
 from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.health_checks import HealthChecks
 from sedgepitch.routing.idle_connections import IdleConnections
@@ -18,13 +20,14 @@
 from sedgepitch.routing.messages import (
     NEVER_RAN,
     AttemptResult,
-    DeduplicationScope,
     EndpointState,
     Freshness,
     Idempotency,
     SessionTracking,
     StaleReadHandling,
 )
+from sedgepitch.routing.outlier_detection import NOT_RUNNING, OutlierDetection
+from sedgepitch.routing.primary_discovery import PrimaryDiscovery, role_listed, role_reported
 from sedgepitch.routing.records import (
     NEVER,
     POSITION_ROUNDING_S,
@@ -36,6 +39,7 @@
     RoutedRequest,
 )
 from sedgepitch.routing.response_deadlines import overdue_after, silence_deadline, silent_since
+from sedgepitch.routing.retries import Retries
 from sedgepitch.routing.side_comparison import (
     COMPARISON_PERIOD_S,
     compare_sides,
@@ -49,44 +53,16 @@
 # Freshness.
 ASK_MOST = 2  # replicas that a read may ask for their position before it is placed
 # Health.
-BREAKS = 3  # connections in a row that break, with no answer between, which show that a member is down
-FADE, ONE_IN = 0.9, 1.2  # the weight of each after one more answer; more than that is a full table
 OVERTAKEN = 4  # answers to requests sent later that show one as lost on its way, not as waiting its turn
-FAILING = 0.35  # share of failed answers above which a member is rested
 REST = (0.5, 4.0)  # s that a suspected member rests: at first, and at most; doubles with each failed trial
-TRIALS = 3  # good trials in a row that bring back a member that was failing
 # Load.
-LIMIT = (0.1, 48.0)  # own requests in flight a member may have: at least; to begin with, all drivers together
-LATE = 0.8  # share of its aim beyond which an answer says that the member is too busy
-STRAINED = 0.3  # mean latency, as a share of the aim, below which a late answer is a heavy request's own
-BACK_OFF, GROW = 0.75, 0.025  # a late answer cuts the limit to this share; one in time lets it grow by this
-GROW_LEAST = 0.04  # growth at least, so that a limit below one, which is a chance, recovers in few answers
-LEAST_WORTHY = 0.7  # share of the limit that the class of least worth per work may fill
-SPARE = 0.5  # mean latency, as a share of the aim, beyond which limits fall and a primary bears no reads
+PRIMARY_LIMIT_SHARE = 0.7  # share of a primary's limit that reads fill by preference
 WAIT = 0.15  # share of its aim that a read may wait for room before it is refused
 HEDGE_ROOM = 0.4  # share of a member's room that second copies may use: they must not feed an overload
 OWN_ZONE = 0.15  # share of the aim by which a member elsewhere must be quicker to win a tie
-BUDGET = (0.15, 5.0)  # resends and second copies: earned by each request, and kept at most
 KEEP_WARM = 0.5  # s; a driver spreads over as many members as it would use this often each, two at least
 FORGET_GONE = 12  # periods after which a member that is gone is forgotten
 
-DEAD = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)  # what a process that does not run answers
-
-
-def told_role(group: ReplicaGroup, endpoint: Endpoint, primary: bool, at: float) -> bool:
-    """Take evidence of a role, the newest counts; true where it made a new primary known."""
-    if at < endpoint.role_known_at:
-        return False
-    endpoint.role_known_at, endpoint.role_unconfirmed = at, False
-    if not primary and group.primary is endpoint:
-        group.primary = None
-    elif (
-        primary and group.primary is not endpoint and (not group.primary or at >= group.primary.role_known_at)
-    ):
-        group.primary = endpoint
-        return True
-    return False
-
 
 class Router:
     """Decides for one driver. Feed it events with ``handle``; carry out the actions it returns, in order."""
@@ -101,10 +77,14 @@
         self.health_checks = HealthChecks(state)
         self.freshness = FreshnessRules(state)
         self.idle_connections = IdleConnections(self.latencies)
-        # A driver of a large fleet may have one request at a member, of whatever class.
-        self.first_limit = max(1.0 / LEAST_WORTHY, LIMIT[1] / max(1, settings.proxy_instances))
-        self.first_spare = min(1.0, max(LIMIT[0], SPARE * LIMIT[1] / max(1, settings.proxy_instances)))
-        self.next_period, self.budget = -NEVER, 1.0
+        self.limits = ConcurrencyLimits(state, self.latencies)
+        self.outlier_detection = OutlierDetection(state, self.health_checks)
+        self.eligibility = Eligibility(
+            state, self.slow_start, self.outlier_detection, self.latencies, self.limits
+        )
+        self.primary_discovery = PrimaryDiscovery(state, self.eligibility, self.health_checks)
+        self.retries = Retries(state, self.slow_start)
+        self.next_period = -NEVER
         self.subscribe_at, self.subscribe_pause = -NEVER if settings.subscription_required else NEVER, REST[0]
 
     def handle(self, now: float, events: Iterable[api.Event]) -> list[api.Action]:
@@ -133,8 +113,8 @@
                     most = max(REST[0], self.rules.max_poll_interval / 4)
                     self.subscribe_pause = min(self.subscribe_pause * 2.0, most)
                 case api.ClientDisconnected():
-                    if request := self.requests.pop(event.request, None):
-                        request.done = True
+                    if request := self.requests.get(event.request):
+                        self.retries.close(request)
         if now >= self.state.timer_at - self.settings.tick / 2:
             self.patrol()
         return self.state.actions
@@ -165,8 +145,8 @@
                 state=entry.state,
                 started_at=entry.started,
                 preference_weight=0.0,
-                concurrency_limit=self.first_limit,
-                primary_read_share=self.first_spare,
+                concurrency_limit=self.limits.initial_limit,
+                primary_read_share=self.limits.initial_primary_read_share,
             )
             endpoint.preference_weight = self.random.random() ** (
                 1.0 / endpoint.size
@@ -176,18 +156,9 @@
             endpoint.warming_since = entry.started if entry.started > 0 else -NEVER
         elif entry.started > endpoint.started_at:
             endpoint.started_at = endpoint.warming_since = entry.started
-            if endpoint.ejection_reason is EjectionReason.UNREACHABLE:
-                endpoint.ejected_until = self.state.now + REST[0] * self.random.random()
+            self.outlier_detection.restarted(endpoint)
         endpoint.state, endpoint.size = entry.state, entry.size
-        if entry.primary and not endpoint.listed_as_primary:
-            held = group.primary
-            if held is None or held.ejection_reason or held.state is not EndpointState.UP:
-                denied = endpoint.role_known_at > -NEVER
-                told_role(
-                    group, endpoint, True, max(endpoint.role_known_at, held.role_known_at if held else -NEVER)
-                )
-                endpoint.role_unconfirmed = denied
-        endpoint.listed_as_primary = entry.primary
+        role_listed(group, endpoint, entry.primary)
 
     def on_shares(self, shares: dict[str, float]) -> None:
         """Use zones as told; where none was used and some is now, the suspects there may be tried at once."""
@@ -195,7 +166,7 @@
         for group in self.groups.values():
             for endpoint in group.ejected.values():
                 if endpoint.zone in returned:
-                    endpoint.ejection_time, endpoint.ejected_until = REST[0], self.state.now
+                    self.outlier_detection.zone_returned(endpoint)
 
     # Answers and reports
 
@@ -216,15 +187,12 @@
         if group.waiting:
             self.place_waiting(group)
         if request.done or event.final:
-            self.close(request)
+            self.retries.close(request)
             return
         if event.result not in NEVER_RAN:
             request.may_have_run.append((endpoint, sent))
         if event.result is AttemptResult.OVERLOADED:
-            request.overload_rejections += 1
-            request.retry_at = self.state.now + self.state.check_interval * (
-                2.0**request.overload_rejections - 2.0
-            )
+            self.retries.overloaded(request)
         if not request.in_flight:
             self.next_step(request)
 
@@ -243,7 +211,7 @@
             event.result,
             (event.request, event.attempt),
         )
-        if event.primary is not None and told_role(group, endpoint, event.primary, now):
+        if event.primary is not None and role_reported(group, endpoint, event.primary, now):
             self.place_waiting(group)
         self.on_report(endpoint, event.report)
         if event.primary is False:
@@ -261,29 +229,17 @@
             endpoint.last_answer_at, endpoint.connection_failures = now, 0
             self.state.last_answer_at = now
             if result is not AttemptResult.ERROR:
-                self.on_good(endpoint, key, gain)
+                self.outlier_detection.answered_well(endpoint, key, gain)
             elif cls.freshness is not Freshness.WRITE:
                 request.errors.append(endpoint)
             request.served = request.served or result is AttemptResult.OK
-            while request.served and request.errors:  # an error is a member's if all went well elsewhere
-                self.blame(request.errors.pop())
-        elif (
-            result is AttemptResult.CONNECT_FAILED
-            and endpoint.in_flight
-            and now - endpoint.last_answer_at < REST[0]
-        ):
-            endpoint.recent_connect_failures += 1.0
-            if endpoint.recent_connect_failures > ONE_IN:
-                endpoint.concurrency_limit = max(
-                    LIMIT[0], len(endpoint.in_flight) * BACK_OFF
-                )  # a full table, not a dead process
-        elif result in (AttemptResult.CONNECT_FAILED, AttemptResult.RESET):
-            if endpoint.trial == key:
-                self.distrust(endpoint, EjectionReason.UNREACHABLE)
-            elif not endpoint.ejection_reason:
-                self.broke(endpoint, result)
-        elif result is AttemptResult.TIMEOUT and endpoint.trial == key:
-            self.distrust(endpoint, EjectionReason.SILENT)
+            self.outlier_detection.attribute_errors(request)
+        elif result is AttemptResult.CONNECT_FAILED and self.outlier_detection.process_runs(endpoint):
+            self.limits.connect_failed(endpoint)
+        elif result in NOT_RUNNING:
+            self.outlier_detection.connection_failed(endpoint, key, result)
+        elif result is AttemptResult.TIMEOUT:
+            self.outlier_detection.timed_out(endpoint, key)
         if endpoint.trial == key:
             endpoint.trial = None
         if (
@@ -294,74 +250,18 @@
         share = 1.5 if result is AttemptResult.OVERLOADED else min(1.5, event.elapsed / cls.latency_objective)
         if result is AttemptResult.OK:
             endpoint.answers += 1
-            endpoint.recent_connect_failures *= FADE
+            self.limits.answered(endpoint)
         elif result is AttemptResult.TIMEOUT and endpoint.answers >= lost_from:
             return  # those sent later were answered, so the member is not too busy
-        late = result is not AttemptResult.OK or event.elapsed > LATE * cls.latency_objective
-        strained = endpoint.latency_ratio > STRAINED
+        mean_ratio = endpoint.latency_ratio
         self.latencies.observe_ratio(endpoint, share, gain)
-        if (
-            late
-            and (strained or result is AttemptResult.OVERLOADED)
-            and now - endpoint.limit_reduced_at > self.latencies.service_time[cls.name]
-        ):
-            endpoint.concurrency_limit = max(
-                LIMIT[0], min(endpoint.concurrency_limit, len(endpoint.in_flight) + 1.0) * BACK_OFF
-            )
-            endpoint.limit_reduced_at = now
-            if self.first_spare < 1.0:
-                endpoint.primary_read_share = max(LIMIT[0], endpoint.primary_read_share * BACK_OFF)
-        elif not late and len(endpoint.in_flight) + 1 > endpoint.concurrency_limit / 2:
-            endpoint.concurrency_limit += max(GROW_LEAST, GROW * endpoint.concurrency_limit)
-            endpoint.primary_read_share = min(1.0, endpoint.primary_read_share + GROW_LEAST)
+        self.limits.observe(endpoint, cls, result, event.elapsed, mean_ratio)
         if result is not AttemptResult.OVERLOADED:
             record_latency(group, endpoint, request, event.elapsed)
         if result is AttemptResult.OK:
             self.idle_connections.answered(endpoint)
             self.latencies.observe_answer(cls, event)
 
-    def on_good(self, endpoint: Endpoint, key: tuple[int, int], gain: float) -> None:
-        """Silence is over with an answer; after errors a suspected member needs several good trials."""
-        endpoint.error_rate *= 1.0 - gain
-        if endpoint.ejection_reason is EjectionReason.FAILING and endpoint.trial == key:
-            endpoint.consecutive_successes += 1
-        if endpoint.ejection_reason and (
-            endpoint.ejection_reason is not EjectionReason.FAILING or endpoint.consecutive_successes >= TRIALS
-        ):
-            endpoint.ejection_reason, endpoint.error_rate, endpoint.trial, endpoint.ejection_time = (
-                None,
-                0.0,
-                None,
-                REST[0],
-            )
-            del self.groups[endpoint.group_id].ejected[endpoint.id]
-
-    def broke(self, endpoint: Endpoint, result: AttemptResult) -> None:
-        """A connection's end is not a member's: ask it, and see whether the next ones break as well."""
-        endpoint.connection_failures = endpoint.connection_failures + 1 if result in DEAD else 0
-        if endpoint.connection_failures >= BREAKS:
-            self.distrust(endpoint, EjectionReason.UNREACHABLE)
-        elif endpoint.connection_failures:
-            self.health_checks.request(endpoint)
-
-    def blame(self, endpoint: Endpoint) -> None:
-        """One more error that was the member's own, not the request's."""
-        endpoint.error_rate += 0.15 * (1.0 - endpoint.error_rate)
-        if endpoint.ejection_reason is EjectionReason.FAILING or (
-            not endpoint.ejection_reason and endpoint.error_rate > FAILING
-        ):
-            self.distrust(endpoint, EjectionReason.FAILING)
-
-    def distrust(self, endpoint: Endpoint, why: EjectionReason) -> None:
-        """Keep traffic away for a while, longer each time a trial fails; never all drivers at one moment."""
-        endpoint.ejection_time = (
-            min(endpoint.ejection_time * 2.0, REST[1]) if endpoint.ejection_reason else REST[0]
-        )
-        endpoint.failed_health_check = endpoint.failed_health_check and bool(endpoint.ejection_reason)
-        endpoint.ejection_reason, endpoint.trial, endpoint.consecutive_successes = why, None, 0
-        endpoint.ejected_until = self.state.now + endpoint.ejection_time * (0.75 + 0.5 * self.random.random())
-        self.groups[endpoint.group_id].ejected[endpoint.id] = endpoint
-
     def on_report(self, endpoint: Endpoint, report: api.LoadReport | None) -> None:
         """Positions only grow; one ahead of now is not believed. A report is as old as its position."""
         position = report.position if report else None
@@ -372,7 +272,7 @@
         if endpoint.position < position <= self.state.now + POSITION_ROUNDING_S:
             endpoint.position, endpoint.replication_lag = position, self.state.now - position
         group = self.groups[endpoint.group_id]
-        if report.primary is not None and told_role(
+        if report.primary is not None and role_reported(
             group, endpoint, report.primary, min(position, self.state.now)
         ):
             self.place_waiting(group)
@@ -384,22 +284,7 @@
             return
         group, endpoint.health_check_pending = self.groups[endpoint.group_id], False
         self.on_report(endpoint, event.report)
-        if endpoint.ejection_reason is EjectionReason.UNREACHABLE and event.result is AttemptResult.OK:
-            if endpoint.failed_health_check:
-                endpoint.warming_since = max(
-                    endpoint.warming_since, self.state.now
-                )  # it was dead, so it has restarted
-            endpoint.ejection_reason, endpoint.ejected_until = EjectionReason.SILENT, self.state.now
-        elif endpoint.ejection_reason is EjectionReason.UNREACHABLE:
-            self.distrust(endpoint, EjectionReason.UNREACHABLE)
-            endpoint.failed_health_check = True
-        elif endpoint.connection_failures and not endpoint.ejection_reason:
-            self.broke(endpoint, event.result)
-        elif event.result is AttemptResult.TIMEOUT and not endpoint.ejection_reason:
-            if self.state.last_answer_at > self.state.now - event.elapsed > endpoint.last_answer_at:
-                self.distrust(
-                    endpoint, EjectionReason.SILENT
-                )  # asked in vain: else reads wait for it again and again
+        self.outlier_detection.health_check_finished(endpoint, event)
         if group.waiting:
             self.place_waiting(group)
         if group.ejected and group.last_request is not None:
@@ -407,46 +292,6 @@
 
     # Who may be sent to, who is recent enough, who is primary
 
-    def may_send(self, endpoint: Endpoint, request: RoutedRequest, room: float = 1.0) -> bool:
-        """Drain, cold start, health and load; limits below one are chances, eased off by zone."""
-        if not self.slow_start.accepts(endpoint, request):
-            return False
-        if endpoint.ejection_reason:
-            alone = (
-                request.request_class.idempotency is not Idempotency.IDEMPOTENT or not self.settings.hedging
-            )
-            return self.due(endpoint) and (alone or request.needs_trial)
-        if self.state.now + self.latencies.queueing_delay(endpoint) > request.useful_until:
-            return False  # the answer would come too late to earn
-        around = (
-            self.latencies.zone_ratio.get(endpoint.zone, 0.0)
-            if self.state.now - endpoint.last_answer_at > self.state.latency_objective
-            else 0.0
-        )
-        ease = max(LIMIT[0], min(1.0, (1.0 - around) / (1.0 - SPARE)))
-        share, under_way = (
-            endpoint.concurrency_limit * request.limit_share * room * ease,
-            len(endpoint.in_flight),
-        )
-        if request.primary_only:  # reads that may go elsewhere take no room from what may not
-            under_way = sum(other.request.primary_only for other in endpoint.in_flight.values())
-            if (
-                not under_way
-                and share < 1.0
-                and (self.state.now - endpoint.last_sent_at) * share > self.latencies.typical
-            ):
-                return True  # less than that share of the time
-        return under_way + request.sampling_draw < share
-
-    def due(self, endpoint: Endpoint) -> bool:
-        """Its rest is over and it may have a trial; a dead one is probed first, unless probes always fail."""
-        dead = (
-            endpoint.ejection_reason is EjectionReason.UNREACHABLE
-            and self.settings.health_checks
-            and endpoint.ejection_time < REST[1]
-        )
-        return not dead and endpoint.trial is None and self.state.now >= endpoint.ejected_until
-
     # Requests
 
     def on_arrived(self, event: api.RequestReceived) -> None:
@@ -472,18 +317,14 @@
             primary_only=cls.freshness in (Freshness.WRITE, Freshness.FRESH),
             sampling_draw=self.random.random(),
         )
-        self.budget = min(BUDGET[1], self.budget + BUDGET[0])
+        self.retries.request_received()
         if self.settings.session_tracking is SessionTracking.BY_CLIENT and event.session_age > 0:
             request.required_position = self.state.now - event.session_age
         group.request_interval += 0.1 * (
             min(COMPARISON_PERIOD_S, self.state.now - group.last_request_at) - group.request_interval
         )
         group.last_request_at, group.last_request = self.state.now, request
-        best = max(c.priority_weight / self.latencies.service_time[c.name] for c in self.settings.classes)
-        request.limit_share = (
-            LEAST_WORTHY
-            + (1.0 - LEAST_WORTHY) * cls.priority_weight / self.latencies.service_time[cls.name] / best
-        )
+        request.limit_share = self.limits.limit_share(cls)
         self.place(request)
         if group.ejected:
             self.tend(group, request)
@@ -492,7 +333,7 @@
         """Send to the best member that may take it now; let it wait for one while that can still help."""
         cls, now = request.request_class, self.state.now
         if request.deadline - now < max(self.state.answer_margin, self.latencies.service_time[cls.name] / 2):
-            self.finish(request)
+            self.retries.answer(request)
             return
         endpoint = self.choose(request) if now >= request.retry_at else None
         # What no trusted member takes is the trial of a suspect: else a group whose members were all but
@@ -500,10 +341,12 @@
         request.needs_trial = endpoint is None and bool(request.group.ejected)
         if request.needs_trial and now >= request.retry_at:
             endpoint = self.choose(request)
-        if endpoint is not None and self.may_resend(request, endpoint):
+        if endpoint is not None and self.retries.may_attempt(request, endpoint):
             self.send(request, endpoint)
-        elif now + self.state.answer_margin >= request.wait_until or self.window_over(request):
-            self.finish(request)
+        elif now + self.state.answer_margin >= request.wait_until or self.retries.deduplication_window_over(
+            request
+        ):
+            self.retries.answer(request)
         else:
             request.group.waiting.append(request)
             self.state.set_timer(
@@ -512,30 +355,26 @@
 
     def choose(self, request: RoutedRequest) -> Endpoint | None:
         """The side, then the pick within it."""
-        group, cls, primary = request.group, request.request_class, request.group.primary
+        cls, primary = request.request_class, request.group.primary
         if cls.freshness is Freshness.WRITE and primary is None:
-            return self.scout(group, request)
+            return self.primary_discovery.next_candidate(request)
         if request.primary_only:
             doubtful = cls.freshness is Freshness.FRESH and primary is not None and primary.role_unconfirmed
-            if primary is None or (not doubtful and self.may_send(primary, request)):
+            if primary is None or (not doubtful and self.eligibility.may_send(primary, request)):
                 return primary
             lost = cls.freshness is Freshness.WRITE and primary.ejection_reason
-            return self.scout(group, request) if lost else None
+            return self.primary_discovery.next_candidate(request) if lost else None
         on_replicas = side_for_read(self.state, request) is ReadPreference.SECONDARY
-        main = None if primary is None or primary in request.attempts or primary.role_unconfirmed else primary
-        if main is not None and (main.concurrency_limit < 1.0 or self.latencies.latency_ratio(main) > SPARE):
-            main = None
-        elif (
-            main is not None and request.sampling_draw > main.primary_read_share
-        ):  # where reads may go elsewhere at all
-            main = (
-                None if any(m is not main and m.state is EndpointState.UP for m in group.endpoints) else main
-            )
-        if not on_replicas and main is not None and self.may_send(main, request, LEAST_WORTHY):
+        main = self.limits.primary_for_read(request)
+        if (
+            not on_replicas
+            and main is not None
+            and self.eligibility.may_send(main, request, PRIMARY_LIMIT_SHARE)
+        ):
             return main
         if (endpoint := self.pick(request)) is not None:
             return endpoint
-        wait = self.ask_first(request) or main is None or not self.may_send(main, request)
+        wait = self.ask_first(request) or main is None or not self.eligibility.may_send(main, request)
         return None if wait else main
 
     def ask_first(self, request: RoutedRequest) -> bool:
@@ -553,7 +392,9 @@
         if bound <= 0.0:  # no replica is at the present
             return False
         passed = [request.group.primary, *request.attempts]
-        others = (m for m in request.group.endpoints if m not in passed and self.may_send(m, request))
+        others = (
+            m for m in request.group.endpoints if m not in passed and self.eligibility.may_send(m, request)
+        )
         likely = list(
             islice(
                 (m for m in others if m.replication_lag < bound or self.health_checks.position_check_due(m)),
@@ -579,7 +420,7 @@
         for endpoint in group.endpoints:
             if endpoint is group.primary or endpoint in request.attempts:
                 continue
-            if self.may_send(endpoint, request, room):
+            if self.eligibility.may_send(endpoint, request, room):
                 able.append(endpoint)
                 if self.freshness.fresh_enough(endpoint, request):
                     qualified.append(endpoint)
@@ -600,22 +441,6 @@
             endpoint.zone != self.settings.zone
         )
 
-    def scout(self, group: ReplicaGroup, request: RoutedRequest) -> Endpoint | None:
-        """With no primary known one write at a time tries the members in id order, then pauses.
-
-        The next one goes on where it stopped: a group may have more members than a request has attempts.
-        """
-        taken = group.discovering_request != request.id and group.discovering_request in self.requests
-        spent = len(request.attempts) >= max(1, self.settings.max_attempts - 2)
-        if taken or spent or self.state.now < group.attempts_resume_at:
-            return None
-        for endpoint in sorted(group.endpoints, key=lambda m: (m.id <= group.last_candidate, m.id)):
-            if endpoint not in request.attempts and self.may_send(endpoint, request):
-                group.discovering_request, group.last_candidate = request.id, endpoint.id
-                return endpoint
-        group.discovering_request, group.attempts_resume_at = None, self.state.now + REST[0]
-        return None
-
     def send(self, request: RoutedRequest, endpoint: Endpoint) -> None:
         """Send, and keep count; a trial of a suspected member is marked as such.
 
@@ -645,69 +470,12 @@
         self.idle_connections.close_before_send(endpoint)
         self.state.actions.append(api.SendAttempt(request.id, endpoint.id, 0.0))
 
-    def may_resend(self, request: RoutedRequest, endpoint: Endpoint) -> bool:
-        """All rules for an attempt at this member; every send passes here."""
-        settings, cls = self.settings, request.request_class
-        over = (
-            request.done
-            or len(request.attempts) >= settings.max_attempts
-            or self.state.now >= request.deadline
-        )
-        if (
-            over
-            or (request.in_flight and not settings.hedging)
-            or not self.slow_start.accepts(endpoint, request)
-        ):
-            return False
-        risky = request.may_have_run + [
-            (request.attempts[hop], sent) for hop, sent in request.in_flight.items()
-        ]
-        if cls.idempotency is Idempotency.IDEMPOTENT or not risky:
-            return True
-        if cls.idempotency is Idempotency.NONE or self.window_over(request):
-            return False
-        return cls.deduplication_scope is DeduplicationScope.ALL or all(
-            tried.group_id == endpoint.group_id for tried, _ in risky
-        )
-
-    def window_over(self, request: RoutedRequest) -> bool:
-        """Whether members may have forgotten the key of an attempt that may have run."""
-        sent = [at for _, at in request.may_have_run] + list(request.in_flight.values())
-        limit = request.request_class.deduplication_window - self.settings.tick
-        return (
-            request.request_class.idempotency is not Idempotency.IDEMPOTENT
-            and bool(sent)
-            and self.state.now - min(sent) > limit
-        )
-
     def next_step(self, request: RoutedRequest) -> None:
         """After a failed attempt: another one where rules, time and budget allow, else the final answer."""
-        cls = request.request_class
-        over = self.state.now >= request.useful_until
-        over = over or len(request.attempts) >= self.settings.max_attempts
-        over = over or (cls.idempotency is Idempotency.NONE and bool(request.may_have_run))
-        over = over or len(request.errors) > 1  # two members agree that the request itself is bad
-        if request.may_have_run and not over:
-            over = self.budget < 1.0
-            self.budget -= not over
-        (self.finish if over else self.place)(request)
-
-    def finish(self, request: RoutedRequest) -> None:
-        """The one final answer: refused only where trying again is harmless, else failed."""
-        cls = request.request_class
-        risky = bool(request.may_have_run or request.in_flight)
-        wide = cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
-        if risky and cls.idempotency is not Idempotency.IDEMPOTENT and not wide:
-            self.state.actions.append(api.Fail(request.id))
-        else:  # the client may come back after the crowd that it was refused for has had its time
-            pause = min(self.settings.max_retry_after, cls.deadline * (0.5 + self.random.random()))
-            self.state.actions.append(api.Reject(request.id, pause if self.settings.retry_after else 0.0))
-        self.close(request)
-
-    def close(self, request: RoutedRequest) -> None:
-        """Nothing more is owed or sent for this request."""
-        request.done = True
-        self.requests.pop(request.id, None)
+        if self.retries.should_retry(request):
+            self.place(request)
+        else:
+            self.retries.answer(request)
 
     # What time brings
 
@@ -723,7 +491,7 @@
                 self.look_for_silence(endpoint)
         for group in self.groups.values():
             if group.waiting:
-                self.seek_primary(group)
+                self.primary_discovery.check_roles(group)
                 self.place_waiting(group)
 
     def on_period(self) -> None:
@@ -765,20 +533,11 @@
             self.hedge(attempt.request)
         lost_connection = self.idle_connections.explains_silence(endpoint)
         if not lost_connection and self.state.last_answer_at > since:
-            self.distrust(endpoint, EjectionReason.SILENT)
+            self.outlier_detection.eject(endpoint, EjectionReason.SILENT)
             return
         endpoint.silence_excused_at = self.state.now
         self.state.set_timer(silence_deadline(endpoint, self.latencies))
 
-    def seek_primary(self, group: ReplicaGroup) -> None:
-        """While requests wait for a primary, ask members for their role: as many as there are waiting."""
-        lost = group.primary is None or group.primary.ejection_reason
-        if not lost or self.state.now < group.role_checks_resume_at:
-            return
-        group.role_checks_resume_at = self.state.now + REST[0] / 2
-        for endpoint in self.random.sample(group.endpoints, min(len(group.endpoints), len(group.waiting))):
-            self.health_checks.request(endpoint)
-
     def tend(self, group: ReplicaGroup, request: RoutedRequest) -> None:
         """Try suspects whose rest is over, by a copy of a safe read, so that nothing is lost by a trial."""
         for endpoint in list(group.ejected.values()):
@@ -790,12 +549,16 @@
                 and request.request_class.idempotency is Idempotency.IDEMPOTENT
                 and endpoint not in request.attempts
             )
-            copy = copy and self.may_resend(request, endpoint)
-            if copy and self.due(endpoint) and self.freshness.fresh_enough(endpoint, request):
+            copy = copy and self.retries.may_attempt(request, endpoint)
+            if (
+                copy
+                and self.outlier_detection.trial_is_due(endpoint)
+                and self.freshness.fresh_enough(endpoint, request)
+            ):
                 self.send(request, endpoint)
-            elif (copy or not self.due(endpoint)) and self.state.now - endpoint.health_checked_at >= REST[
-                0
-            ] / 2:
+            elif (
+                copy or not self.outlier_detection.trial_is_due(endpoint)
+            ) and self.state.now - endpoint.health_checked_at >= REST[0] / 2:
                 self.health_checks.request(endpoint)
 
     def hedge(self, request: RoutedRequest, lost_at: Endpoint | None = None) -> None:
@@ -804,16 +567,20 @@
         Of what was overtaken, the same member gets the copy where no other may: it does answer others.
         """
         cls, endpoint = request.request_class, None
-        if request.done or request.hedged or self.budget < 1.0:
+        if request.done or request.hedged or self.retries.budget < 1.0:
             return
         if cls.idempotency is Idempotency.IDEMPOTENT and not request.primary_only:
             endpoint = self.pick(request, HEDGE_ROOM)
-        if endpoint is None and lost_at and self.may_send(lost_at, request, HEDGE_ROOM):
+        if endpoint is None and lost_at and self.eligibility.may_send(lost_at, request, HEDGE_ROOM):
             serves = lost_at is request.group.primary or self.freshness.fresh_enough(lost_at, request)
             endpoint = lost_at if serves else None
-        if endpoint is not None and not endpoint.ejection_reason and self.may_resend(request, endpoint):
+        if (
+            endpoint is not None
+            and not endpoint.ejection_reason
+            and self.retries.may_attempt(request, endpoint)
+        ):
             request.hedged = True
-            self.budget -= 1.0
+            self.retries.spend_budget()
             self.send(request, endpoint)
 
     def place_waiting(self, group: ReplicaGroup) -> None:
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -13,8 +13,11 @@
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
 from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.routing.eligibility import Eligibility
 from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.messages import EndpointState
+from sedgepitch.routing.outlier_detection import OutlierDetection
+from sedgepitch.routing.retries import Retries
 from sedgepitch.routing.router import Router
 from sedgepitch.routing.slow_start import SlowStart
 
@@ -28,14 +31,12 @@
 def resend_anything() -> None:
     """Rule 2: what may have run is sent again, whatever the class says."""
 
-    def may_resend(self, request, endpoint):
-        return not request.done and not request.out and len(request.attempts) < 3
+    def may_attempt(self, request, endpoint):
+        return not request.done and not request.in_flight and len(request.attempts) < 3
 
-    def next_step(self, request):
-        (self.finish if self.now >= request.until else self.place)(request)
-
-    Router.may_resend, Router.next_step = may_resend, next_step
-    Router.window_over = lambda self, request: False
+    Retries.may_attempt = may_attempt
+    Retries.should_retry = lambda self, request: self.state.now < request.deadline
+    Retries.deduplication_window_over = lambda self, request: False
 
 
 def ignore_drains() -> None:
@@ -51,10 +52,10 @@
 
 def trust_the_cold() -> None:
     """Rule 4: a member that has just started is sent as much as any other; silence is not felt."""
-    Router.distrust = lambda self, endpoint, why: None
+    OutlierDetection.eject = lambda self, endpoint, reason: None
     SlowStart.accepts = lambda self, endpoint, request: endpoint.state is EndpointState.UP
     SlowStart.capacity_share = lambda self, endpoint: 1.0
-    Router.may_send = lambda self, endpoint, request, room=1.0: endpoint.state is EndpointState.UP
+    Eligibility.may_send = lambda self, endpoint, request, limit_share=1.0: endpoint.state is EndpointState.UP
     Router.busyness = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the newest first
 
 
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -136,7 +136,7 @@
 
 def test_a_trial_is_a_copy_so_that_nothing_is_lost_by_it():
     rig = Rig()
-    rig.router.distrust(rig.router.endpoints[3], EjectionReason.SILENT)
+    rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.run(0.7)
     request, actions = rig.ask("any")
     assert sorted(sends(actions, request))[-1] == 3 and len(sends(actions, request)) == 2
@@ -144,7 +144,7 @@
 
 def test_probes_that_always_fail_do_not_keep_a_member_out():
     rig = Rig()
-    rig.router.distrust(rig.router.endpoints[3], EjectionReason.UNREACHABLE)
+    rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.UNREACHABLE)
     start = len(rig.log)
     for _ in range(800):
         request, actions = rig.ask("any", ttl=0.3)
@@ -284,7 +284,7 @@
 
 def test_a_restarted_member_is_taken_back_as_cold():
     rig = Rig()
-    rig.router.distrust(rig.router.endpoints[2], EjectionReason.UNREACHABLE)
+    rig.router.outlier_detection.eject(rig.router.endpoints[2], EjectionReason.UNREACHABLE)
     rig.run(1.0)
     rig.feed(api.EndpointListUpdate((entry(2, started=rig.now),), complete=False))
     assert rig.router.slow_start.capacity_share(rig.router.endpoints[2]) < 0.3
@@ -609,7 +609,7 @@
     # cut and healed: all but one were found down while a zone was cut off; probes are answered again.
     rig = Rig()
     for endpoint in (2, 3):
-        rig.router.distrust(rig.router.endpoints[endpoint], EjectionReason.SILENT)
+        rig.router.outlier_detection.eject(rig.router.endpoints[endpoint], EjectionReason.SILENT)
     rig.router.endpoints[1].concurrency_limit = 0.1  # and the one that is trusted is full
     rig.run(5.0)
     used = set()
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -140,7 +140,7 @@
     # Incident ie07cc6: a trial by copy went to a suspect that the list had removed meanwhile.
     rig = Rig()
     request, _ = rig.ask("write", ttl=1.9)
-    rig.router.distrust(rig.router.endpoints[3], EjectionReason.SILENT)
+    rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.feed(api.EndpointListUpdate((entry(3, state=EndpointState.GONE),), complete=False))
     rig.run(0.8)
     if how == "stuck write":
