--- /dev/null
+++ b/sedgepitch/routing/selection.py
@@ -0,0 +1,144 @@
+"""Which endpoint gets a request: the side of its replica group, then the endpoint within that side."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from itertools import islice
+
+from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
+from sedgepitch.routing.eligibility import Eligibility
+from sedgepitch.routing.freshness import FreshnessRules
+from sedgepitch.routing.health_checks import HealthChecks
+from sedgepitch.routing.messages import Freshness, StaleReadHandling
+from sedgepitch.routing.primary_discovery import PrimaryDiscovery
+from sedgepitch.routing.records import Endpoint, ReadPreference, ReplicaGroup, RoutedRequest
+from sedgepitch.routing.side_comparison import side_for_read
+from sedgepitch.routing.state import RouterState
+
+PRIMARY_LIMIT_SHARE = 0.7  # share of a primary's limit that reads fill by preference; the rest is for writes
+POSITION_CHECKS_MAX = 2  # replicas that a read may have checked for their position before it is placed
+POSITION_CHECK_MARGINS = 2.0  # answer margins that must be left of a read's wait for such a check
+LIKELY_REPLICAS = 2  # replicas that such a check chooses from
+CONNECTION_IN_USE_S = 0.5  # an instance spreads over as many endpoints as it would use this often each
+ENDPOINTS_MIN = 2  # but over this many at least
+OTHER_ZONE_PENALTY = 0.15  # latency ratio by which an endpoint of another zone must be better to win a tie
+CHECK_SERVES_READS = 2.0  # reads within a staleness bound from which on a replica's position is kept known
+
+
+@dataclass(slots=True, eq=False)
+class Selection:
+    """Chooses endpoints; sends nothing."""
+
+    state: RouterState
+    eligibility: Eligibility
+    freshness: FreshnessRules
+    limits: ConcurrencyLimits
+    health_checks: HealthChecks
+    primary_discovery: PrimaryDiscovery
+
+    def choose(self, request: RoutedRequest) -> Endpoint | None:
+        """Return the endpoint for the next attempt; None where none may take it now."""
+        if request.primary_only:
+            return self._choose_primary(request)
+        side = side_for_read(self.state, request)
+        primary = self.limits.primary_for_read(request)
+        preferred = primary if side is ReadPreference.PRIMARY else None
+        if preferred is not None and self.eligibility.may_send(preferred, request, PRIMARY_LIMIT_SHARE):
+            return preferred
+        replica = self.pick_replica(request)
+        if replica is not None:
+            return replica
+        if self._check_position_first(request):
+            return None
+        if primary is not None and self.eligibility.may_send(primary, request):
+            return primary
+        return None
+
+    def _choose_primary(self, request: RoutedRequest) -> Endpoint | None:
+        # A write may go to an unconfirmed primary, and finds one while none is known; a read waits.
+        primary = request.group.primary
+        writes = request.request_class.freshness is Freshness.WRITE
+        if primary is None:
+            return self.primary_discovery.next_candidate(request) if writes else None
+        confirmed = writes or not primary.role_unconfirmed
+        if confirmed and self.eligibility.may_send(primary, request):
+            return primary
+        if writes and primary.ejection_reason is not None:
+            return self.primary_discovery.next_candidate(request)
+        return None
+
+    def pick_replica(self, request: RoutedRequest, limit_share: float = 1.0) -> Endpoint | None:
+        """Return one of the replicas that are eligible and fresh enough, by two choices.
+
+        Two are drawn by size and warm-up, the one with less load is taken. Where endpoints check freshness
+        themselves, the most advanced eligible one stands in for one that is known to be fresh enough.
+        """
+        eligible, qualified = self._qualify(request, limit_share)
+        if qualified:
+            capacity_share = self.eligibility.slow_start.capacity_share
+            weights = [endpoint.size * capacity_share(endpoint) for endpoint in qualified]
+            return min(self.state.random.choices(qualified, weights, k=2), key=self.load)
+        if self.state.settings.stale_read_handling is StaleReadHandling.SERVE:
+            return None
+        return max(eligible, key=lambda endpoint: endpoint.position, default=None)
+
+    def _qualify(self, request: RoutedRequest, limit_share: float) -> tuple[list[Endpoint], list[Endpoint]]:
+        # The eligible replicas, and of these the fresh enough, in order of preference until there are enough.
+        group, attempts = request.group, request.attempts
+        reach = self._endpoints_in_use(group)
+        interval = group.request_interval * len(group.endpoints) * CHECK_SERVES_READS
+        keeps_positions = interval < self.health_checks.staleness_bound
+        may_send, fresh_enough = self.eligibility.may_send, self.freshness.fresh_enough
+        eligible, qualified = [], []
+        for endpoint in group.endpoints:
+            if endpoint is group.primary or endpoint in attempts:
+                continue
+            if not may_send(endpoint, request, limit_share):
+                continue
+            eligible.append(endpoint)
+            if fresh_enough(endpoint, request):
+                qualified.append(endpoint)
+                if len(qualified) == reach:
+                    break
+            elif keeps_positions and self.health_checks.position_check_due(endpoint):
+                self.health_checks.request(endpoint)
+        return eligible, qualified
+
+    def _endpoints_in_use(self, group: ReplicaGroup) -> int:
+        # An instance with little traffic keeps to the first of its order, so that connections stay in use.
+        interval = max(group.request_interval, self.state.settings.tick)
+        return max(ENDPOINTS_MIN, int(CONNECTION_IN_USE_S / interval))
+
+    def load(self, endpoint: Endpoint) -> tuple[float, float]:
+        """Return the order of load, the lowest first: own requests in flight for its size and warm-up.
+
+        Ties go to the lower latency ratio, with a penalty for another zone than the instance's own.
+        """
+        capacity = endpoint.size * self.eligibility.slow_start.capacity_share(endpoint)
+        penalty = OTHER_ZONE_PENALTY * (endpoint.zone != self.state.settings.zone)
+        return len(endpoint.in_flight) / capacity, self.limits.latencies.latency_ratio(endpoint) + penalty
+
+    def _check_position_first(self, request: RoutedRequest) -> bool:
+        # Before the primary serves a read, a likely replica's position is checked; true where the read waits.
+        settings, state = self.state.settings, self.state
+        if not settings.health_checks or not settings.reports_position:
+            return False
+        if request.position_checks >= POSITION_CHECKS_MAX or request.request_class.freshness is Freshness.ANY:
+            return False
+        if state.now + POSITION_CHECK_MARGINS * state.answer_margin >= request.wait_until:
+            return False
+        max_staleness = self.freshness.max_staleness(request)
+        if max_staleness <= 0.0:  # no replica is at the present
+            return False
+        likely = self._likely_replicas(request, max_staleness)
+        if likely:
+            request.position_checks += 1
+            self.health_checks.request(min(likely, key=self.load))
+        return bool(likely)
+
+    def _likely_replicas(self, request: RoutedRequest, max_staleness: float) -> list[Endpoint]:
+        passed = [request.group.primary, *request.attempts]
+        may_send, check_due = self.eligibility.may_send, self.health_checks.position_check_due
+        others = (e for e in request.group.endpoints if e not in passed and may_send(e, request))
+        likely = (e for e in others if e.replication_lag < max_staleness or check_due(e))
+        return list(islice(likely, LIKELY_REPLICAS))
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -18,7 +18,7 @@
 from sedgepitch.routing.messages import EndpointState
 from sedgepitch.routing.outlier_detection import OutlierDetection
 from sedgepitch.routing.retries import Retries
-from sedgepitch.routing.router import Router
+from sedgepitch.routing.selection import Selection
 from sedgepitch.routing.slow_start import SlowStart
 
 
@@ -56,7 +56,7 @@
     SlowStart.accepts = lambda self, endpoint, request: endpoint.state is EndpointState.UP
     SlowStart.capacity_share = lambda self, endpoint: 1.0
     Eligibility.may_send = lambda self, endpoint, request, limit_share=1.0: endpoint.state is EndpointState.UP
-    Router.busyness = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the newest first
+    Selection.load = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the newest first
 
 
 def read_anywhere() -> None:
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -196,7 +196,7 @@
     rig = Rig(endpoints=(entry(1, primary=True), entry(2)))
     rig.router.outlier_detection.eject(rig.router.endpoints[1], EjectionReason.UNREACHABLE)
     rig.router.endpoints[1].ejected_until = rig.now + 1e6
-    rig.router.random.random = lambda: 0.5  # no exploration
+    rig.router.state.random.random = lambda: 0.5  # no exploration
     answered_after(rig, "any", 60)
     request, actions = rig.ask("any", ttl=0.6)
     assert sends(actions, request) == [2]
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -426,7 +426,7 @@
     if how == "tried again":
         rig.end(read, 0, sends(actions, read)[0], AttemptResult.CONNECT_FAILED)
     elif how == "copied":
-        rig.router.hedge(rig.router.requests[read])
+        rig.router.hedging.hedge(rig.router.requests[read])
     rig.run(0.02)
     later = sends(rig.log, read)[len(sends(actions, read)) :]
     assert not set(later) & {2, 3}, "their position is older than the write"
