--- /dev/null
+++ b/tests/support/golden_admission.py
@@ -0,0 +1,334 @@
+"""Seeded plays of the admission controller and of each limit behind it, written down in canonical text.
+
+Each play of one seed has a SHA-256 digest of all decisions. Numbers are written with `repr`, so two
+versions have the same digest only where every decision, every random draw and every float operation is the
+same. Reasons are numbered in the order in which they first appear: their wording is free. Times are virtual
+seconds.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from heapq import heappop, heappush
+from typing import Any
+
+from sedgepitch.decisions.admission.capacity_estimate import CapacityEstimate
+from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
+from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit
+from sedgepitch.decisions.admission.process_concurrency_limit import ProcessConcurrencyLimit
+from sedgepitch.decisions.admission.reservations import ReservationSchedule
+from sedgepitch.decisions.event_loop_lag import EventLoopLag
+
+LENGTH_S = 3.0
+TICK_S = 0.01
+CLASSES = (
+    ("map", 0.2, 1.0, False),
+    ("read", 0.05, 3.0, False),
+    ("upload", 0.0, 6.0, True),
+    ("note", 0.2, 1.0, True),
+)
+
+
+class Digest:
+    """Text, a line a decision, hashed as it comes."""
+
+    def __init__(self) -> None:
+        self.hash = hashlib.sha256()
+        self.reasons: dict[str, int] = {}
+        self.kinds: dict[str, int] = {}
+
+    def line(self, kind: str, *values: object) -> None:
+        """Add one line."""
+        self.kinds[kind] = self.kinds.get(kind, 0) + 1
+        self.hash.update((" ".join([kind, *map(repr, values)]) + "\n").encode())
+
+    def reason(self, text: str) -> int:
+        """Return the number of a reason."""
+        return self.reasons.setdefault(text, len(self.reasons))
+
+
+def draw_settings(rng: random.Random) -> AdmissionSettings:
+    """Draw settings, among them small bounds that are soon reached."""
+    return AdmissionSettings(
+        weights={f"tenant-{n}": rng.choice((0.5, 2.0, 4.0)) for n in range(rng.randrange(4))},
+        default_weight=rng.choice((1.0, 1.0, 2.0)),
+        most_held=rng.choice((10, 60, 2000)),
+        most_waiting_inside=rng.choice((2, 8)),
+        most_at_a_turn=rng.choice((2, 32)),
+        hold_share=rng.choice((0.2, 0.4)),
+        most_debts=rng.choice((16, 4096)),
+        most_promises=rng.choice((30, 10_000)),
+        horizon=rng.choice((1.0, 5.0)),
+        retry_share=rng.choice((0.0, 0.2)),
+    )
+
+
+class ControllerPlay:
+    """Clients, endpoints and a process of its own load around one controller."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(f"golden admission {seed}")
+        self.digest = Digest()
+        self.now = 0.0
+        self.controller = AdmissionController(draw_settings(self.rng), seed, 0.0)
+        self.process_limit = ProcessConcurrencyLimit(0.02)
+        self.agenda: list[tuple[float, int, Any]] = []
+        self.sequence = self.next_request = 0
+        self.requests: dict[int, AdmissionRequest] = {}  # that are open
+        self.admitted: list[int] = []  # in order, not yet sent
+        self.free_servers = self.rng.choice((2, 6, 20))
+        self.service_s = self.rng.choice((0.002, 0.01, 0.04))
+        capacity = self.free_servers / self.service_s
+        self.rate_per_s = min(1500.0, capacity * self.rng.choice((0.5, 1.5, 3.0)))
+        self.tenants = self.rng.choice((1, 3, 12, 60))
+        self.keyed = self.rng.random() < 0.5
+        self.refuses_inside = self.rng.choice((0.0, 0.0, 0.1))
+        self.pause_s = 0.0
+
+    def at(self, delay_s: float, action: Any) -> None:
+        """Have `action` run after that many seconds."""
+        self.sequence += 1
+        heappush(self.agenda, (self.now + delay_s, self.sequence, action))
+
+    def play(self) -> None:
+        """Play to the end."""
+        self.at(0.0, self.arrive)
+        self.at(TICK_S, self.tick)
+        self.at(self.rng.uniform(0.5, 2.0), self.disturb)
+        while self.agenda and self.agenda[0][0] <= LENGTH_S:
+            self.now, _, action = heappop(self.agenda)
+            action()
+        self.write_state()
+
+    def arrive(self) -> None:
+        """Let a new client ask, and plan the next."""
+        self.at(self.rng.expovariate(self.rate_per_s), self.arrive)
+        tenant = f"tenant-{min(self.rng.randrange(self.tenants), self.rng.randrange(self.tenants))}"
+        self.ask(tenant, self.rng.choice(CLASSES), f"mark-{self.next_request}", f"key-{self.next_request}")
+
+    def ask(self, tenant: str, cls: tuple[str, float, float, bool], mark: str, key: str) -> None:
+        """Ask once."""
+        name, objective_s, weight, primary_only = cls
+        self.next_request += 1
+        request = AdmissionRequest(
+            self.next_request,
+            tenant,
+            f"{tenant}-client-{self.rng.randrange(4)}",
+            name,
+            weight,
+            self.rng.choice((0.02, 0.3, 1.0, 2.0)),
+            self.rng.choice((0, 0, 0, 1)),
+            primary_only,
+            mark,
+            key if self.keyed else "",
+            objective_s,
+        )
+        self.requests[request.id] = request
+        self.take(self.controller.arrive(request, self.now))
+        if self.rng.random() < 0.03:
+            self.at(self.rng.uniform(0.0, 0.3), lambda: self.leave(request.id))
+
+    def take(self, decisions: list[Any]) -> None:
+        """Write decisions down and carry them out."""
+        for decision in decisions:
+            request = self.requests[decision.id]
+            if isinstance(decision, Admit):
+                self.digest.line("admit", self.now, decision.id)
+                self.admitted.append(decision.id)
+                continue
+            reason = self.digest.reason(decision.why)
+            self.digest.line("reject", self.now, decision.id, decision.retry_after, reason)
+            del self.requests[decision.id]
+            self.come_back(request, decision.retry_after)
+        self.at(0.0, self.dispatch)
+
+    def come_back(self, request: AdmissionRequest, retry_after_s: float) -> None:
+        """Some clients retry: at the time that they were told, too early, or too late."""
+        draw = self.rng.random()
+        cls = next(c for c in CLASSES if c[0] == request.class_name)
+        again = lambda: self.ask(request.tenant, cls, request.mark, request.key or f"key-{request.mark}")  # noqa: E731
+        if retry_after_s > 0 and draw < 0.6:
+            self.at(retry_after_s + self.rng.choice((0.0, 0.01, 0.2, 0.6)), again)
+        elif draw < 0.7:
+            self.at(self.rng.uniform(0.0, 0.05), again)
+
+    def dispatch(self) -> None:
+        """Give admitted requests to free servers, as the router would."""
+        while self.admitted and self.free_servers:
+            number = self.admitted.pop(0)
+            if number not in self.requests:
+                continue
+            if self.rng.random() < self.refuses_inside:
+                promise_s = self.controller.promise(number, self.now)
+                self.digest.line("promise", self.now, number, promise_s)
+                request = self.requests.pop(number)
+                self.come_back(request, promise_s)
+                self.take(self.controller.ended(number, self.now, False, 0.0))
+                continue
+            self.free_servers -= 1
+            took_s = self.service_s * self.rng.uniform(0.5, 2.0)
+            self.at(took_s, lambda number=number: self.finish(number))
+            self.take(self.controller.sent(number, self.now))
+        self.take_seen()
+
+    def take_seen(self) -> None:
+        """The router has been asked about all that was admitted."""
+        decisions = self.controller.seen(self.now)
+        if decisions:
+            self.take(decisions)
+
+    def finish(self, number: int) -> None:
+        """A server has answered; its bytes may have lain unread for a moment."""
+        self.free_servers += 1
+        if number in self.requests:
+            del self.requests[number]
+            heard = self.now - self.pause_s * self.rng.random() if self.rng.random() < 0.5 else 0.0
+            self.take(self.controller.ended(number, self.now, self.rng.random() < 0.95, heard))
+        self.at(0.0, self.dispatch)
+
+    def leave(self, number: int) -> None:
+        """A client closes its connection."""
+        if self.requests.pop(number, None) is not None:
+            self.digest.line("left", self.now, number)
+            self.take(self.controller.ended(number, self.now, True))
+
+    def tick(self) -> None:
+        """Look at what has been held, and at the process's own load."""
+        self.at(TICK_S, self.tick)
+        self.process_limit.waited(self.pause_s * self.rng.random(), self.controller.inside, self.now)
+        self.controller.own_limit = self.process_limit.limit
+        self.take(self.controller.tick(self.now))
+        self.write_state()
+
+    def write_state(self) -> None:
+        """Write down what an operator is shown."""
+        controller = self.controller
+        self.digest.line(
+            "counts", controller.held, controller.inside, controller.busiest, controller.own_limit
+        )
+        shown = controller.state(self.now)
+        held, rooms, largest = shown.values()
+        self.digest.line(
+            "state", held, [list(r.values()) for r in rooms], [list(t.values()) for t in largest]
+        )
+
+    def disturb(self) -> None:
+        """Change the endpoints, the process's own load or the settings."""
+        rng = self.rng
+        self.at(rng.uniform(0.2, 1.5), self.disturb)
+        kind = rng.randrange(5)
+        if kind == 0:
+            self.service_s *= rng.choice((0.5, 2.0, 3.0))
+        elif kind == 1:
+            self.pause_s = rng.choice((0.0, 0.001, 0.05, 0.2))
+        elif kind == 2:
+            self.refuses_inside = rng.choice((0.0, 0.3))
+        elif kind == 3:
+            self.rate_per_s = min(1500.0, max(20.0, self.rate_per_s * rng.choice((0.3, 2.0))))
+        else:
+            self.controller.reload(draw_settings(rng))
+
+
+def play_capacity_estimate(seed: int, digest: Digest) -> None:
+    """Answers of three classes whose time changes, and a number inside that follows the limit."""
+    rng = random.Random(f"golden capacity {seed}")
+    estimate, now, inside, base_s = CapacityEstimate(0.0), 0.0, 0, rng.choice((0.0005, 0.01, 0.1))
+    for _ in range(2000):
+        now += rng.choice((0.0, 0.001, 0.005, 0.02))
+        if rng.random() < 0.002:
+            base_s *= rng.choice((0.4, 2.5))
+        if inside < estimate.bound:
+            inside += 1
+            estimate.inside(inside, now)
+        elif rng.random() < 0.7:
+            inside -= 1
+            took_s = base_s * rng.uniform(0.8, 1.3) * (1.0 + inside / 10.0)
+            name = rng.choice(("read", "map", "upload"))
+            estimate.answered(name, {"read": 0.05, "map": 0.2, "upload": 0.0}[name], took_s, now - took_s)
+        estimate.measure(now)
+        digest.line("capacity", estimate.limit, estimate.bound, estimate.dipping)
+
+
+def play_process_limits(seed: int, digest: Digest) -> None:
+    """Waits of the event loop, in calm and in bursts."""
+    rng = random.Random(f"golden process {seed}")
+    lag, limit, now, scale_s = EventLoopLag(), ProcessConcurrencyLimit(rng.choice((0.005, 0.02))), 50.0, 0.001
+    for _ in range(800):
+        now += rng.choice((0.0, 0.002, 0.02, 0.02, 0.3))
+        if rng.random() < 0.02:
+            scale_s = rng.choice((0.0005, 0.005, 0.05, 0.5))
+        wait_s = scale_s * rng.random()
+        lag.waited(wait_s, now)
+        limit.waited(wait_s, rng.choice((2, 20, int(limit.limit))), now)
+        digest.line("lag", lag.reserve(now), lag.clears_in(rng.choice((0.01, 0.1, 0.4)), now), lag.peak)
+        waited_s = rng.uniform(0.0, 0.1)
+        digest.line(
+            "process", limit.limit, limit.late, limit.swamped(waited_s, rng.random() < 0.5), limit.cuts
+        )
+
+
+def play_reservations(seed: int, digest: Digest) -> None:
+    """Times are told, kept, missed, and ended when the rate falls."""
+    rng = random.Random(f"golden reservations {seed}")
+    schedule, now = ReservationSchedule(rng.choice((30, 1000)), rng.choice((1.0, 4.0)), seed), 20.0
+    for _ in range(800):
+        now += rng.choice((0.0, 0.001, 0.01, 0.1))
+        kind, tenant = rng.randrange(10), f"tenant-{rng.randrange(4)}"
+        mark = f"{tenant} mark {rng.randrange(12)}"
+        if kind == 0:
+            schedule.measured(rng.uniform(0.2, 5.0), now)
+        elif kind < 6:
+            args = (rng.uniform(0.001, 0.05), rng.choice((0.2, 0.5, 1.0)), rng.uniform(0.0, 0.5), now)
+            digest.line("told", schedule.promise(mark, tenant, *args))
+        else:
+            digest.line("kept", schedule.comes(mark, now))
+        digest.line("reservations", len(schedule.all), schedule.ended)
+
+
+def play_fair_queue(seed: int, digest: Digest) -> None:
+    """Requests are pushed, taken, dropped, shed and corrected in any order."""
+    rng = random.Random(f"golden queue {seed}")
+    queue, waiting = FairQueue(rng.choice((4, 1000))), {}
+    for number in range(800):
+        tenant = f"tenant-{rng.randrange(12)}"
+        weight, cost_s = rng.choice((0.5, 1.0, 3.0)), rng.uniform(0.001, 0.05)
+        kind = rng.randrange(12)
+        if kind < 6:
+            waiting[number] = Held(
+                number, tenant, f"client-{rng.randrange(4)}", rng.choice((1.0, 3.0)), cost_s, weight
+            )
+            queue.push(waiting[number])
+        elif kind < 9:
+            taken = queue.pop()
+            digest.line("pop", taken and (taken.id, taken.start))
+            if taken is not None:
+                del waiting[taken.id]
+        elif kind == 9 and waiting:
+            queue.drop(waiting.pop(rng.choice(list(waiting))))
+        elif kind == 10:
+            queue.served_at_once(tenant, cost_s, weight)
+            queue.correct(f"tenant-{rng.randrange(12)}", rng.uniform(-0.02, 0.05), weight)
+        elif (fullest := queue.largest()) is not None and rng.random() < 0.3:
+            shed = queue.shed_from(fullest)
+            digest.line("shed", shed and shed.id)
+            if shed is not None:
+                del waiting[shed.id]
+        digest.line("queue", queue.waiting, queue.cost, queue.time, queue.debt(tenant))
+
+
+def play_limits(seed: int) -> dict[str, str]:
+    """Play one seed against each limit by itself; returns a digest of each."""
+    digests = {}
+    parts = {
+        "capacity": play_capacity_estimate,
+        "process": play_process_limits,
+        "reservations": play_reservations,
+        "queue": play_fair_queue,
+    }
+    for name, part in parts.items():
+        digest = Digest()
+        part(seed, digest)
+        digests[name] = digest.hash.hexdigest()
+    return digests
