--- /dev/null
+++ b/tests/support/golden_engine.py
@@ -0,0 +1,288 @@
+"""A seeded play of the engine: clients, endpoints and an event loop that stands still, on a fake clock.
+
+All that the engine does is written down in canonical text: what it sends and takes back, each final answer,
+what it tells observers, its counters. Numbers are written with `repr`; the wording of reasons is free.
+Times are virtual seconds.
+"""
+
+from __future__ import annotations
+
+import random
+from importlib.resources import files
+from typing import Any
+
+from twisted.internet.task import Clock
+
+from sedgepitch.config.load import parse
+from sedgepitch.core.clock import FakeClock
+from sedgepitch.core.engine import Engine
+from sedgepitch.core.types import AttemptOutcome, ClientRequest
+from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.routing import messages
+from sedgepitch.routing.messages import AttemptResult
+from sedgepitch.routing.router import Router
+from tests.support.golden_admission import Digest
+
+START_S = 1000.0
+LENGTH_S = 2.5
+STEP_S = 0.002
+ENDPOINTS = (1, 2, 3, 4)
+OUTCOMES = (AttemptResult.RESET, AttemptResult.ERROR, AttemptResult.OVERLOADED, AttemptResult.NOT_ELIGIBLE)
+EXAMPLE = files("sedgepitch.config").joinpath("example.yaml").read_text()
+
+
+class CallbackFailed(Exception):
+    """What a callback of the play raises now and then."""
+
+
+class PlayedAttempt:
+    """One attempt at an endpoint; it may wait for its connection before it leaves."""
+
+    def __init__(self, play: EnginePlay, number: int, on_end: Any, begun: bool) -> None:
+        self.play, self.number, self.on_end, self.has_begun = play, number, on_end, begun
+        self.over = False
+
+    def abandon(self) -> None:
+        """Nobody waits any more."""
+        self.over = True
+        self.play.write("abandon", self.number)
+
+    def begun(self) -> bool:
+        """Whether it left."""
+        return self.has_begun
+
+    def withdraw(self) -> bool:
+        """Take it back where it has not left."""
+        self.play.write("withdraw", self.number, self.has_begun)
+        if not self.has_begun:
+            self.over = True
+        return not self.has_begun
+
+    def begin(self) -> None:
+        """It leaves."""
+        self.has_begun = True
+
+    def end(self, outcome: AttemptOutcome) -> None:
+        """Tell its outcome once."""
+        if not self.over:
+            self.over = True
+            self.on_end(outcome)
+
+
+class EnginePlay:
+    """Plays one seed; stands for the upstream side, the observers and the clients of one engine."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(f"golden engine {seed}")
+        self.digest = Digest()
+        self.task = Clock()
+        self.task.advance(START_S)
+        self.clock = FakeClock(self.task)
+        settings = parse(EXAMPLE, "example").module_settings()
+        self.classes = [c.name for c in settings.classes]
+        admission = None
+        if seed % 2:
+            limits = AdmissionSettings(most_held=self.rng.choice((5, 100)), most_waiting_inside=4)
+            admission = AdmissionController(limits, seed, self.clock.now())
+        self.engine = Engine(
+            Router(settings, seed),
+            self,
+            self.clock,
+            max_in_flight=self.rng.choice((40, 1000)),
+            admission=admission,
+            watch=lambda: self.write("watch"),
+            log=lambda text: self.write("log"),
+            observe=self.observe,
+            on_fault=lambda where, error: self.write("fault", where, type(error).__name__),
+        )
+        if seed % 3 == 0:
+            self.engine.looks_on = self
+        self.pending: dict[int, Any] = {}
+        self.attempts = self.number = 0
+        self.fault: dict[int, AttemptResult | None] = dict.fromkeys(ENDPOINTS, AttemptResult.OK)
+        self.rate_per_s = self.rng.choice((20.0, 100.0, 300.0))
+        self.pauses = self.rng.random() < 0.5
+        self.raises = 0.01 if self.rng.random() < 0.5 else 0.0
+
+    def write(self, kind: str, *values: object) -> None:
+        """Write one line with the present time."""
+        self.digest.line(kind, self.clock.now(), *values)
+
+    def play(self) -> None:
+        """Play to the end."""
+        self.change_list(complete=True)
+        self.clock.call_later(0.01, self.arrive)
+        self.clock.call_later(0.2, self.disturb)
+        while self.clock.now() < START_S + LENGTH_S:
+            if self.pauses and self.rng.random() < 0.01:
+                self.task.rightNow += self.rng.choice((0.02, 0.2, 0.5))
+                self.engine.waited(self.rng.choice((0.01, 0.2)), self.clock.now())
+                self.engine.before_reading()
+            self.task.advance(STEP_S)
+            self.task.advance(0.0)
+        self.engine.hurry(self.clock.now() + 0.1)
+        for _ in range(100):
+            self.task.advance(0.01)
+        self.write_counters()
+
+    # Clients
+
+    def arrive(self) -> None:
+        """Let one request arrive, and plan the next."""
+        rng = self.rng
+        self.clock.call_later(rng.expovariate(self.rate_per_s), self.arrive)
+        self.number += 1
+        number, now = self.number, self.clock.now()
+        age_s = rng.choice((0.0, 0.05, 1.0))
+        request = ClientRequest(
+            rng.choice(self.classes),
+            0,
+            rng.choice((0.01, 0.1, 0.5, 1.0)),
+            number,
+            f"session-{rng.randrange(5)}",
+            age_s,
+            0,
+            f"tenant-{rng.randrange(3)}",
+            f"client-{rng.randrange(6)}",
+            f"mark-{rng.randrange(50)}",
+            f"key-{number}",
+        )
+        answered = lambda response: self.answered(number, response)  # noqa: E731
+        arrived = rng.choice((None, now, now - 0.02, now - 0.3))
+        if rng.random() < 0.1:
+            self.write("sticky", number)
+            pending = self.engine.submit_sticky(rng.choice(ENDPOINTS), request, answered, arrived)
+        else:
+            self.write("submit", number, request.class_name)
+            pending = self.engine.submit(request, answered, arrived)
+        self.pending[number] = pending
+        if rng.random() < 0.1:
+            self.clock.call_later(rng.uniform(0.0, 0.2), self.disconnect, number)
+        if rng.random() < 0.05:
+            self.write("unread", self.engine.unread(rng.uniform(0.0, 0.2), "tenant-1"))
+
+    def disconnect(self, number: int) -> None:
+        """A client closes its connection, answered or not."""
+        self.write("disconnect", number, self.pending[number].open)
+        self.engine.gone(self.pending[number])
+
+    def answered(self, number: int, response: Any) -> None:
+        """Write down a final answer."""
+        self.write("answer", number, *self.shown(response))
+        if self.rng.random() < self.raises:
+            raise CallbackFailed
+
+    def shown(self, response: Any) -> tuple[object, ...]:
+        """Return what an answer says, its reason left out."""
+        return (
+            response.verdict.value,
+            response.reply,
+            response.endpoint,
+            response.retry_after,
+            response.promised,
+        )
+
+    def observe(self, pending: Any, response: Any, elapsed_s: float) -> None:
+        """Write down what the log and the metrics are told."""
+        self.write("observe", pending.id, pending.endpoints, self.shown(response), elapsed_s)
+        if self.rng.random() < self.raises:
+            raise CallbackFailed
+
+    # The endpoints
+
+    def send(self, endpoint: int, payload: Any, on_end: Any, by: float) -> PlayedAttempt:
+        """Take an attempt, and plan how it ends."""
+        rng = self.rng
+        if rng.random() < self.raises:
+            raise CallbackFailed
+        self.attempts += 1
+        self.write("send", self.attempts, endpoint, payload, by)
+        connected = rng.random() < 0.8
+        attempt = PlayedAttempt(self, self.attempts, on_end, connected)
+        if not connected:
+            self.clock.call_later(0.03, attempt.begin)
+        result = self.fault[endpoint]
+        if result is not None:
+            if result is not AttemptResult.OK and rng.random() < 0.5:
+                result = AttemptResult.OK
+            delay_s = rng.choice((0.001, 0.005, 0.02, 0.2))
+            self.clock.call_later(delay_s, self.finish, attempt, endpoint, result)
+        return attempt
+
+    def finish(self, attempt: PlayedAttempt, endpoint: int, result: AttemptResult) -> None:
+        """An attempt ends."""
+        now = self.clock.now()
+        arrived = self.rng.choice((0.0, now, now - 0.005))
+        primary, position = endpoint == 1, now - (0.0 if endpoint == 1 else 0.05)
+        report = messages.LoadReport(position, primary, float(self.rng.randrange(5)))
+        attempt.end(AttemptOutcome(result, attempt.number, primary, position, report, "text", arrived))
+
+    def probe(self, endpoint: int, on_end: Any) -> None:
+        """Answer a health check."""
+        self.write("probe", endpoint)
+        if self.rng.random() < self.raises:
+            raise CallbackFailed
+        result = AttemptResult.TIMEOUT if self.fault[endpoint] is None else AttemptResult.OK
+        report = messages.LoadReport(self.clock.now() - 0.01, endpoint == 1)
+        self.clock.call_later(0.01, on_end, AttemptOutcome(result, report=report))
+
+    def close_idle(self, endpoint: int) -> None:
+        """Connections that are not in use are closed."""
+        self.write("close idle", endpoint)
+
+    def listed(self, entries: Any, complete: bool) -> None:
+        """Take the endpoint list."""
+        self.write("listed", len(entries), complete)
+
+    # An observer of attempts
+
+    def arrived(self) -> None:
+        """One request came in."""
+        self.write("observer arrived")
+
+    def sent(self, endpoint: int) -> None:
+        """One attempt was sent."""
+        self.write("observer sent", endpoint)
+
+    def ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
+        """One attempt ended."""
+        self.write("observer ended", endpoint, result.value, latency_ratio)
+
+    # Faults
+
+    def disturb(self) -> None:
+        """Change an endpoint or the list, and plan the next change."""
+        rng = self.rng
+        self.clock.call_later(rng.uniform(0.05, 0.4), self.disturb)
+        kind = rng.randrange(4)
+        if kind == 0:
+            self.fault[rng.choice(ENDPOINTS)] = rng.choice((None, *OUTCOMES))
+        elif kind == 1:
+            self.fault[rng.choice(ENDPOINTS)] = AttemptResult.OK
+        else:
+            self.change_list(complete=kind == 2)
+        self.write_counters()
+
+    def change_list(self, complete: bool) -> None:
+        """Tell a list in which an endpoint may drain, start anew or be missing."""
+        rng = self.rng
+        listed = []
+        for endpoint in ENDPOINTS:
+            draw = rng.random()
+            if draw < 0.1 and self.number:
+                continue
+            up = draw < 0.85 or endpoint == 1 or not self.number
+            state = messages.EndpointState.UP if up else messages.EndpointState.DRAINING
+            started = START_S if self.number and draw > 0.75 else 0.0
+            listed.append(messages.EndpointEntry(endpoint, 0, state, "north", endpoint == 1, 1.0, started))
+        self.engine.list_changed(messages.EndpointListUpdate(tuple(listed), complete=complete))
+
+    def write_counters(self) -> None:
+        """Write down the engine's counters and what it holds."""
+        engine = self.engine
+        table = engine.request_table
+        self.write(
+            "table", len(table.accounts), table.pending, table.opened, table.settled, table.left, table.twice
+        )
+        counters = (engine.overdue, engine.hurried, engine.too_slow, engine.too_many, engine.faults)
+        self.write("counters", *counters, sorted(engine.drained.items()), engine.own.limit)
