--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -129,9 +129,9 @@
             else None,
             watch=self.list.watch if self.list else None,
             log=lambda text: self.log.info("module", text=text),
-            observe=self._answered,
-            handover=limits.handover_within,
-            on_fault=self._fault,
+            on_response=self._answered,
+            handover_limit=limits.handover_within,
+            on_callback_error=self._fault,
         )
         self.metrics.watch(self.engine)
         self.context = Context(
@@ -213,7 +213,7 @@
             shared.close()
         else:
             opened = listener.listen(self.reactor, port, factory, host, 1024)
-        opened.may_accept = lambda: not self.engine.own.late
+        opened.may_accept = lambda: not self.engine.process_limit.overloaded
         opened.on_problem = self._accept_failed
         self.ports.append(opened)
         address = opened.getHost()
@@ -299,7 +299,7 @@
         self.engine.list_changed(api.EndpointListUpdate(known, complete=complete))
         if self.endpoints.links:
             self._say_ready()
-        gone = {m for m, link in self.endpoints.links.items() if m in self.engine.drained}
+        gone = {m for m, link in self.endpoints.links.items() if m in self.engine.draining_since}
         if gone:
             self.log.info("list.drained", endpoints=sorted(gone))
 
@@ -311,14 +311,14 @@
         """How late this driver has been, for the log."""
         engine, event_loop_lag = self.engine, self.engine.event_loop_lag
         return {
-            "latest_ms": round(event_loop_lag.peak * 1000.0, 1),
-            "mean_wait_ms": round(event_loop_lag.sum / max(1, event_loop_lag.waits) * 1000.0, 3),
-            "reserve_ms": round(event_loop_lag.reserve(self.clock.now()) * 1000.0, 1),
-            "too_slow": engine.too_slow,
-            "too_many": engine.too_many,
-            "hurried": engine.hurried,
-            "overdue": engine.overdue,
-            "faults": engine.faults,
+            "latest_ms": round(event_loop_lag.longest * 1000.0, 1),
+            "mean_wait_ms": round(event_loop_lag.total / max(1, event_loop_lag.samples) * 1000.0, 3),
+            "reserve_ms": round(event_loop_lag.deadline_margin(self.clock.now()) * 1000.0, 1),
+            "too_slow": engine.rejected_for_lag,
+            "too_many": engine.rejected_for_load,
+            "hurried": engine.answered_early,
+            "overdue": engine.answered_by_last_guard,
+            "faults": engine.callbacks.errors,
         }
 
     def _fault(self, where: str, error: BaseException) -> None:
@@ -336,15 +336,15 @@
     def _answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
         self.metrics.answered(account, answer, elapsed)
         if (
-            answer.verdict is not ResponseStatus.SERVED and not log.full()
+            answer.status is not ResponseStatus.SERVED and not log.full()
         ):  # under a flood, lines cost more than answers
             self.log.info(
-                answer.verdict.value,
+                answer.status.value,
                 request=account.id,
-                connection=account.command.connection,
-                class_name=account.command.class_name,
-                group=account.command.group,
-                attempts=account.endpoints,
+                connection=account.request.connection,
+                class_name=account.request.class_name,
+                group=account.request.group,
+                attempts=account.attempted_endpoints,
                 after_ms=round(elapsed * 1000.0, 1),
                 come_back_ms=round(answer.retry_after * 1000.0),
                 why=answer.why,
--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
 from sedgepitch.config.units import Address, Bytes, Seconds
-from sedgepitch.decisions.admission.controller import AdmissionSettings
+from sedgepitch.decisions.admission.settings import AdmissionSettings
 from sedgepitch.decisions.request_classes import Classifier, Match, Rule, variants
 from sedgepitch.routing import messages as api
 
@@ -172,9 +172,18 @@
         return self
 
     def build(self) -> AdmissionSettings:
-        """Return what the door is told."""
+        """Return the settings of admission control."""
         return AdmissionSettings(
-            **{name: getattr(self, name) for name in AdmissionSettings.__dataclass_fields__}
+            tenant_weights=self.weights,
+            default_weight=self.default_weight,
+            max_queued=self.most_held,
+            max_waiting_in_router=self.most_waiting_inside,
+            max_admitted_per_turn=self.most_at_a_turn,
+            max_queueing_share=self.hold_share,
+            max_tracked_tenants=self.most_debts,
+            max_reservations=self.most_promises,
+            reservation_horizon=self.horizon,
+            retry_budget_share=self.retry_share,
         )
 
 
--- a/sedgepitch/core/__init__.py
+++ b/sedgepitch/core/__init__.py
@@ -1,1 +1,4 @@
-"""What owes each request its one answer: engine, ledger and pools. Knows no protocol and decides no route."""
+"""The way of a request through the proxy: engine, request table and connection pools.
+
+The core knows no protocol and decides no route.
+"""
--- /dev/null
+++ b/sedgepitch/core/deadlines.py
@@ -0,0 +1,164 @@
+"""Deadlines of all pending requests, looked at together in periodic ticks.
+
+The process's own delay counts against each deadline. Time runs from the arrival of a request's bytes, and a
+deadline is judged earlier by the deadline margin that `decisions/event_loop_lag.py` expects.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from heapq import heapify, heappop, heappush
+from typing import TYPE_CHECKING
+
+from sedgepitch.core import reasons
+from sedgepitch.core.request_table import PendingRequest
+from sedgepitch.core.types import Response, ResponseStatus
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.messages import Idempotency
+
+if TYPE_CHECKING:
+    from sedgepitch.core.engine import Engine
+
+TICK = 0.01  # s between looks at deadlines and at queued admissions, while a request is pending
+LAST_GUARD_AFTER = 0.02  # s from telling the router that a deadline has passed until the engine answers
+CLOCK_TOLERANCE = 1e-6  # s
+SPARE_HEAP_ENTRIES = 64  # entries of ended requests that may stay in the heap, beside as many as are live
+NEVER = float("inf")
+
+
+class Deadlines:
+    """Ends requests whose time is up: by the router's answer, or without it by the last guard."""
+
+    __slots__ = ("_guards", "_heap", "_tick_due", "engine")
+
+    def __init__(self, engine: Engine) -> None:
+        self.engine = engine
+        self._heap: list[tuple[float, int]] = []  # (deadline, request id); ended requests stay a while
+        self._guards: deque[tuple[float, PendingRequest]] = deque()  # when the last guard answers each
+        self._tick_due = NEVER
+
+    def add(self, pending: PendingRequest, now: float) -> None:
+        """Watch the deadline of a request."""
+        heappush(self._heap, (pending.deadline, pending.id))
+        requests = self.engine.request_table.requests
+        if len(self._heap) > 2 * len(requests) + SPARE_HEAP_ENTRIES:
+            self._heap = [entry for entry in self._heap if entry[1] in requests]
+            heapify(self._heap)
+        self._schedule_tick(now)
+
+    def answer_all_by(self, moment: float) -> None:
+        """Bring the deadlines of all pending requests forward to `moment`: the process shuts down then."""
+        for pending in self.engine.request_table.requests.values():
+            if pending.deadline > moment:
+                pending.deadline = moment  # the router was told a later one: it is not asked again then
+                heappush(self._heap, (moment, pending.id))
+        if self._heap:
+            self._schedule_tick(self.engine.clock.now())
+
+    def before_reading(self) -> None:
+        """End what is due, or will be within half of the deadline margin, before a new request is read.
+
+        In a long turn timers wait behind all that it reads. The price: an answer that lies unread in another
+        socket of the same turn comes too late to be forwarded.
+        """
+        if self._heap:
+            now = self.engine.clock.now()
+            until = now + self.engine.event_loop_lag.deadline_margin(now) / 2.0
+            if self._heap[0][0] <= until:
+                self._end_due(until)
+
+    # Ticks
+
+    def _schedule_tick(self, now: float) -> None:
+        if self._tick_due == NEVER:
+            self._tick_due = now + TICK
+            self.engine.clock.call_later(TICK, self._tick)
+
+    def _tick(self) -> None:
+        """Look at the deadlines once all that is readable has been read."""
+        due, self._tick_due = self._tick_due, NEVER
+        clock = self.engine.clock
+        clock.after_reading(self._look, clock.now(), due)
+
+    def _look(self, tick_at: float, due: float) -> None:
+        """End what was due at `tick_at`, by which all bytes have been read; newer ones may lie unread.
+
+        How long after `due` this comes is a sample of the event loop's lag.
+        """
+        engine = self.engine
+        now = engine.clock.now()
+        engine.record_wait(now - due, now)
+        if engine.admission is not None:
+            engine.intake.carry_out(engine.admission.tick(now))
+        self._end_due(tick_at + engine.event_loop_lag.deadline_margin(now))
+        while self._guards and self._guards[0][0] <= now:
+            pending = self._guards.popleft()[1]
+            if pending.open:
+                self._answer_last(pending)
+        if engine.request_table.pending or self._heap:
+            self._schedule_tick(engine.clock.now())
+
+    def _end_due(self, until: float) -> None:
+        while self._heap and self._heap[0][0] <= until:
+            _, number = heappop(self._heap)
+            pending = self.engine.request_table.requests.get(number)
+            if pending is None:
+                continue
+            if pending.open:
+                self._time_out(pending)
+                continue
+            # Answered before, but an attempt hangs: it ends with the client's deadline like any other, else
+            # an endpoint that went silent would hold it for ever and the router count it as in flight.
+            for attempt in list(pending.attempts):
+                self.engine.completion.expire_attempt(pending, attempt, reasons.NO_ANSWER_BY_DEADLINE)
+
+    # A deadline that has passed
+
+    def _time_out(self, pending: PendingRequest) -> None:
+        """Time out every attempt of a request, so that the router gives its final answer.
+
+        The last guard comes LAST_GUARD_AFTER from now, whatever the lag: earlier, the router would not have
+        been asked; later, a delay that is over would hold the answer back.
+        """
+        if pending.timed_out or pending.sticky or self._router_has_time(pending):
+            self._answer_last(pending)
+            return
+        pending.timed_out = True
+        self._guards.append((self.engine.clock.now() + LAST_GUARD_AFTER, pending))
+        for attempt in list(pending.attempts):
+            self.engine.completion.expire_attempt(pending, attempt, reasons.NO_ANSWER_BY_DEADLINE)
+
+    def _router_has_time(self, pending: PendingRequest) -> bool:
+        """Whether the router was told of a later deadline than now: the lag has grown since."""
+        return pending.router_deadline > self.engine.clock.now() + CLOCK_TOLERANCE
+
+    def _answer_last(self, pending: PendingRequest) -> None:
+        """Answer a request that no decision has answered.
+
+        Needed where the event loop's lag has grown since the router was told the deadline, and as a guard
+        against a request that is lost in any layer; the counters show such a defect, which this would hide.
+        """
+        engine = self.engine
+        early = not pending.timed_out and self._router_has_time(pending)
+        if pending.sticky or early:
+            engine.answered_early += early
+            why = reasons.NO_ANSWER_BY_DEADLINE
+        else:
+            engine.answered_by_last_guard += 1
+            why = reasons.NO_DECISION
+        engine.completion.respond(pending, self._last_answer(pending, why))
+        for attempt in list(pending.attempts):
+            engine.completion.expire_attempt(pending, attempt, why)
+        if not pending.sticky:
+            engine.dispatcher.feed(api.ClientDisconnected(pending.id))
+
+    def _last_answer(self, pending: PendingRequest, why: str) -> Response:
+        """Reject where a retry is harmless: nothing was attempted, or the request is idempotent."""
+        engine = self.engine
+        request_class = engine.classes.get(pending.request.class_name)
+        idempotent = request_class is not None and request_class.idempotency is Idempotency.IDEMPOTENT
+        if pending.attempt_count and not idempotent:
+            return Response(ResponseStatus.FAILED, why=why)
+        now = engine.clock.now()
+        retry_after = engine.event_loop_lag.margin_below_in(pending.request.time_left, now)
+        return Response(ResponseStatus.REJECTED, retry_after=retry_after, why=why)
--- a/sedgepitch/core/request_table.py
+++ b/sedgepitch/core/request_table.py
@@ -1,122 +1,137 @@
-"""Who is owed an answer. Each account is opened once and closed once; that is the whole of rule 1.
+"""The table of pending requests: each gets one final answer.
 
-Rule of this file: an account is closed by `settle` or by `leave`, whichever is first, and the second call is
-an error that is counted and never reaches the client. Bytes of attempts that lost go nowhere, since only the
-account knows the client's callback, and gives it up when it closes.
+A request leaves the pending state by `complete` or by `cancel`, whichever is first. A second `complete` is a
+defect: it is counted and never reaches the client. Only the table holds the client's callback and drops it
+with the first of the two, so bytes from an attempt that lost go nowhere.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from sedgepitch.core.types import ClientRequest, InFlightAttempt, ResponseCallback
 
 
+@dataclass(slots=True, eq=False)
+class SentAttempt:
+    """One attempt of a request that has not ended."""
+
+    endpoint: int
+    sent_at: float
+    in_flight: InFlightAttempt
+
+
 class PendingRequest:
-    """One request that is owed an answer, and its attempts under way."""
+    """One request and its attempts in flight. All moments are seconds on the engine's clock."""
 
     __slots__ = (
         "admitted",
-        "answered",
+        "arrived_at",
+        "attempt_count",
+        "attempted_endpoints",
         "attempts",
-        "command",
         "deadline",
-        "ending",
-        "endpoints",
-        "heard",
         "id",
-        "last",
-        "opened",
-        "out",
+        "last_error",
+        "on_response",
+        "read_at",
+        "request",
+        "response_received_at",
+        "router_deadline",
         "sticky",
-        "submitted",
-        "until",
+        "timed_out",
     )
 
     def __init__(
         self,
         number: int,
-        command: ClientRequest,
-        answered: ResponseCallback,
-        submitted: float,
-        arrived: float,
+        request: ClientRequest,
+        on_response: ResponseCallback,
+        read_at: float,
+        arrived_at: float,
     ) -> None:
-        self.id, self.command = number, command
-        self.submitted, self.opened = submitted, arrived  # when it was read, and when its bytes came
-        self.answered: ResponseCallback | None = answered
-        self.deadline = arrived + command.time_left
-        self.until = self.deadline  # what the module is told, earlier by the driver's own delay
-        self.ending = False  # its time was up, and the module has been told
-        self.heard = 0.0  # when its answer's bytes came, where that is known
-        self.sticky = False  # the module knows nothing of it
-        self.attempts = 0
-        self.admitted = True  # the door has let it in
-        self.out: dict[int, tuple[int, float, InFlightAttempt]] = {}  # attempt -> member, sent, exchange
-        self.endpoints: list[int] = []
-        self.last = ""  # how the last attempt ended, for the log
+        self.id = number
+        self.request = request
+        self.on_response: ResponseCallback | None = on_response
+        self.read_at = read_at  # when its bytes were read
+        self.arrived_at = arrived_at  # when its bytes arrived
+        self.deadline = arrived_at + request.time_left
+        self.router_deadline = self.deadline  # as the router is told: earlier by the deadline margin
+        self.timed_out = False  # its deadline has passed, and the router has been told
+        self.response_received_at = 0.0  # when the bytes of its answer arrived, 0 where that is not known
+        self.sticky = False  # bound to one endpoint: the router knows nothing of it
+        self.admitted = True
+        self.attempt_count = 0
+        self.attempts: dict[int, SentAttempt] = {}  # in flight, by attempt number
+        self.attempted_endpoints: list[int] = []
+        self.last_error = ""  # how the last unsuccessful attempt ended
 
     @property
     def open(self) -> bool:
-        """Whether an answer is owed."""
-        return self.answered is not None
+        """Whether it still awaits its final answer."""
+        return self.on_response is not None
 
 
 class RequestTable:
-    """All accounts. Those closed stay while attempts are under way, so that their ends are still heard.
+    """All pending requests, and completed ones whose attempts have not ended.
 
-    They also stay until the module has seen what closed them, so that a send decided on before is told as
-    not made.
+    Completed and cancelled requests stay until the router has seen what ended them: an attempt that it
+    decided on before can then be reported as not sent.
     """
 
     def __init__(self) -> None:
-        self.accounts: dict[int, PendingRequest] = {}
+        self.requests: dict[int, PendingRequest] = {}
         self.pending = 0
-        self.opened = self.settled = self.left = 0
-        self.closed: list[PendingRequest] = []  # since the last sweep
-        self.twice = 0  # answers to what was closed already; above 0 is a defect
-        self._next = 0
+        self.opened = 0
+        self.completed = 0
+        self.cancelled = 0
+        self.duplicate_responses = 0  # held back; above 0 is a defect
+        self._closed: list[PendingRequest] = []  # since the last sweep
+        self._last_id = 0
 
     def open(
-        self, command: ClientRequest, answered: ResponseCallback, now: float, arrived: float
+        self, request: ClientRequest, on_response: ResponseCallback, now: float, arrived_at: float
     ) -> PendingRequest:
-        """Owe an answer from here on."""
-        self._next += 1
-        account = PendingRequest(self._next, command, answered, now, arrived)
-        self.accounts[account.id] = account
+        """Add a request that was read now and arrived at `arrived_at`."""
+        self._last_id += 1
+        pending = PendingRequest(self._last_id, request, on_response, now, arrived_at)
+        self.requests[pending.id] = pending
         self.pending += 1
         self.opened += 1
-        return account
+        return pending
 
-    def settle(self, account: PendingRequest) -> ResponseCallback | None:
-        """Close an account; returns whom to give the final answer to, None where it was closed already."""
-        answered = account.answered
-        if answered is None:
-            self.twice += 1
+    def complete(self, pending: PendingRequest) -> ResponseCallback | None:
+        """End a request with an answer; returns the callback to give it to, None where it had ended."""
+        on_response = pending.on_response
+        if on_response is None:
+            self.duplicate_responses += 1
             return None
-        self._close(account)
-        self.settled += 1
-        return answered
+        self._close(pending)
+        self.completed += 1
+        return on_response
 
-    def leave(self, account: PendingRequest) -> bool:
-        """Close the account of a client that has left; returns whether it was open."""
-        if account.answered is None:
+    def cancel(self, pending: PendingRequest) -> bool:
+        """End a request whose client has disconnected; returns whether it was pending."""
+        if pending.on_response is None:
             return False
-        self._close(account)
-        self.left += 1
+        self._close(pending)
+        self.cancelled += 1
         return True
 
+    def remove_attempt(self, pending: PendingRequest, attempt: int) -> None:
+        """Forget an attempt that has ended; an ended request goes with its last one."""
+        pending.attempts.pop(attempt, None)
+        if not pending.open and not pending.attempts:
+            self._closed.append(pending)
+
     def sweep(self) -> None:
-        """Drop the closed accounts that have no attempt under way, once the module has been told."""
-        closed, self.closed = self.closed, []
-        for account in closed:
-            if not account.out:
-                self.accounts.pop(account.id, None)
-
-    def ended(self, account: PendingRequest, attempt: int) -> None:
-        """Note the end of an attempt; a closed account goes with its last one."""
-        account.out.pop(attempt, None)
-        if not account.open and not account.out:
-            self.closed.append(account)
-
-    def _close(self, account: PendingRequest) -> None:
-        account.answered = None
+        """Drop ended requests that have no attempt in flight, once the router has seen their end."""
+        closed, self._closed = self._closed, []
+        for pending in closed:
+            if not pending.attempts:
+                self.requests.pop(pending.id, None)
+
+    def _close(self, pending: PendingRequest) -> None:
+        pending.on_response = None
         self.pending -= 1
-        self.closed.append(account)
+        self._closed.append(pending)
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -1,4 +1,7 @@
-"""What passes between a front, the engine and the members' side; none of it knows a protocol."""
+"""The types that pass between a protocol, the engine and the upstream side; none of them knows a protocol.
+
+All times are seconds, and all moments are seconds on the engine's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -11,53 +14,53 @@
 
 
 class ResponseStatus(Enum):
-    """The final answers."""
+    """How a request was answered."""
 
     SERVED = "served"
-    REJECTED = "refused"
-    FAILED = "failed"
+    REJECTED = "refused"  # nothing ran: retrying is harmless
+    FAILED = "failed"  # it may have run
 
 
 @dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
 class ClientRequest:
-    """A client's request as the engine sees it; `payload` is the front's own, for members."""
+    """A client's request as the engine sees it; only the protocol that made it reads `payload`."""
 
     class_name: str
     group: int
-    time_left: float
+    time_left: float  # until its deadline, counted from the arrival of its bytes
     payload: Any
     session: str = ""
-    session_age: float = 0.0
-    connection: int = 0  # the client connection it came on, for the log
-    tenant: str = ""  # for the door, as are the next two
+    session_age: float = 0.0  # since the session's last write, 0 where it has none
+    connection: int = 0  # number of the client connection, for the log
+    tenant: str = ""  # this and the rest are for admission
     client: str = ""
-    mark: str = ""
-    key: str = ""  # the same for each try of one request and no other, where the protocol shows it
+    reservation_token: str = ""  # stays the same when the client retries: who may use a reservation
+    idempotency_key: str = ""  # shared by the retries of one request alone; empty where the protocol has none
 
 
 @dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
 class AttemptOutcome:
-    """How one attempt at a member ended; `reply` is the front's own, `why` a few words for the operator."""
+    """How one attempt at an endpoint ended; `why` is a few words for the operator."""
 
     result: AttemptResult
-    reply: Any = None
+    reply: Any = None  # of the protocol's own type
     primary: bool | None = None
     position: float | None = None
     report: LoadReport | None = None
     why: str = ""
-    arrived: float = 0.0  # when the answer's bytes came, 0 where that is not known
+    received_at: float = 0.0  # when the reply's bytes arrived, 0 where that is not known
 
 
 @dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
 class Response:
     """The one final answer of a request."""
 
-    verdict: ResponseStatus
+    status: ResponseStatus
     reply: Any = None
     endpoint: int | None = None
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # 0 where nothing is known
     why: str = ""
-    promised: bool = False  # come_back is a reservation, not a hint
+    reserved: bool = False  # capacity is reserved at `retry_after`; else that is a hint
 
 
 ResponseCallback = Callable[[Response], None]
@@ -65,64 +68,64 @@
 
 
 class InFlightAttempt(Protocol):
-    """One attempt under way."""
+    """One attempt that has been handed to the upstream side and has not ended."""
 
     def abandon(self) -> None:
-        """Stop waiting; `on_end` is not called any more."""
+        """Stop waiting for its end: its callback is not called any more."""
 
-    def begun(self) -> bool:
-        """Whether any of it may have left."""
+    def started(self) -> bool:
+        """Whether any of its bytes may have left."""
 
     def withdraw(self) -> bool:
-        """Take it back; returns whether nothing had left, and then `on_end` is not called any more."""
+        """Take it back; returns whether nothing had left, and then its callback is not called any more."""
 
 
 class Upstream(Protocol):
-    """The members' side of a front: what the engine needs of it."""
+    """The side of a protocol that speaks with the endpoints."""
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
-        """Send the payload to a member; on_end is called once, never before this returns.
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+        """Send a payload to an endpoint; `on_end` is called once, never before this returns.
 
-        What cannot leave before `by`, a time of the clock, ends as not sent.
+        What cannot leave by the moment `send_by` ends with `AttemptResult.NOT_SENT`.
         """
 
-    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
-        """Ask a member for its report; on_end is called once, within a bounded time."""
+    def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
+        """Ask an endpoint for its load report; `on_end` is called once, within a bounded time."""
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the connections to a member that are not in use."""
+        """Close the connections to an endpoint that are not in use."""
 
-    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
-        """Take the member list, before the module does."""
+    def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
+        """Take the endpoint list, before the router does."""
 
 
 class AttemptObserver(Protocol):
-    """Who looks on at a driver's own requests and attempts; it decides nothing about them."""
+    """Observes the requests and attempts of one engine, and decides nothing about them."""
 
-    def arrived(self) -> None:
-        """One request came in."""
+    def request_received(self) -> None:
+        """One request has been handed to the router."""
 
-    def sent(self, endpoint: int) -> None:
+    def attempt_sent(self, endpoint: int) -> None:
         """One attempt was sent."""
 
-    def ended(self, endpoint: int, result: AttemptResult, share_of_aim: float) -> None:
-        """It ended, after so much of its class's aim."""
+    def attempt_ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
+        """One attempt ended; `latency_ratio` is its latency over its class's latency objective."""
 
 
 class Clock(Protocol):
     """One monotonic clock and its timers; tests pass a fake one."""
 
     def now(self) -> float:
-        """Seconds, never going back."""
+        """Return the present moment in seconds, never going back."""
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> Any:
-        """Call after that many seconds; what is returned can be cancelled."""
+        """Call after `delay` seconds; returns a handle with `cancel`, also for a call that is past."""
 
     def soon(self, call: Callable[..., object], *args: object) -> None:
-        """Call once all that is readable in this turn has been read."""
+        """Call once all that is readable in this turn of the event loop has been read."""
 
     def after_reading(self, call: Callable[..., object], *args: object) -> None:
-        """From a timer: call once all that lies unread now has been read, whatever order the loop keeps.
+        """From a timer: call once all that lies unread now has been read.
 
-        Turns may pass until then: who judges times takes the moment of the timer, for which that holds.
+        Turns may pass until then: who compares moments takes the moment of the timer, for which that holds.
         """
--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -1,155 +1,195 @@
-"""How many requests may be inside at once, so that those let in are answered almost as if they were alone.
-
-The module's limits keep each member's answers within the aim: under a flood they settle where an answer
-takes nearly the aim, which leaves no time for waiting at the door, and half of what is served comes late.
-This limit is for all members of a room together and looks at queueing, not at the aim: it holds the median
-answer at GAIN times what it takes without a queue. It can only be the lower of the two, and it moves on the
-sum; which member gets what stays with the module.
-
-The rule, once a span of a quarter second, is that of delay-based congestion control (Brakmo and Peterson,
-TCP Vegas, 1995; the gradient form of Netflix' concurrency-limits): above the wanted ratio the limit goes
-down in proportion, below it and in use it goes up by a little. Three departures:
-
-- Latency is compared by class, each with its own base, so that a change in the mix is no change in speed.
-- What is far under a class's aim is no queue worth cutting: answers of a tenth of a millisecond vary tenfold
-  with the loop's turns, and batching them is what makes them cheap.
-- What an answer takes without a queue is measured, not remembered (as BBR does; Cardwell and others, 2016):
-  from time to time the limit dips, and answers to what was let in then are the base, quicker or slower than
-  the one before. So a driver that starts in a flood finds its base in a few dips, members that slow down to a
-  half are not taken for crowded, and nothing drifts. Between dips a quicker span lowers the base. Dips that
-  change nothing become rare.
-
-It starts low and doubles each span while answers stay quick (slow start), so a driver that wakes in a flood
-sees its members without a queue first. Where members are quick the start is over in a second or two.
+"""Limits how many admitted requests may be in flight, so that they are answered almost without queueing.
+
+The router's limits for each endpoint keep latency within the objective: under overload they settle where an
+answer takes nearly all of it, which leaves no time to queue in admission. This limit is on all endpoints of a
+pool together and looks at queueing instead: it holds the median latency at TARGET_RATIO times the baseline,
+which is the latency without a queue. It can only be the lower of the two; which endpoint gets what stays with
+the router.
+
+The rule, once a span, is that of delay-based congestion control (Brakmo and Peterson, TCP Vegas, 1995; the
+gradient form of Netflix' concurrency-limits): above the target ratio the limit falls in proportion, below it
+and in use it grows a little. It differs in three points:
+
+- Latency is compared by request class, each with its own baseline: a change in the mix is no change in speed.
+- A latency far below the class's objective is no queue worth cutting: answers of a tenth of a millisecond
+  vary tenfold with the turns of the event loop.
+- The baseline is measured, not remembered (as BBR probes the round-trip time; Cardwell and others, 2016).
+  From time to time the limit is lowered for a moment, and answers to what is admitted then are the new
+  baseline, faster or slower. A process that starts under overload finds it so, endpoints that slow down to a
+  half are not taken for overloaded, and nothing drifts. Between probes a faster span lowers the baseline.
+  Probes that change nothing become rare.
+
+The limit starts low and doubles each span while answers stay fast (slow start), so a process that starts
+under overload sees its endpoints without a queue first.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from statistics import median
 
-SPAN = 0.25  # s
-LEAST_SAMPLE = 6  # answers of a class in a span
-GAIN = 2.0  # the median answer's time, as a multiple of that without a queue
-LOW = 0.05  # share of a class's aim that stands in for a base below it
-LEAST_BASE = 0.002  # s; a base below this tells of the loop's turns, and one of nothing would divide by it
-LEAST = 2.0  # requests that may be inside, whatever happens
-CUT_FIRST, CUT = 0.4, 0.75  # the limit after a span, at least, of what was inside: at the first queue, later
-GROW, GROW_LEAST = 1.1, 0.5  # growth of a limit that is in use, a span
-START = 16.0  # inside at first
-DIP = 0.3  # share of the limit that may be inside while the base is measured
-DIP_MOST = 8  # half spans that a dip may last
-SOON, SELDOM = 8, 120  # spans between dips: at first, and at most
-SAME = 0.5  # change of the base that counts as none
+SPAN_S = 0.25
+STALE_SPANS = 4  # after so many spans a single answer of a class is enough to decide on
+MIN_SAMPLE = 6  # answers of a class in a span
+TARGET_RATIO = 2.0  # median latency over the baseline
+MIN_OBJECTIVE_SHARE = 0.05  # share of a class's objective that stands in for a lower baseline
+MIN_BASELINE_S = 0.002  # lower ones show the turns of the event loop, and 0 could not be divided by
+MIN_LIMIT = 2.0  # requests in flight
+INITIAL_LIMIT = 16.0  # requests in flight
+FIRST_MAX_DECREASE = 0.4  # the limit after the first queue, at least, of what was in flight
+MAX_DECREASE = 0.75  # the same after later ones
+GROWTH_FACTOR = 1.1  # a span, of a limit that is in use
+MIN_GROWTH = 0.5  # requests a span
+SLOW_START_FACTOR = 2.0  # a span
+PROBE_SHARE = 0.3  # of the limit that may be in flight while the baseline is probed
+MAX_PROBE_SPANS = 8  # half spans
+MIN_PROBE_PAUSE = 8  # spans between probes
+MAX_PROBE_PAUSE = 120  # spans
+SAME_BASELINE = 0.5  # relative change of the baseline that counts as none
+NOT_DRAINED = -1.0  # no moment
+
+
+@dataclass(slots=True, frozen=True)
+class ClassLatency:
+    """Latencies of one request class in a span, in seconds."""
+
+    objective: float
+    median: float
+    count: int
+
+    @property
+    def noise_floor(self) -> float:
+        """Return the latency below which no queue can be told."""
+        return max(MIN_OBJECTIVE_SHARE * self.objective, MIN_BASELINE_S)
 
 
 class CapacityEstimate:
-    """The limit of one room. Pure: time is passed in, in seconds."""
+    """The limit of one pool of endpoints. Pure: moments are passed in, in seconds."""
 
     __slots__ = (
-        "_base",
-        "_dip_from",
-        "_from",
-        "_pause",
+        "_baseline",
+        "_drained_at",
+        "_probe_pause",
+        "_probe_spans",
         "_samples",
-        "_since_dip",
-        "_spans",
-        "bound",
+        "_span_started_at",
+        "_spans_in_doubt",
+        "current_limit",
+        "in_slow_start",
         "limit",
-        "most_inside",
-        "starting",
+        "peak_in_flight",
     )
 
     def __init__(self, now: float) -> None:
-        self.limit = START
-        self.bound = START  # the limit, or less while it dips
-        self.starting = True  # no queue has been seen yet
-        self.most_inside = 0  # in this span
-        self._samples: dict[str, tuple[float, list[float]]] = {}  # class -> aim, times of answers
-        self._base: dict[str, float] = {}
-        self._from = now
-        self._dip_from = -1.0  # since when the dip is felt; below 0 when there is none, or not yet
-        self._spans = 0  # half spans that the dip has lasted
-        self._since_dip, self._pause = 0, SOON  # spans
+        self.limit = INITIAL_LIMIT
+        self.current_limit = INITIAL_LIMIT  # the limit, or less during a probe
+        self.in_slow_start = True  # no queue has been seen yet
+        self.peak_in_flight = 0  # in this span
+        self._samples: dict[str, tuple[float, list[float]]] = {}  # class -> objective, latencies
+        self._baseline: dict[str, float] = {}  # s, by class
+        self._span_started_at = now
+        self._drained_at = NOT_DRAINED  # when what was in flight before the probe had drained
+        self._probe_spans = 0  # half spans that the probe has lasted
+        self._spans_in_doubt = 0  # since the last probe
+        self._probe_pause = MIN_PROBE_PAUSE  # spans
 
     @property
-    def dipping(self) -> bool:
-        """Whether the base is being measured."""
-        return self.bound < self.limit
+    def probing(self) -> bool:
+        """Whether the baseline is being probed."""
+        return self.current_limit < self.limit
 
-    def answered(self, class_name: str, latency_objective: float, seconds: float, sent: float) -> None:
-        """Take the time that one answer took at its member, and when it was sent."""
-        if self.dipping and not 0.0 <= self._dip_from <= sent:
+    def record_latency(self, class_name: str, objective: float, seconds: float, sent_at: float) -> None:
+        """Record the latency of one answer, and when its request was sent."""
+        if self.probing and not 0.0 <= self._drained_at <= sent_at:
             return
-        known = self._samples.get(class_name)
-        if known is None:
-            known = self._samples[class_name] = (latency_objective, [])
-        known[1].append(seconds)
-
-    def inside(self, count: int, now: float) -> None:
-        """Take how many are inside after one was let in."""
-        if count > self.most_inside:
-            self.most_inside = count
-        if self._dip_from < 0.0 and self.bound < self.limit:
-            self._dip_from = now  # what was inside before the dip has drained
-
-    def measure(self, now: float) -> None:
-        """Once a span: compare, and move the limit."""
-        if now - self._from < (SPAN / 2 if self.dipping else SPAN):
+        sample = self._samples.get(class_name)
+        if sample is None:
+            sample = self._samples[class_name] = (objective, [])
+        sample[1].append(seconds)
+
+    def record_in_flight(self, count: int, now: float) -> None:
+        """Record how many requests are in flight after one was admitted now."""
+        if count > self.peak_in_flight:
+            self.peak_in_flight = count
+        if self._drained_at < 0.0 and self.current_limit < self.limit:
+            self._drained_at = now
+
+    def update(self, now: float) -> None:
+        """Compare latencies and move the limit, once a span; does nothing within one."""
+        passed = now - self._span_started_at
+        if passed < (SPAN_S / 2 if self.probing else SPAN_S):
             return
-        waited = now - self._from >= 4 * SPAN
-        least = 1 if waited else LEAST_SAMPLE  # slow answers are few, and must not keep the limit where it is
-        middles: dict[str, tuple[float, float, int]] = {}
-        for name, (latency_objective, times) in self._samples.items():
-            if len(times) >= least:
-                middles[name] = (latency_objective, median(times), len(times))
-        if self.dipping:
-            self._spans += 1
-            if not middles and self._spans < DIP_MOST:
-                self._from = now
+        stale = passed >= STALE_SPANS * SPAN_S  # slow answers are few, and must not keep the limit in place
+        latencies = self._class_latencies(1 if stale else MIN_SAMPLE)
+        if self.probing:
+            self._probe_spans += 1
+            if not latencies and self._probe_spans < MAX_PROBE_SPANS:
+                self._span_started_at = now
                 return
-            self._rebase(middles)
-        elif middles:
-            self._move(middles)
-        elif not waited:
+            self._end_probe(latencies)
+        elif latencies:
+            self._move_limit(latencies)
+        elif not stale:
             return  # too few answers so far
         self._samples.clear()
-        self.most_inside, self._from = 0, now
-
-    def _rebase(self, middles: dict[str, tuple[float, float, int]]) -> None:
-        """The dip is over: what answers took in it is the base."""
-        changed = not middles
-        for name, (latency_objective, middle, _) in middles.items():
-            old = self._base.get(name, 0.0)
-            changed = changed or abs(middle - old) > SAME * max(old, LOW * latency_objective, LEAST_BASE)
-            self._base[name] = middle
-        self._pause = SOON if changed else min(2 * self._pause, SELDOM)
-        self._since_dip, self.bound = 0, self.limit
-
-    def _move(self, middles: dict[str, tuple[float, float, int]]) -> None:
-        ratio = total = 0.0
-        for name, (latency_objective, middle, count) in middles.items():
-            base = min(self._base.get(name, middle), middle)
-            self._base[name] = base
-            ratio += count * middle / max(base, LOW * latency_objective, LEAST_BASE)
-            total += count
-        ratio /= total
-        if ratio > GAIN:
-            in_use = min(self.limit, float(max(1, self.most_inside)))
-            self.limit = max(LEAST, in_use * max(CUT_FIRST if self.starting else CUT, GAIN / ratio))
-            self.starting = False
-        elif self.most_inside >= self.limit - 1.0:
-            self.limit = max(self.limit * (2.0 if self.starting else GROW), self.limit + GROW_LEAST)
-        self.bound = self.limit
-        # A base is in doubt where answers take long and the limit is full: they may all have queued.
-        slow = any(
-            middle > max(LOW * latency_objective, LEAST_BASE)
-            for latency_objective, middle, _ in middles.values()
-        )
-        full = self.most_inside >= max(2.0 * LEAST, self.limit - 1.0)
-        if not (slow and full):
-            return
-        self._since_dip += 1
-        if self._since_dip >= self._pause:
-            self.limit = min(self.limit, float(self.most_inside))
-            self.bound = max(LEAST, DIP * self.limit)
-            self._dip_from, self._spans = -1.0, 0
+        self.peak_in_flight = 0
+        self._span_started_at = now
+
+    def _class_latencies(self, min_sample: int) -> dict[str, ClassLatency]:
+        return {
+            name: ClassLatency(objective, median(latencies), len(latencies))
+            for name, (objective, latencies) in self._samples.items()
+            if len(latencies) >= min_sample
+        }
+
+    def _end_probe(self, latencies: dict[str, ClassLatency]) -> None:
+        """Take the latencies of a probe as the baseline, and plan the next probe."""
+        changed = not latencies
+        for name, latency in latencies.items():
+            old = self._baseline.get(name, 0.0)
+            same_within = SAME_BASELINE * max(old, MIN_OBJECTIVE_SHARE * latency.objective, MIN_BASELINE_S)
+            changed = changed or abs(latency.median - old) > same_within
+            self._baseline[name] = latency.median
+        self._probe_pause = MIN_PROBE_PAUSE if changed else min(2 * self._probe_pause, MAX_PROBE_PAUSE)
+        self._spans_in_doubt = 0
+        self.current_limit = self.limit
+
+    def _move_limit(self, latencies: dict[str, ClassLatency]) -> None:
+        """Lower the limit where answers queue, raise it where it is in use and they do not."""
+        ratio = self._latency_ratio(latencies)
+        if ratio > TARGET_RATIO:
+            in_use = min(self.limit, float(max(1, self.peak_in_flight)))
+            max_decrease = FIRST_MAX_DECREASE if self.in_slow_start else MAX_DECREASE
+            self.limit = max(MIN_LIMIT, in_use * max(max_decrease, TARGET_RATIO / ratio))
+            self.in_slow_start = False
+        elif self.peak_in_flight >= self.limit - 1.0:
+            factor = SLOW_START_FACTOR if self.in_slow_start else GROWTH_FACTOR
+            self.limit = max(self.limit * factor, self.limit + MIN_GROWTH)
+        self.current_limit = self.limit
+        if self._baseline_in_doubt(latencies):
+            self._spans_in_doubt += 1
+            if self._spans_in_doubt >= self._probe_pause:
+                self._begin_probe()
+
+    def _latency_ratio(self, latencies: dict[str, ClassLatency]) -> float:
+        """Return the mean of median latency over baseline, by answers; a faster class lowers its baseline."""
+        ratio = 0.0
+        total = 0.0
+        for name, latency in latencies.items():
+            baseline = min(self._baseline.get(name, latency.median), latency.median)
+            self._baseline[name] = baseline
+            floor = max(baseline, MIN_OBJECTIVE_SHARE * latency.objective, MIN_BASELINE_S)
+            ratio += latency.count * latency.median / floor
+            total += latency.count
+        return ratio / total
+
+    def _baseline_in_doubt(self, latencies: dict[str, ClassLatency]) -> bool:
+        """Whether answers take long while the limit is full: they may all have queued."""
+        slow = any(latency.median > latency.noise_floor for latency in latencies.values())
+        return slow and self.peak_in_flight >= max(2.0 * MIN_LIMIT, self.limit - 1.0)
+
+    def _begin_probe(self) -> None:
+        self.limit = min(self.limit, float(self.peak_in_flight))
+        self.current_limit = max(MIN_LIMIT, PROBE_SHARE * self.limit)
+        self._drained_at = NOT_DRAINED
+        self._probe_spans = 0
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -1,14 +1,14 @@
-"""Who is next: weighted fair shares between tenants, worth first within one, then fair between its clients.
+"""The queue of a pool: weighted fair between tenants, by priority within one, fair between its clients.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996) twice over. A tenant's request gets the start tag
+Start-time fair queueing (Goyal, Vin and Cheng, 1996), applied twice. A tenant's request gets the start tag
 max(virtual time, the tenant's last finish tag); the smallest goes first, and its start tag is the new
 virtual time. The finish tag is cost / weight later and is corrected when the true cost is known. A tenant
-whose finish tag is not ahead of virtual time is as one never seen, so only those ahead are remembered: the
-memory is bounded by what waits, and by `most_debts` tenants whose last requests went ahead of their share.
-When that bound is passed, the smallest debt is forgiven.
+whose finish tag is not ahead of virtual time is as one never seen, so only tags ahead are kept: memory is
+bounded by what is queued, and by `max_tracked_tenants` idle tenants that are ahead of their share. Beyond
+that bound the smallest leads are forgotten.
 
-Over any time in which two tenants both wait, their costs by weight differ by at most one request each and
-what of theirs was inside at wrong estimates (the theorem of the paper, with corrections delayed until the
+While two tenants both have requests queued, their costs by weight differ by at most one request each, and by
+what of theirs was admitted at wrong estimates (the theorem of the paper, with corrections delayed until the
 answer).
 """
 
@@ -18,211 +18,245 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush
 
+SPARE_ENTRIES = 64  # stale entries that may stay in a heap or a table, beside as many as are live
+
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """One request that waits. `cost` is in seconds of a member's time."""
+class QueuedRequest:
+    """One request that may be queued; `cost` is in seconds of an endpoint's time."""
 
     id: int
     tenant: str
     client: str
     priority_weight: float
     cost: float
-    weight: float
-    gone: bool = False
-    start: float = 0.0
+    tenant_weight: float
+    removed: bool = False
+    start_tag: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class _Clients:
-    """The waiting requests of one worth of one tenant: fair between clients by cost."""
+class _PriorityLevel:
+    """The queued requests of one tenant and one priority weight: fair between clients by cost."""
 
-    time: float = 0.0
-    finish: dict[str, float] = field(default_factory=dict)
-    queues: dict[str, deque[Held]] = field(default_factory=dict)
-    heads: list[tuple[float, int, str]] = field(default_factory=list)
+    virtual_time: float = 0.0
+    finish_tags: dict[str, float] = field(default_factory=dict)  # by client
+    queues: dict[str, deque[QueuedRequest]] = field(default_factory=dict)  # by client
+    heap: list[tuple[float, int, str]] = field(default_factory=list)  # (start tag, request id, client)
 
-    def push(self, held: Held) -> None:
-        queue = self.queues.get(held.client)
+    def push(self, request: QueuedRequest) -> None:
+        queue = self.queues.get(request.client)
         if queue is None:
-            queue = self.queues[held.client] = deque()
-            start = max(self.time, self.finish.get(held.client, 0.0))
-            heappush(self.heads, (start, held.id, held.client))
-        queue.append(held)
-
-    def pop(self) -> Held | None:
-        while self.heads:
-            start, _, client = heappop(self.heads)
+            queue = self.queues[request.client] = deque()
+            start_tag = max(self.virtual_time, self.finish_tags.get(request.client, 0.0))
+            heappush(self.heap, (start_tag, request.id, request.client))
+        queue.append(request)
+
+    def pop(self) -> QueuedRequest | None:
+        while self.heap:
+            start_tag, _, client = heappop(self.heap)
             queue = self.queues[client]
-            while queue and queue[0].gone:
+            while queue and queue[0].removed:
                 queue.popleft()
             if not queue:
                 del self.queues[client]
-                self.finish.pop(client, None)
+                self.finish_tags.pop(client, None)
                 continue
-            held = queue.popleft()
-            self.time = max(self.time, start)
-            self.finish[client] = start + held.cost
+            request = queue.popleft()
+            self.virtual_time = max(self.virtual_time, start_tag)
+            self.finish_tags[client] = start_tag + request.cost
             if queue:
-                heappush(self.heads, (self.finish[client], queue[0].id, client))
+                heappush(self.heap, (self.finish_tags[client], queue[0].id, client))
             else:
                 del self.queues[client]
-                if len(self.finish) > 2 * len(self.queues) + 64:
-                    self.finish = {c: f for c, f in self.finish.items() if f > self.time or c in self.queues}
-            return held
+                self._forget_finish_tags()
+            return request
         return None
 
+    def _forget_finish_tags(self) -> None:
+        """Drop tags that are not ahead of virtual time, where many have gathered."""
+        if len(self.finish_tags) > 2 * len(self.queues) + SPARE_ENTRIES:
+            self.finish_tags = {
+                client: tag
+                for client, tag in self.finish_tags.items()
+                if tag > self.virtual_time or client in self.queues
+            }
+
 
 @dataclass(slots=True, eq=False)
-class _Tenant:
-    """The waiting requests of one tenant, by worth."""
+class TenantQueue:
+    """The queued requests of one tenant, by priority weight."""
 
     name: str
     weight: float
-    finish: float
-    levels: dict[float, _Clients] = field(default_factory=dict)
-    waiting: int = 0
-    cost: float = 0.0  # of all that waits
+    finish_tag: float
+    levels: dict[float, _PriorityLevel] = field(default_factory=dict)
+    length: int = 0
+    cost: float = 0.0  # s, of all that is queued
     in_heap: bool = False
-    correction: float = 0.0  # to the finish tag, for what lately turned out to cost more or less
+    correction: float = 0.0  # to the finish tag, for requests that cost more or less than estimated
 
-    def pop(self) -> Held | None:
+    def pop(self) -> QueuedRequest | None:
+        """Take the next request of the highest priority; None where nothing is queued."""
         for priority_weight in sorted(self.levels, reverse=True):
-            held = self.levels[priority_weight].pop()
-            if held is not None:
-                return held
+            request = self.levels[priority_weight].pop()
+            if request is not None:
+                return request
             del self.levels[priority_weight]
         return None
 
+    def cost_ahead_of(self, request: QueuedRequest) -> float:
+        """Return the cost that goes before a newcomer: of its client at no lower priority, or an even part.
+
+        The even part is of all that the tenant has queued, shared by its priority levels.
+        """
+        ahead = sum(
+            queued.cost
+            for priority_weight, level in self.levels.items()
+            if priority_weight >= request.priority_weight
+            for queued in level.queues.get(request.client, ())
+            if not queued.removed
+        )
+        return max(ahead, self.cost * min(1.0, 1.0 / max(1, len(self.levels))))
+
 
 class FairQueue:
-    """All that waits for one room. Costs logarithmic time in the tenants that wait."""
-
-    def __init__(self, most_debts: int) -> None:
-        self.most_debts = most_debts
-        self.time = 0.0
-        self.tenants: dict[str, _Tenant] = {}  # those with something waiting
-        self.debts: dict[
-            str, float
-        ] = {}  # finish tags ahead of virtual time, of tenants with nothing waiting
-        self.heap: list[tuple[float, int, str]] = []
-        self.waiting = 0
-        self.cost = 0.0
-        self.order = 0
-
-    def push(self, held: Held) -> None:
-        """Let a request wait."""
-        tenant = self.tenants.get(held.tenant)
+    """All that is queued for one pool. Costs logarithmic time in the tenants that have something queued."""
+
+    def __init__(self, max_tracked_tenants: int) -> None:
+        self.max_tracked_tenants = max_tracked_tenants
+        self.virtual_time = 0.0
+        self.tenants: dict[str, TenantQueue] = {}  # those with something queued
+        self.finish_tags: dict[str, float] = {}  # ahead of virtual time, of tenants with nothing queued
+        self.length = 0
+        self.cost = 0.0  # s, of all that is queued
+        self._heap: list[tuple[float, int, str]] = []  # (start tag, sequence number, tenant)
+        self._sequence = 0
+
+    def push(self, request: QueuedRequest) -> None:
+        """Queue a request."""
+        tenant = self.tenants.get(request.tenant)
         if tenant is None:
-            finish = max(self.time, self.debts.pop(held.tenant, 0.0))
-            tenant = self.tenants[held.tenant] = _Tenant(held.tenant, held.weight, finish)
-        tenant.weight = held.weight
-        level = tenant.levels.get(held.priority_weight)
+            finish_tag = max(self.virtual_time, self.finish_tags.pop(request.tenant, 0.0))
+            tenant = TenantQueue(request.tenant, request.tenant_weight, finish_tag)
+            self.tenants[request.tenant] = tenant
+        tenant.weight = request.tenant_weight
+        level = tenant.levels.get(request.priority_weight)
         if level is None:
-            level = tenant.levels[held.priority_weight] = _Clients()
-        level.push(held)
-        tenant.waiting += 1
-        tenant.cost += held.cost
-        self.waiting += 1
-        self.cost += held.cost
-        self._arm(tenant)
-
-    def pop(self) -> Held | None:
-        """Take the next request, None where nothing waits."""
-        while self.heap:
-            start, _, name = heappop(self.heap)
+            level = tenant.levels[request.priority_weight] = _PriorityLevel()
+        level.push(request)
+        tenant.length += 1
+        tenant.cost += request.cost
+        self.length += 1
+        self.cost += request.cost
+        self._enter_heap(tenant)
+
+    def pop(self) -> QueuedRequest | None:
+        """Take the next request; None where nothing is queued."""
+        while self._heap:
+            start_tag, _, name = heappop(self._heap)
             tenant = self.tenants.get(name)
             if tenant is None or not tenant.in_heap:
                 continue
             tenant.in_heap = False
-            held = tenant.pop()
-            if held is None:
+            request = tenant.pop()
+            if request is None:
                 self._close(tenant)
                 continue
-            self.time = max(self.time, start)
-            held.start = start
-            tenant.finish = start + held.cost / tenant.weight + tenant.correction
+            self.virtual_time = max(self.virtual_time, start_tag)
+            request.start_tag = start_tag
+            tenant.finish_tag = start_tag + request.cost / tenant.weight + tenant.correction
             tenant.correction = 0.0
-            self._left(tenant, held)
-            if tenant.waiting:
-                self._arm(tenant)
+            self._count_out(tenant, request)
+            if tenant.length:
+                self._enter_heap(tenant)
             else:
                 self._close(tenant)
-            return held
+            return request
         return None
 
-    def drop(self, held: Held) -> None:
-        """Take out a request that waits no more; its place is skipped when it comes."""
-        if held.gone:
+    def remove(self, request: QueuedRequest) -> None:
+        """Take out one request; its place is skipped when its turn comes."""
+        if request.removed:
             return
-        held.gone = True
-        tenant = self.tenants.get(held.tenant)
+        request.removed = True
+        tenant = self.tenants.get(request.tenant)
         if tenant is not None:
-            self._left(tenant, held)
-            if not tenant.waiting:
+            self._count_out(tenant, request)
+            if not tenant.length:
                 self._close(tenant)
 
-    def served_at_once(self, tenant: str, cost: float, weight: float) -> None:
-        """Charge a request that did not wait."""
-        start = max(self.time, self.debts.get(tenant, 0.0))
-        self.time = max(self.time, start)
-        self._owe(tenant, start + cost / weight)
+    def charge(self, tenant: str, cost: float, weight: float) -> None:
+        """Charge a tenant for a request that was admitted without being queued."""
+        start_tag = max(self.virtual_time, self.finish_tags.get(tenant, 0.0))
+        self.virtual_time = max(self.virtual_time, start_tag)
+        self._keep_finish_tag(tenant, start_tag + cost / weight)
 
     def correct(self, tenant: str, difference: float, weight: float) -> None:
-        """Charge a tenant for the difference between what was estimated and what it cost, in seconds."""
-        known = self.tenants.get(tenant)
-        if known is not None:
-            known.correction += difference / weight  # counts from its next request on
+        """Charge a tenant for true less estimated cost, in seconds; counts from its next request on."""
+        queued = self.tenants.get(tenant)
+        if queued is not None:
+            queued.correction += difference / weight
         else:
-            self._owe(tenant, max(self.time, self.debts.get(tenant, 0.0)) + difference / weight)
+            finish_tag = max(self.virtual_time, self.finish_tags.get(tenant, 0.0))
+            self._keep_finish_tag(tenant, finish_tag + difference / weight)
 
-    def debt(self, tenant: str) -> float:
-        """How far a tenant is ahead of its share, in seconds by weight."""
-        known = self.tenants.get(tenant)
-        return max(0.0, (known.finish if known else self.debts.get(tenant, 0.0)) - self.time)
+    def lead(self, tenant: str) -> float:
+        """Return how far a tenant is ahead of its share, in seconds of cost by weight."""
+        queued = self.tenants.get(tenant)
+        finish_tag = queued.finish_tag if queued else self.finish_tags.get(tenant, 0.0)
+        return max(0.0, finish_tag - self.virtual_time)
 
-    def largest(self) -> _Tenant | None:
-        """The tenant with the most cost by weight waiting: the one to shed from when room runs out."""
-        return max(self.tenants.values(), key=lambda t: t.cost / t.weight, default=None)
+    def longest(self) -> TenantQueue | None:
+        """Return the tenant with the most cost by weight queued: the one to shed load from."""
+        return max(self.tenants.values(), key=lambda tenant: tenant.cost / tenant.weight, default=None)
 
-    def shed_from(self, tenant: _Tenant) -> Held | None:
-        """Take out the tenant's least worthy request, the newest of its client with the most waiting."""
+    def shed_from(self, tenant: TenantQueue) -> QueuedRequest | None:
+        """Take out a tenant's newest request of lowest priority, of the client with the most queued."""
         for priority_weight in sorted(tenant.levels):
-            level = tenant.levels[priority_weight]
-            for client in sorted(level.queues, key=lambda c: -len(level.queues[c])):
-                for held in reversed(level.queues[client]):
-                    if not held.gone:
-                        self.drop(held)
-                        return held
+            queues = tenant.levels[priority_weight].queues
+            for client in sorted(queues, key=lambda client: -len(queues[client])):
+                for request in reversed(queues[client]):
+                    if not request.removed:
+                        self.remove(request)
+                        return request
         return None
 
-    def _arm(self, tenant: _Tenant) -> None:
+    def _enter_heap(self, tenant: TenantQueue) -> None:
+        """Give a tenant's next request its start tag.
+
+        A tenant that was corrected to before virtual time catches up on what it was overcharged.
+        """
         if not tenant.in_heap:
-            self.order += 1
+            self._sequence += 1
             tenant.in_heap = True
-            # Corrected to before virtual time, one that still waits catches up on what it was overcharged.
-            heappush(self.heap, (tenant.finish, self.order, tenant.name))
+            heappush(self._heap, (tenant.finish_tag, self._sequence, tenant.name))
 
-    def _left(self, tenant: _Tenant, held: Held) -> None:
-        tenant.waiting -= 1
-        tenant.cost = max(0.0, tenant.cost - held.cost)
-        self.waiting -= 1
-        self.cost = max(0.0, self.cost - held.cost)
+    def _count_out(self, tenant: TenantQueue, request: QueuedRequest) -> None:
+        tenant.length -= 1
+        tenant.cost = max(0.0, tenant.cost - request.cost)
+        self.length -= 1
+        self.cost = max(0.0, self.cost - request.cost)
 
-    def _close(self, tenant: _Tenant) -> None:
+    def _close(self, tenant: TenantQueue) -> None:
+        """Forget a tenant with nothing queued, but for a finish tag that is ahead."""
         self.tenants.pop(tenant.name, None)
-        self._owe(tenant.name, tenant.finish + tenant.correction)
-        if len(self.heap) > 2 * len(self.tenants) + 64:
-            self.heap = [e for e in self.heap if e[2] in self.tenants and self.tenants[e[2]].in_heap]
-            heapify(self.heap)
-
-    def _owe(self, tenant: str, finish: float) -> None:
-        if finish <= self.time:
-            self.debts.pop(tenant, None)
+        self._keep_finish_tag(tenant.name, tenant.finish_tag + tenant.correction)
+        if len(self._heap) > 2 * len(self.tenants) + SPARE_ENTRIES:
+            self._heap = [
+                entry for entry in self._heap if entry[2] in self.tenants and self.tenants[entry[2]].in_heap
+            ]
+            heapify(self._heap)
+
+    def _keep_finish_tag(self, tenant: str, finish_tag: float) -> None:
+        """Remember a finish tag that is ahead of virtual time; beyond the bound, the largest half stay."""
+        if finish_tag <= self.virtual_time:
+            self.finish_tags.pop(tenant, None)
+            return
+        self.finish_tags[tenant] = finish_tag
+        if len(self.finish_tags) <= self.max_tracked_tenants:
             return
-        self.debts[tenant] = finish
-        if len(self.debts) > self.most_debts:
-            self.debts = {t: f for t, f in self.debts.items() if f > self.time}
-            if len(self.debts) > self.most_debts:
-                keep = sorted(self.debts.items(), key=lambda kv: -kv[1])[: self.most_debts // 2]
-                self.debts = dict(keep)
+        self.finish_tags = {name: tag for name, tag in self.finish_tags.items() if tag > self.virtual_time}
+        if len(self.finish_tags) > self.max_tracked_tenants:
+            by_tag = sorted(self.finish_tags.items(), key=lambda item: -item[1])
+            self.finish_tags = dict(by_tag[: self.max_tracked_tenants // 2])
--- a/sedgepitch/decisions/admission/messages.py
+++ b/sedgepitch/decisions/admission/messages.py
@@ -1,4 +1,4 @@
-"""What passes between the engine and the door; a driver without a door needs no more of it than this."""
+"""What passes between the engine and admission control. Needed also where admission control is off."""
 
 from __future__ import annotations
 
@@ -7,37 +7,31 @@
 
 @dataclass(slots=True)
 class AdmissionRequest:
-    """A request before the door.
-
-    `mark` tells who may come on a promise; `key` is the same for each try of one request and no other, empty
-    where the protocol does not show that.
-    """
+    """A request that asks to be admitted; times in seconds."""
 
     id: int
     tenant: str
     client: str
     class_name: str
     priority_weight: float
-    time_left: float
+    time_left: float  # until the deadline that the router is told
     group: int
     primary_only: bool
-    mark: str
-    key: str = ""
-    latency_objective: float = (
-        0.0  # s in which an answer is worth its while; 0 where any answer within its time is
-    )
+    reservation_token: str  # who may use a reservation: the same when the client retries
+    idempotency_key: str = ""  # shared by the retries of one request alone; empty where not known
+    latency_objective: float = 0.0  # what is left of it; 0 where any answer before the deadline will do
 
 
 @dataclass(slots=True)
 class Admit:
-    """Let it in now."""
+    """Pass the request to the router now."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Reject:
-    """Refuse it; come back after that many seconds, 0 where nothing can be promised."""
+    """Shed the request; `retry_after` seconds from now capacity is reserved for it, 0 where none can be."""
 
     id: int
     retry_after: float
--- a/sedgepitch/decisions/admission/process_concurrency_limit.py
+++ b/sedgepitch/decisions/admission/process_concurrency_limit.py
@@ -1,73 +1,97 @@
-"""How many requests this driver itself can carry at once: a limit like any other, from its own delay.
+"""Limits how many requests this process carries at once, by its own delay.
 
-Where the driver's processor is what is short, members look idle and no limit of theirs is felt; what is let
-in waits in this process, each turn grows with all that is in it, and answers come late by the driver's own
-queue. So what is inside is bounded by the mean wait of a short span, from arrival to read and from due to
-called: above a tolerable wait the bound falls to CUT of what is inside, below a quarter of it and in use it
-grows; at first it doubles (slow start). The door takes it as one more bound on what it lets in; without a
-door what is beyond it is refused at once, which costs little and can be tried again.
+Where the proxy's processor is what is short, endpoints look idle and no limit of theirs is reached: what is
+admitted waits in this process, each turn of the event loop grows with it, and answers come late. So the
+limit follows the mean wait of a span, from arrival to read and from due to called. Above the tolerable wait
+it falls to DECREASE of what was in flight; below MAX_GROWTH_WAIT_SHARE of it and in use it grows, at first
+doubling (slow start). Admission takes it as one more limit; without admission, what is beyond it is
+rejected at once. One long pause is one span and one decrease.
 
-One long pause is one span and one cut, and is grown back within a second or two.
-
-Beyond that there is a load at which reading requests is already too much. While spans in a row are that late
-(`swamped`), what has itself waited longer than is tolerable may be refused without being read: first of the
-tenant that asks most, where a door knows it, and of all others when they have waited several times that. It
-never ran, so refusing is honest, and its time is mostly gone. Nor are new connections accepted meanwhile.
+Under more load even reading requests is too much. While spans in a row are that late (`overloaded`), a
+request that itself waited too long may be rejected unread: first of the most active tenant, and of all
+others when they waited several times as long. It never ran, so the rejection is truthful, and its time is
+mostly gone. No new connections are accepted meanwhile.
 """
 
 from __future__ import annotations
 
-SPAN = 0.1  # s
-START, LEAST = 64.0, 8.0  # requests inside
-CUT = 0.7
-GROW, GROW_LEAST = 1.1, 1.0  # a span
-SWAMPED = 2.5  # times the tolerable wait, for two spans in a row
-OTHERS = 4.0  # times the tolerable wait, beyond which tenants that do not ask most are refused unread, too
-CALM = 0.25  # share of the tolerable wait below which the bound may grow
+SPAN_S = 0.1
+INITIAL_LIMIT = 64.0  # requests
+MIN_LIMIT = 8.0  # requests
+DECREASE = 0.7
+GROWTH_FACTOR = 1.1  # a span
+MIN_GROWTH = 1.0  # requests a span
+SLOW_START_FACTOR = 2.0  # a span
+MAX_GROWTH_WAIT_SHARE = 0.25  # of the tolerable wait
+MIN_USE_SHARE = 0.25  # of the limit that has to be in use for it to grow
+OVERLOADED_WAIT_RATIO = 2.5  # mean wait of a span over the tolerable wait
+OVERLOADED_SPANS = 2  # in a row
+OTHER_TENANTS_WAIT_RATIO = 4.0  # wait over the tolerable wait, for tenants that are not the most active
 NEVER = float("inf")
 
 
 class ProcessConcurrencyLimit:
-    """The bound. Pure: time is passed in; `tolerable` is in seconds."""
+    """The limit. Pure: moments are passed in; `tolerable_wait` is in seconds."""
 
-    __slots__ = ("_count", "_from", "_most", "_sum", "cuts", "late_spans", "limit", "starting", "tolerable")
+    __slots__ = (
+        "_peak_in_process",
+        "_samples",
+        "_span_started_at",
+        "_total",
+        "decreases",
+        "in_slow_start",
+        "late_spans",
+        "limit",
+        "tolerable_wait",
+    )
 
-    def __init__(self, tolerable: float) -> None:
-        self.tolerable = tolerable
-        self.limit, self.starting = START, True
-        self.cuts = 0
+    def __init__(self, tolerable_wait: float) -> None:
+        self.tolerable_wait = tolerable_wait
+        self.limit = INITIAL_LIMIT
+        self.in_slow_start = True
+        self.decreases = 0
         self.late_spans = 0  # in a row
-        self._from, self._sum, self._count = -NEVER, 0.0, 0
-        self._most = 0  # inside in this span
+        self._span_started_at = -NEVER
+        self._total = 0.0  # s waited in this span
+        self._samples = 0
+        self._peak_in_process = 0  # requests, in this span
 
-    def waited(self, seconds: float, inside: int, now: float) -> None:
-        """Take one wait that ended now, and how many are inside."""
-        self._sum += seconds
-        self._count += 1
-        if inside > self._most:
-            self._most = inside
-        if now - self._from >= SPAN:
-            self._move(self._sum / self._count)
-            self._from, self._sum, self._count, self._most = now, 0.0, 0, 0
+    def record(self, seconds: float, in_process: int, now: float) -> None:
+        """Record one wait that ended now, and how many requests the process carries."""
+        self._total += seconds
+        self._samples += 1
+        if in_process > self._peak_in_process:
+            self._peak_in_process = in_process
+        if now - self._span_started_at >= SPAN_S:
+            self._move_limit(self._total / self._samples)
+            self._span_started_at = now
+            self._total = 0.0
+            self._samples = 0
+            self._peak_in_process = 0
 
     @property
-    def late(self) -> bool:
-        """Whether spans in a row are so late that reading is too much: no time for new connections either."""
-        return self.late_spans >= 2
+    def overloaded(self) -> bool:
+        """Whether spans in a row are so late that reading is too much, and accepting connections too."""
+        return self.late_spans >= OVERLOADED_SPANS
 
-    def swamped(self, waited: float, busiest: bool) -> bool:
-        """Whether a request that has waited so many seconds may be refused without being read.
+    def rejects_unread(self, waited: float, most_active: bool) -> bool:
+        """Whether a request that has waited so many seconds may be rejected without being read.
 
-        `busiest` says that it is of the tenant that asks most, or that tenants are not told apart.
+        `most_active` says that it is of the most active tenant, or that tenants are not told apart.
         """
-        return self.late and waited > self.tolerable * (1.0 if busiest else OTHERS)
+        ratio = 1.0 if most_active else OTHER_TENANTS_WAIT_RATIO
+        return self.overloaded and waited > self.tolerable_wait * ratio
 
-    def _move(self, wait: float) -> None:
-        self.late_spans = self.late_spans + 1 if wait > SWAMPED * self.tolerable else 0
-        if wait > self.tolerable:
-            self.starting = False
-            if self._most > LEAST:  # with next to nothing inside, the wait is not made of it
-                self.limit = max(LEAST, CUT * min(self.limit, float(self._most)))
-                self.cuts += 1
-        elif wait < CALM * self.tolerable and self._most >= CALM * self.limit:
-            self.limit = max(self.limit * (2.0 if self.starting else GROW), self.limit + GROW_LEAST)
+    def _move_limit(self, mean_wait: float) -> None:
+        late = mean_wait > OVERLOADED_WAIT_RATIO * self.tolerable_wait
+        self.late_spans = self.late_spans + 1 if late else 0
+        if mean_wait > self.tolerable_wait:
+            self.in_slow_start = False
+            if self._peak_in_process > MIN_LIMIT:  # with fewer, the wait is not made of them
+                self.limit = max(MIN_LIMIT, DECREASE * min(self.limit, float(self._peak_in_process)))
+                self.decreases += 1
+            return
+        in_use = self._peak_in_process >= MIN_USE_SHARE * self.limit
+        if mean_wait < MAX_GROWTH_WAIT_SHARE * self.tolerable_wait and in_use:
+            factor = SLOW_START_FACTOR if self.in_slow_start else GROWTH_FACTOR
+            self.limit = max(self.limit * factor, self.limit + MIN_GROWTH)
--- /dev/null
+++ b/sedgepitch/decisions/admission/retry_budget.py
@@ -0,0 +1,55 @@
+"""Recognises retries and bounds those that come without a reservation."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+
+from sedgepitch.structures.sketch import FadingSketch
+
+HALF_LIFE_S = 10.0
+FREE_RETRIES = 5.0  # that a tenant may make, however few first attempts it makes
+SKETCH_WIDTH = 4096  # cells a row
+
+
+class RetryBudget:
+    """Counts first attempts and retries of each tenant, in memory that does not grow with tenants.
+
+    A retry is a request with the idempotency key of one that was lately rejected; at most `max_keys` of
+    these are remembered. Retries may be `share` of a tenant's first attempts, beside FREE_RETRIES.
+    """
+
+    def __init__(self, share: float, max_keys: int, seed: int, now: float) -> None:
+        self.share = share
+        self.max_keys = max_keys
+        self.rejected_keys: OrderedDict[str, None] = OrderedDict()  # the latest last
+        self._first_attempts = FadingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed, now)
+        self._retries = FadingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed + 1, now)
+
+    def is_retry(self, idempotency_key: str) -> bool:
+        """Whether a request repeats one that was rejected; the key is forgotten with it."""
+        if idempotency_key not in self.rejected_keys:
+            return False
+        del self.rejected_keys[idempotency_key]
+        return True
+
+    def count_first_attempt(self, tenant: str, now: float) -> None:
+        """Count a request that is no retry."""
+        self._first_attempts.gather(tenant, 1.0, now)
+
+    def count_retry(self, tenant: str, now: float) -> bool:
+        """Count a retry without a reservation; returns whether it is within the budget."""
+        retries = self._retries.add(tenant, 1.0, now)
+        return retries <= FREE_RETRIES + self.share * self._first_attempts.estimate(tenant, now)
+
+    def remember_rejected(self, idempotency_key: str) -> None:
+        """Remember the key of a rejected request, so that its retry is recognised."""
+        if not idempotency_key:
+            return
+        self.rejected_keys[idempotency_key] = None
+        self.rejected_keys.move_to_end(idempotency_key)
+        if len(self.rejected_keys) > self.max_keys:
+            self.rejected_keys.popitem(last=False)
+
+    def most_active_tenant(self, now: float) -> str:
+        """Return the tenant with the most first attempts lately, "" where there are none."""
+        return next((name for name, _ in self._first_attempts.largest(now)), "")
--- a/sedgepitch/decisions/event_loop_lag.py
+++ b/sedgepitch/decisions/event_loop_lag.py
@@ -1,89 +1,88 @@
-"""How late this driver itself is, and so how much earlier it must decide to keep what it promises.
+"""The lag of this process's event loop, and the deadline margin that it calls for.
 
-A process that shares its machine, or has more to do than it can, reads bytes after they came and finds its
-timers after they were due. Both are seen as waits: from the kernel's stamp of arrival to the read, and from
-a timer's due time to its call. An answer that is decided at a deadline leaves that much after it.
+A process that shares its machine, or has more to do than it can, reads bytes after they arrived and runs
+timers after they were due. Both are samples of its lag. An answer that is decided at a deadline leaves that
+much after it, so answers are decided earlier by the deadline margin, the lag to expect of the next decision.
 
-The reserve is the delay that must be expected of the next decision: the waits of the last few seconds are
-kept as the longest of each of SPANS short spans, and the reserve is the longest but one, or half of the
-longest. One pause alone, of a collector or a machine that stood still, is half a forecast: to believe all of
-it would make the driver turn away work that it can do, to believe none let it be surprised where delays grow.
-The second within the window is believed at once, and forgotten when the window has passed over it.
-A quantile over all waits would not do: under load most reads are prompt, and those that matter are not.
-
-What the reserve is for: answers are decided earlier by it; a request with less time than it is refused on
-arrival, with the time at which the reserve should have passed. It does not touch freshness, where a promise
-would be worth nothing: there the time from decision to hand-over is measured (`core/connection_pool.py`).
+The margin is the second longest lag of the last WINDOW_SPANS spans, and at least half of the longest. One
+pause alone, of a garbage collector or a suspended machine, is thus half a forecast: taken whole it would shed
+work that can be done, and ignored it would leave growing lag unseen. A second pause within the window counts
+in full. A quantile over all samples would not do: under load most reads are prompt, and the rest matter.
 """
 
 from __future__ import annotations
 
-SPANS = 16  # kept
-SPAN = 0.25  # s
-HALF = 0.5  # share of the longest wait that counts though it was the only one
-FLOOR = 0.002  # s; waits below this are a loop's ordinary turns
-COME_BACK = 0.1  # s; the least advice to one refused for the driver's own delay
+WINDOW_SPANS = 16
+SPAN_S = 0.25
+SINGLE_PAUSE_WEIGHT = 0.5  # share of the longest lag that counts though it was the only one
+MIN_LAG_S = 0.002  # shorter samples are ordinary turns of the event loop
+MIN_RETRY_AFTER = 0.1  # s; least Retry-After of a request rejected for the lag
 
 
 class EventLoopLag:
-    """The waits of one driver. Pure: time is passed in, in monotonic seconds."""
+    """Lag samples of one process. Pure: moments are passed in, in monotonic seconds."""
 
-    __slots__ = ("_longest", "_number", "_reserve", "peak", "sum", "waits")
+    __slots__ = ("_longest", "_margin", "_span", "longest", "samples", "total")
 
     def __init__(self) -> None:
-        self._longest = [0.0] * SPANS
-        self._number = 0  # of the present span
-        self._reserve = 0.0
-        self.peak = 0.0  # ever, in seconds; for reports
-        self.waits, self.sum = 0, 0.0
+        self._longest = [0.0] * WINDOW_SPANS  # of each span, by its number modulo WINDOW_SPANS
+        self._span = 0  # number of the present span
+        self._margin = 0.0
+        self.longest = 0.0  # s, since the start
+        self.samples = 0
+        self.total = 0.0  # s, of the samples above MIN_LAG_S
 
-    def waited(self, seconds: float, now: float) -> None:
-        """Take one wait that ended now."""
-        self.waits += 1
-        if seconds <= FLOOR:
+    def record(self, seconds: float, now: float) -> None:
+        """Record one wait of so many seconds that ended now."""
+        self.samples += 1
+        if seconds <= MIN_LAG_S:
             return
-        self.sum += seconds
-        if seconds > self.peak:
-            self.peak = seconds
-        self._pass(now)
-        # A long wait touches all the spans it lasted: two that overlap are one pause.
-        index = self._number % SPANS
+        self.total += seconds
+        if seconds > self.longest:
+            self.longest = seconds
+        self._advance(now)
+        # Waits that overlap end in the same span, so one pause counts once.
+        index = self._span % WINDOW_SPANS
         if seconds > self._longest[index]:
             self._longest[index] = seconds
-            self._settle()
+            self._update_margin()
+
+    def deadline_margin(self, now: float) -> float:
+        """Return how many seconds before its deadline an answer has to be decided."""
+        self._advance(now)
+        return self._margin
 
-    def reserve(self, now: float) -> float:
-        """How many seconds before its time an answer has to be decided."""
-        self._pass(now)
-        return self._reserve
+    def margin_below_in(self, seconds: float, now: float) -> float:
+        """Return in how many seconds the margin falls below `seconds`, if no more lag is seen.
 
-    def clears_in(self, below: float, now: float) -> float:
-        """In how many seconds the reserve will be below so many, if no more waits are seen."""
-        self._pass(now)
-        left = 0.0
-        kept = [(age, self._longest[(self._number - age) % SPANS]) for age in range(SPANS)]
-        over = [age for age, longest in kept if longest >= below]
-        if len(over) >= 2:  # until only one of them is left
-            left = (SPANS - over[1]) * SPAN - now % SPAN
-        for age, longest in kept:
-            if HALF * longest >= below:
-                left = max(left, (SPANS - age) * SPAN - now % SPAN)
-        return max(COME_BACK, left)
+        Never less than MIN_RETRY_AFTER.
+        """
+        self._advance(now)
+        clears_in = 0.0
+        by_age = [(age, self._longest[(self._span - age) % WINDOW_SPANS]) for age in range(WINDOW_SPANS)]
+        ages_over = [age for age, lag in by_age if lag >= seconds]
+        if len(ages_over) > 1:  # until only one of them is left
+            clears_in = (WINDOW_SPANS - ages_over[1]) * SPAN_S - now % SPAN_S
+        for age, lag in by_age:
+            if SINGLE_PAUSE_WEIGHT * lag >= seconds:
+                clears_in = max(clears_in, (WINDOW_SPANS - age) * SPAN_S - now % SPAN_S)
+        return max(MIN_RETRY_AFTER, clears_in)
 
-    def _pass(self, now: float) -> None:
-        number = int(now / SPAN)
-        if number <= self._number:
+    def _advance(self, now: float) -> None:
+        """Begin the spans that have come since, and forget as many old ones."""
+        span = int(now / SPAN_S)
+        if span <= self._span:
             return
-        for gone in range(max(self._number, number - SPANS) + 1, number + 1):
-            self._longest[gone % SPANS] = 0.0
-        self._number = number
-        self._settle()
+        for new in range(max(self._span, span - WINDOW_SPANS) + 1, span + 1):
+            self._longest[new % WINDOW_SPANS] = 0.0
+        self._span = span
+        self._update_margin()
 
-    def _settle(self) -> None:
+    def _update_margin(self) -> None:
         first = second = 0.0
-        for longest in self._longest:
-            if longest > first:
-                first, second = longest, first
-            elif longest > second:
-                second = longest
-        self._reserve = max(second, HALF * first)
+        for lag in self._longest:
+            if lag > first:
+                first, second = lag, first
+            elif lag > second:
+                second = lag
+        self._margin = max(second, SINGLE_PAUSE_WEIGHT * first)
--- a/sedgepitch/node/driver.py
+++ b/sedgepitch/node/driver.py
@@ -49,10 +49,10 @@
             reactor,
             self.clock,
             PoolLimits(
-                most=self.descriptors.members_most,
-                connect_within=config.connect_within,
-                idle_for=IDLE_SHARE * config.idle_for,
-                linger=0.0,
+                max_connections=self.descriptors.members_most,
+                connect_timeout=config.connect_within,
+                max_idle_time=IDLE_SHARE * config.idle_for,
+                discard_timeout=0.0,
             ),
             self.descriptors,
             wall,
@@ -72,8 +72,8 @@
             self.clock,
             watch=self._watch,
             log=lambda text: lines.say("module", text=text),
-            handover=HANDOVER,
-            on_fault=self._fault,
+            handover_limit=HANDOVER,
+            on_callback_error=self._fault,
         )
         self.front = Front(self.engine, self.clock, self.engine.classes, wall, self.descriptors)
         self.front.closes.report = self._client_closed
@@ -155,7 +155,7 @@
         """The module asks for changes: they are followed all the time here."""
 
     def _forgotten(self, endpoint: int) -> None:
-        self.engine.drained.pop(endpoint, None)
+        self.engine.draining_since.pop(endpoint, None)
         self.membership.forget(endpoint)
 
     # Signals
@@ -175,7 +175,7 @@
         now = self.clock.now()
         ending = ShutdownSchedule(now, max(c.deadline for c in self.config.settings.classes))
         self.front.ends(ending)
-        self.engine.hurry(ending.answered_by)
+        self.engine.answer_all_by(ending.answered_by)
         if self.opening is not None:
             self.opening.cancel()
         self.lines.say(
@@ -208,7 +208,7 @@
     def _heard(self, arrived: float) -> None:
         if arrived:
             now = self.clock.now()
-            self.engine.waited(now - arrived, now)
+            self.engine.record_wait(now - arrived, now)
 
     def _fault(self, where: str, error: BaseException) -> None:
         trace = error.__traceback__
@@ -256,9 +256,9 @@
         """How the driver itself does."""
         engine, front, now = self.engine, self.front, self.clock.now()
         return {
-            "answered": engine.request_table.settled,
+            "answered": engine.request_table.completed,
             "owed": engine.request_table.pending,
-            "accounts": len(engine.request_table.accounts),
+            "accounts": len(engine.request_table.requests),
             "clients": self.descriptors.clients,
             "accepted": front.accepted,
             "resting": len(front.visitors.resting),
@@ -271,13 +271,13 @@
             "evicted": front.visitors.evicted,
             "spoilt": self.endpoints.spoilt,
             "unread_reports": self.endpoints.unread_reports,
-            "reserve_ms": round(engine.event_loop_lag.reserve(now) * 1000.0, 1),
-            "latest_ms": round(engine.event_loop_lag.peak * 1000.0, 1),
-            "too_many": engine.too_many,
-            "too_slow": engine.too_slow,
-            "hurried": engine.hurried,
-            "overdue": engine.overdue,
-            "faults": engine.faults,
+            "reserve_ms": round(engine.event_loop_lag.deadline_margin(now) * 1000.0, 1),
+            "latest_ms": round(engine.event_loop_lag.longest * 1000.0, 1),
+            "too_many": engine.rejected_for_load,
+            "too_slow": engine.rejected_for_lag,
+            "hurried": engine.answered_early,
+            "overdue": engine.answered_by_last_guard,
+            "faults": engine.callbacks.errors,
             "cpu_s": round(time.process_time(), 2),
         }
 
@@ -288,7 +288,7 @@
             if endpoint.id not in self.membership.present:
                 continue
             link = self.endpoints.links.get(endpoint.id)
-            lanes = (len(link.pool.lanes), len(link.pool.idle)) if link else (0, 0)
+            lanes = (len(link.pool.connections), len(link.pool.idle)) if link else (0, 0)
             role = "P" if self.engine.router.groups[endpoint.group].primary is endpoint else "r"
             words.append(
                 f"{self.membership.names.get(endpoint.id, endpoint.id)}:{endpoint.state.value}/{role}"
--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -22,21 +22,36 @@
         request_table = self.engine.request_table
         figures = {
             "sedgepitch_owed": ("Requests that are owed an answer.", request_table.pending),
-            "sedgepitch_overdue": ("Answers that only the last guard gave.", self.engine.overdue),
-            "sedgepitch_answered_twice": ("Second answers that were held back.", request_table.twice),
-            "sedgepitch_left": ("Clients that left before their answer.", request_table.left),
+            "sedgepitch_overdue": (
+                "Answers that only the last guard gave.",
+                self.engine.answered_by_last_guard,
+            ),
+            "sedgepitch_answered_twice": (
+                "Second answers that were held back.",
+                request_table.duplicate_responses,
+            ),
+            "sedgepitch_left": ("Clients that left before their answer.", request_table.cancelled),
             "sedgepitch_reserve_seconds": (
                 "How much earlier answers are decided, for the driver's own delay.",
-                self.engine.event_loop_lag.reserve(self.engine.clock.now()),
+                self.engine.event_loop_lag.deadline_margin(self.engine.clock.now()),
             ),
             "sedgepitch_latest_seconds": (
                 "The longest that bytes or timers waited.",
-                self.engine.event_loop_lag.peak,
+                self.engine.event_loop_lag.longest,
+            ),
+            "sedgepitch_too_slow": (
+                "Requests refused for the driver's own delay.",
+                self.engine.rejected_for_lag,
+            ),
+            "sedgepitch_too_many": (
+                "Requests refused for the driver's own load.",
+                self.engine.rejected_for_load,
+            ),
+            "sedgepitch_own_limit": ("How many may be inside for its sake.", self.engine.process_limit.limit),
+            "sedgepitch_hurried": (
+                "Answers given early since the driver became late.",
+                self.engine.answered_early,
             ),
-            "sedgepitch_too_slow": ("Requests refused for the driver's own delay.", self.engine.too_slow),
-            "sedgepitch_too_many": ("Requests refused for the driver's own load.", self.engine.too_many),
-            "sedgepitch_own_limit": ("How many may be inside for its sake.", self.engine.own.limit),
-            "sedgepitch_hurried": ("Answers given early since the driver became late.", self.engine.hurried),
         }
         return [GaugeMetricFamily(name, text, value=value) for name, (text, value) in figures.items()]
 
@@ -70,16 +85,16 @@
         """Show an engine's ledger, too."""
         self.registry.register(_Gauges(engine))
 
-    def answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
+    def answered(self, pending: PendingRequest, answer: Response, elapsed: float) -> None:
         """Count one final answer; labelled children are kept, since finding them costs most."""
-        name = account.command.class_name or "cursor"
-        key = (name, answer.verdict.value)
+        name = pending.request.class_name or "cursor"
+        key = (name, answer.status.value)
         children = self._children.get(key)
         if children is None:
             children = self._children[key] = (self.answers.labels(*key), self.seconds.labels(name))
         children[0].inc()
         children[1].observe(elapsed)
-        for endpoint in account.endpoints:
+        for endpoint in pending.attempted_endpoints:
             counter = self._members.get(endpoint)
             if counter is None:
                 counter = self._members[endpoint] = self.attempts.labels(str(endpoint))
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -80,26 +80,26 @@
         self.numbers: dict[str, float] = {}
         self.bad = 0  # words that were no digest
         self.stopped = False
-        engine.looks_on = self
+        engine.attempt_observer = self
 
     # What the engine tells
 
-    def arrived(self) -> None:
+    def request_received(self) -> None:
         """One request came in."""
         self.evidence.arrived(self.clock.now())
 
-    def sent(self, endpoint: int) -> None:
+    def attempt_sent(self, endpoint: int) -> None:
         """One attempt was sent."""
         if (zone := self._zone_of(endpoint)) is not None:
             self.evidence.sent(self.clock.now(), endpoint, zone)
 
-    def ended(self, endpoint: int, result: AttemptResult, share_of_aim: float) -> None:
+    def attempt_ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
         """It ended. One that was called off, or never left, says nothing of a member."""
         zone, now = self._zone_of(endpoint), self.clock.now()
         if zone is None:
             return
         if result in ANSWERED:
-            self.evidence.good(now, endpoint, zone, share_of_aim)
+            self.evidence.good(now, endpoint, zone, latency_ratio)
         elif result is AttemptResult.TIMEOUT:
             self.evidence.silent(now, endpoint, zone)
         elif result in BROKEN:
@@ -119,7 +119,7 @@
     def stop(self) -> None:
         """End; the shares stay as they are."""
         self.stopped = True
-        self.engine.looks_on = None
+        self.engine.attempt_observer = None
 
     def changed(self, what: str, name: str) -> None:
         """A peer's word or life has changed."""
@@ -170,7 +170,7 @@
         rows = self.evidence.rows(now, suspects, {z: up[z] for z in self._sizes()}, in_part)
         gossip = self.peers.gossip
         slow = gossip is not None and gossip.awareness >= gossip.settings.awareness_most // 2
-        fit = now >= self.unfit_until and not slow and not self.engine.own.late
+        fit = now >= self.unfit_until and not slow and not self.engine.process_limit.overloaded
         return Digest(self.zone, round(self.evidence.demand, 2), fit, rows, self.zones.stances(now))
 
     def _sizes(self) -> dict[str, float]:
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -61,7 +61,7 @@
         """Note how long the bytes had waited that are now read, where that is known."""
         if getattr(transport, "arrived", 0.0):
             now = self.clock.now()
-            self.engine.waited(transport.read_delay(now), now)
+            self.engine.record_wait(transport.read_delay(now), now)
 
 
 def hello_reply(context: Context, number: int, compressors: list[str]) -> dict[str, Any]:
@@ -181,7 +181,7 @@
             self.waiting = None
         if self.account is not None:
             account, self.account = self.account, None
-            self.context.engine.gone(account)
+            self.context.engine.client_disconnected(account)
 
     # Commands
 
@@ -192,7 +192,7 @@
         engine.before_reading()
         if self.since and self.greeted:
             waited = self.context.clock.now() - self.since
-            if engine.unread(waited, self.tenant) and (message := codec.head(frame)) is not None:
+            if engine.reject_unread(waited, self.tenant) and (message := codec.head(frame)) is not None:
                 body = errors.refused("this driver has more than it can read", waited, True, False)
                 self._reply(message, body)
                 return
@@ -284,12 +284,12 @@
     def _answered(self, request: Request) -> Callable[[Response], None]:
         def answered(answer: Response) -> None:
             self.account = None
-            if answer.verdict is ResponseStatus.SERVED:
+            if answer.status is ResponseStatus.SERVED:
                 self._pass_on(request, answer)
                 return
             writes = request.facts.writes
-            if answer.verdict is ResponseStatus.REJECTED:
-                body = errors.refused(answer.why, answer.retry_after, writes, answer.promised)
+            if answer.status is ResponseStatus.REJECTED:
+                body = errors.refused(answer.why, answer.retry_after, writes, answer.reserved)
             else:
                 body = errors.failed(answer.why, writes)
             self._reply(request.message, body)
@@ -325,7 +325,7 @@
         if cursor is None:
             self._reply(request.message, errors.cursor_not_found(number))
             return
-        if not may_go_on(context.engine.drained.get(cursor.endpoint), context.drain_grace, now):
+        if not may_go_on(context.engine.draining_since.get(cursor.endpoint), context.drain_grace, now):
             context.cursors.close(number)
             self._reply(request.message, errors.cursor_not_found(number))
             return
@@ -336,7 +336,7 @@
 
         def answered(answer: Response) -> None:
             self.account = None
-            if answer.verdict is not ResponseStatus.SERVED:
+            if answer.status is not ResponseStatus.SERVED:
                 context.cursors.close(
                     number
                 )  # whether the batch was taken is not known: there is no going on
@@ -438,7 +438,7 @@
     now = context.clock.now()
     for cursor in ended:
         link = context.endpoints.links.get(cursor.endpoint)
-        drained = context.engine.drained.get(cursor.endpoint)
+        drained = context.engine.draining_since.get(cursor.endpoint)
         if link is None or not may_go_on(drained, context.drain_grace, now):
             continue
         database, _, collection = cursor.namespace.partition(".")
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -245,7 +245,7 @@
 
     # The engine's side
 
-    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
+    def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Open pools for new members; one that is gone keeps its pool for what is under way."""
         for entry in entries:
             address = self.addresses.get(entry.endpoint)
@@ -267,7 +267,7 @@
         """Close what is not in use."""
         self.links[endpoint].pool.close_idle()
 
-    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
+    def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask a member by hello, and the primary for a mark where the newest is too old."""
         link = self.links[endpoint]
         group = self.positions[link.group]
@@ -320,7 +320,7 @@
         self._ask(link, over, MARK_WITHIN)
 
     def _ask(self, link: _Link, on_end: AttemptCallback, within: float | None = None) -> None:
-        link.probes.ask(self.hello, on_end, within or self.probe_within)
+        link.probes.send_with_timeout(self.hello, on_end, within or self.probe_within)
 
     def _with_position(self, link: _Link, end: AttemptOutcome) -> AttemptOutcome:
         if end.report is None or end.report.primary is True:
@@ -344,14 +344,14 @@
             opening = Opening(
                 lambda: MemberConnection(self.app_name, greeted, failed, lost, self.heard),
                 failed,
-                self.limits.connect_within,
+                self.limits.connect_timeout,
             )
-            opening.open(self.reactor, address, max(1.0, self.limits.connect_within))
+            opening.open(self.reactor, address, max(1.0, self.limits.connect_timeout))
             return opening.give_up
 
         def judge(exchange: Any, message: Message) -> AttemptOutcome:
             end = self._judge(endpoint, group, exchange, message)
-            end.arrived = message.arrived
+            end.received_at = message.arrived
             return end
 
         def judge_probe(exchange: Any, message: Message) -> AttemptOutcome:
@@ -363,7 +363,7 @@
                 AttemptResult.OK, report=LoadReport(sighting.position, sighting.primary, hello.load)
             )
 
-        probe_limits = PoolLimits(4, self.probe_within, self.limits.idle_for)
+        probe_limits = PoolLimits(4, self.probe_within, self.limits.max_idle_time)
         return _Link(
             endpoint,
             group,
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -176,7 +176,7 @@
         arrived = getattr(self.transport, "arrived", 0.0)
         if arrived and not self.stopped:
             now = front.clock.now()
-            front.engine.waited(self.transport.read_delay(now), now)
+            front.engine.record_wait(self.transport.read_delay(now), now)
         if not self.reader.held:
             self.since = arrived or front.clock.now()
             front.visitors.spoke(self)
@@ -307,8 +307,8 @@
             number=self.number,
             reason=self.close_reason or _reason_of(lost),
             detail=lost.getErrorMessage(),
-            request=account.command.payload.id.decode("ascii", "replace") if account is not None else "",
-            attempts=account.attempts if account is not None else 0,
+            request=account.request.payload.id.decode("ascii", "replace") if account is not None else "",
+            attempts=account.attempt_count if account is not None else 0,
             read_bytes=self.reader.held,
             lasted=self.front.clock.now() - self.accepted_at,
         )
@@ -316,8 +316,8 @@
     def _forget_request(self) -> None:
         if self.account is not None:
             account, self.account = self.account, None
-            self.front.open_ids.pop(account.command.payload.id, None)
-            self.front.engine.gone(account)
+            self.front.open_ids.pop(account.request.payload.id, None)
+            self.front.engine.client_disconnected(account)
 
     # Statements
 
@@ -350,7 +350,7 @@
         owner = self.front.open_ids.get(request)
         if owner is None:
             return True
-        if owner.account is None or owner.account.attempts or not transport.left(owner.transport):
+        if owner.account is None or owner.account.attempt_count or not transport.left(owner.transport):
             return False
         owner.leave()
         return True
@@ -407,9 +407,9 @@
 
     def _answer(self, answer: Response) -> None:
         front = self.front
-        if answer.verdict is ResponseStatus.SERVED:
+        if answer.status is ResponseStatus.SERVED:
             out = answer.reply + codec.READY
-        elif answer.verdict is ResponseStatus.REJECTED:
+        elif answer.status is ResponseStatus.REJECTED:
             retry_after = min(answer.retry_after, front.most_come_back)
             pause = str(max(1, round(retry_after * 1000.0))) if retry_after > 0 else ""
             out = codec.error(REFUSED, answer.why or "refused", pause) + codec.READY
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits, Room
+from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.net import transport
 from sedgepitch.net.connecting import Opening
@@ -285,7 +285,7 @@
         reactor: Any,
         clock: Clock,
         limits: PoolLimits,
-        room: Room,
+        room: ConnectionBudget,
         wall: float,
         probe_within: float,
         names: Names | None = None,
@@ -303,7 +303,7 @@
 
     # The engine's side
 
-    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
+    def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Take the list: new members, new addresses, and those that are gone."""
         now = self.clock.now()
         for entry in entries:
@@ -331,12 +331,12 @@
             self.close_longest_idle()
         return link.pool.send(payload, on_end, by)
 
-    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
+    def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask a member for its report."""
         if (link := self.links.get(endpoint)) is None:
             self.clock.soon(on_end, AttemptOutcome(AttemptResult.NOT_SENT, why="not listed any more"))
         else:
-            link.pool.ask(Probe(), on_end, self.probe_within)
+            link.pool.send_with_timeout(Probe(), on_end, self.probe_within)
 
     def close_idle(self, endpoint: int) -> None:
         """Close what is not in use."""
@@ -369,10 +369,10 @@
     def _tidy(self) -> None:
         now = self.clock.now()
         for link in list(self.links.values()):
-            link.pool.tidy()
+            link.pool.close_expired()
             if link.gone_at < now:
                 link.pool.close_idle()
-                if not link.pool.lanes:
+                if not link.pool.connections:
                     del self.links[link.id]
                     self.forgotten(link.id)
         self.clock.call_later(TIDY_EVERY, self._tidy)
@@ -384,8 +384,8 @@
             made = MemberConnection(self.names, self.clock.now, ready, failed, lost, self.heard)
             if self.trace is not None:
                 made.note = self.trace(endpoint)
-            opening = Opening(lambda: made, failed, self.limits.connect_within)
-            opening.open(self.reactor, address, self.limits.connect_within + 1.0)
+            opening = Opening(lambda: made, failed, self.limits.connect_timeout)
+            opening.open(self.reactor, address, self.limits.connect_timeout + 1.0)
 
             def give_up() -> None:
                 if made.transport is None:
@@ -409,9 +409,9 @@
             self.spoilt += 1
             self.say("member.spoilt", endpoint=endpoint, why=reply.spoilt)
             return AttemptOutcome(
-                AttemptResult.ERROR, why=f"spoilt answer: {reply.spoilt}", arrived=reply.arrived
+                AttemptResult.ERROR, why=f"spoilt answer: {reply.spoilt}", received_at=reply.arrived
             )
-        end = AttemptOutcome(self._result(reply), arrived=reply.arrived)
+        end = AttemptOutcome(self._result(reply), received_at=reply.arrived)
         if reply.code:
             end.why = f"code {reply.code}"
         primary = {self.names.primary: True, self.names.replica: False}.get(reply.role)
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -12,6 +12,8 @@
 
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
+from sedgepitch.core.completion import Completion
+from sedgepitch.core.deadlines import NEVER, Deadlines
 from sedgepitch.protocols.mongodb.client import ClientConnection
 from sedgepitch.routing.messages import EndpointState
 from sedgepitch.routing.router import Router
@@ -19,8 +21,8 @@
 
 def lose_requests() -> None:
     """Rule 1: a refusal never leaves, and the last guard is gone."""
-    engine.Engine._last_guard = lambda self, account: None
-    engine.Engine._refuse = lambda self, action: None
+    Deadlines._answer_last = lambda self, pending: None
+    Completion.reject = lambda self, action: None
 
 
 def resend_anything() -> None:
@@ -75,14 +77,15 @@
 def send_after_the_answer() -> None:
     """Rule 1: what was decided before the answer is still sent long after it."""
 
-    def settle(self, account, answer):
-        if account.open and answer.endpoint is not None and not account.command.payload.writes:
-            again = (answer.endpoint, account.command.payload, lambda end: None, engine.NEVER)
-            self.clock.call_later(1.6, self.endpoints.send, *again)
-        true_settle(self, account, answer)
+    def respond(self, pending, response):
+        upstream = self.engine.upstream
+        if pending.open and response.endpoint is not None and not pending.request.payload.writes:
+            again = (response.endpoint, pending.request.payload, lambda outcome: None, NEVER)
+            self.engine.clock.call_later(1.6, upstream.send, *again)
+        true_respond(self, pending, response)
 
-    true_settle = engine.Engine._settle
-    engine.Engine._settle = settle
+    true_respond = Completion.respond
+    Completion.respond = respond
 
 
 def forget_own_delay() -> None:
--- a/tests/support/golden_admission.py
+++ b/tests/support/golden_admission.py
@@ -14,11 +14,12 @@
 from typing import Any
 
 from sedgepitch.decisions.admission.capacity_estimate import CapacityEstimate
-from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
-from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
+from sedgepitch.decisions.admission.controller import AdmissionController
+from sedgepitch.decisions.admission.fair_queue import FairQueue, QueuedRequest
 from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit
 from sedgepitch.decisions.admission.process_concurrency_limit import ProcessConcurrencyLimit
 from sedgepitch.decisions.admission.reservations import ReservationSchedule
+from sedgepitch.decisions.admission.settings import AdmissionSettings
 from sedgepitch.decisions.event_loop_lag import EventLoopLag
 
 LENGTH_S = 3.0
@@ -52,16 +53,16 @@
 def draw_settings(rng: random.Random) -> AdmissionSettings:
     """Draw settings, among them small bounds that are soon reached."""
     return AdmissionSettings(
-        weights={f"tenant-{n}": rng.choice((0.5, 2.0, 4.0)) for n in range(rng.randrange(4))},
+        tenant_weights={f"tenant-{n}": rng.choice((0.5, 2.0, 4.0)) for n in range(rng.randrange(4))},
         default_weight=rng.choice((1.0, 1.0, 2.0)),
-        most_held=rng.choice((10, 60, 2000)),
-        most_waiting_inside=rng.choice((2, 8)),
-        most_at_a_turn=rng.choice((2, 32)),
-        hold_share=rng.choice((0.2, 0.4)),
-        most_debts=rng.choice((16, 4096)),
-        most_promises=rng.choice((30, 10_000)),
-        horizon=rng.choice((1.0, 5.0)),
-        retry_share=rng.choice((0.0, 0.2)),
+        max_queued=rng.choice((10, 60, 2000)),
+        max_waiting_in_router=rng.choice((2, 8)),
+        max_admitted_per_turn=rng.choice((2, 32)),
+        max_queueing_share=rng.choice((0.2, 0.4)),
+        max_tracked_tenants=rng.choice((16, 4096)),
+        max_reservations=rng.choice((30, 10_000)),
+        reservation_horizon=rng.choice((1.0, 5.0)),
+        retry_budget_share=rng.choice((0.0, 0.2)),
     )
 
 
@@ -148,7 +149,12 @@
         """Some clients retry: at the time that they were told, too early, or too late."""
         draw = self.rng.random()
         cls = next(c for c in CLASSES if c[0] == request.class_name)
-        again = lambda: self.ask(request.tenant, cls, request.mark, request.key or f"key-{request.mark}")  # noqa: E731
+        token = request.reservation_token
+        key = request.idempotency_key or f"key-{token}"
+
+        def again() -> None:
+            self.ask(request.tenant, cls, token, key)
+
         if retry_after_s > 0 and draw < 0.6:
             self.at(retry_after_s + self.rng.choice((0.0, 0.01, 0.2, 0.6)), again)
         elif draw < 0.7:
@@ -161,7 +167,7 @@
             if number not in self.requests:
                 continue
             if self.rng.random() < self.refuses_inside:
-                promise_s = self.controller.promise(number, self.now)
+                promise_s = self.controller.reserve(number, self.now)
                 self.digest.line("promise", self.now, number, promise_s)
                 request = self.requests.pop(number)
                 self.come_back(request, promise_s)
@@ -175,7 +181,7 @@
 
     def take_seen(self) -> None:
         """The router has been asked about all that was admitted."""
-        decisions = self.controller.seen(self.now)
+        decisions = self.controller.router_decided(self.now)
         if decisions:
             self.take(decisions)
 
@@ -197,8 +203,8 @@
     def tick(self) -> None:
         """Look at what has been held, and at the process's own load."""
         self.at(TICK_S, self.tick)
-        self.process_limit.waited(self.pause_s * self.rng.random(), self.controller.inside, self.now)
-        self.controller.own_limit = self.process_limit.limit
+        self.process_limit.record(self.pause_s * self.rng.random(), self.controller.in_flight, self.now)
+        self.controller.process_limit = self.process_limit.limit
         self.take(self.controller.tick(self.now))
         self.write_state()
 
@@ -206,7 +212,11 @@
         """Write down what an operator is shown."""
         controller = self.controller
         self.digest.line(
-            "counts", controller.held, controller.inside, controller.busiest, controller.own_limit
+            "counts",
+            controller.queued,
+            controller.in_flight,
+            controller.most_active_tenant,
+            controller.process_limit,
         )
         shown = controller.state(self.now)
         held, rooms, largest = shown.values()
@@ -239,16 +249,18 @@
         now += rng.choice((0.0, 0.001, 0.005, 0.02))
         if rng.random() < 0.002:
             base_s *= rng.choice((0.4, 2.5))
-        if inside < estimate.bound:
+        if inside < estimate.current_limit:
             inside += 1
-            estimate.inside(inside, now)
+            estimate.record_in_flight(inside, now)
         elif rng.random() < 0.7:
             inside -= 1
             took_s = base_s * rng.uniform(0.8, 1.3) * (1.0 + inside / 10.0)
             name = rng.choice(("read", "map", "upload"))
-            estimate.answered(name, {"read": 0.05, "map": 0.2, "upload": 0.0}[name], took_s, now - took_s)
-        estimate.measure(now)
-        digest.line("capacity", estimate.limit, estimate.bound, estimate.dipping)
+            estimate.record_latency(
+                name, {"read": 0.05, "map": 0.2, "upload": 0.0}[name], took_s, now - took_s
+            )
+        estimate.update(now)
+        digest.line("capacity", estimate.limit, estimate.current_limit, estimate.probing)
 
 
 def play_process_limits(seed: int, digest: Digest) -> None:
@@ -260,12 +272,21 @@
         if rng.random() < 0.02:
             scale_s = rng.choice((0.0005, 0.005, 0.05, 0.5))
         wait_s = scale_s * rng.random()
-        lag.waited(wait_s, now)
-        limit.waited(wait_s, rng.choice((2, 20, int(limit.limit))), now)
-        digest.line("lag", lag.reserve(now), lag.clears_in(rng.choice((0.01, 0.1, 0.4)), now), lag.peak)
+        lag.record(wait_s, now)
+        limit.record(wait_s, rng.choice((2, 20, int(limit.limit))), now)
+        digest.line(
+            "lag",
+            lag.deadline_margin(now),
+            lag.margin_below_in(rng.choice((0.01, 0.1, 0.4)), now),
+            lag.longest,
+        )
         waited_s = rng.uniform(0.0, 0.1)
         digest.line(
-            "process", limit.limit, limit.late, limit.swamped(waited_s, rng.random() < 0.5), limit.cuts
+            "process",
+            limit.limit,
+            limit.overloaded,
+            limit.rejects_unread(waited_s, rng.random() < 0.5),
+            limit.decreases,
         )
 
 
@@ -278,13 +299,13 @@
         kind, tenant = rng.randrange(10), f"tenant-{rng.randrange(4)}"
         mark = f"{tenant} mark {rng.randrange(12)}"
         if kind == 0:
-            schedule.measured(rng.uniform(0.2, 5.0), now)
+            schedule.update_rate(rng.uniform(0.2, 5.0), now)
         elif kind < 6:
             args = (rng.uniform(0.001, 0.05), rng.choice((0.2, 0.5, 1.0)), rng.uniform(0.0, 0.5), now)
-            digest.line("told", schedule.promise(mark, tenant, *args))
+            digest.line("told", schedule.reserve(mark, tenant, *args))
         else:
-            digest.line("kept", schedule.comes(mark, now))
-        digest.line("reservations", len(schedule.all), schedule.ended)
+            digest.line("kept", schedule.redeem(mark, now))
+        digest.line("reservations", len(schedule.reservations), schedule.revoked)
 
 
 def play_fair_queue(seed: int, digest: Digest) -> None:
@@ -296,26 +317,26 @@
         weight, cost_s = rng.choice((0.5, 1.0, 3.0)), rng.uniform(0.001, 0.05)
         kind = rng.randrange(12)
         if kind < 6:
-            waiting[number] = Held(
+            waiting[number] = QueuedRequest(
                 number, tenant, f"client-{rng.randrange(4)}", rng.choice((1.0, 3.0)), cost_s, weight
             )
             queue.push(waiting[number])
         elif kind < 9:
             taken = queue.pop()
-            digest.line("pop", taken and (taken.id, taken.start))
+            digest.line("pop", taken and (taken.id, taken.start_tag))
             if taken is not None:
                 del waiting[taken.id]
         elif kind == 9 and waiting:
-            queue.drop(waiting.pop(rng.choice(list(waiting))))
+            queue.remove(waiting.pop(rng.choice(list(waiting))))
         elif kind == 10:
-            queue.served_at_once(tenant, cost_s, weight)
+            queue.charge(tenant, cost_s, weight)
             queue.correct(f"tenant-{rng.randrange(12)}", rng.uniform(-0.02, 0.05), weight)
-        elif (fullest := queue.largest()) is not None and rng.random() < 0.3:
+        elif (fullest := queue.longest()) is not None and rng.random() < 0.3:
             shed = queue.shed_from(fullest)
             digest.line("shed", shed and shed.id)
             if shed is not None:
                 del waiting[shed.id]
-        digest.line("queue", queue.waiting, queue.cost, queue.time, queue.debt(tenant))
+        digest.line("queue", queue.length, queue.cost, queue.virtual_time, queue.lead(tenant))
 
 
 def play_limits(seed: int) -> dict[str, str]:
--- a/tests/support/golden_engine.py
+++ b/tests/support/golden_engine.py
@@ -17,7 +17,8 @@
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import AttemptOutcome, ClientRequest
-from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.decisions.admission.controller import AdmissionController
+from sedgepitch.decisions.admission.settings import AdmissionSettings
 from sedgepitch.routing import messages
 from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import Router
@@ -38,8 +39,8 @@
 class PlayedAttempt:
     """One attempt at an endpoint; it may wait for its connection before it leaves."""
 
-    def __init__(self, play: EnginePlay, number: int, on_end: Any, begun: bool) -> None:
-        self.play, self.number, self.on_end, self.has_begun = play, number, on_end, begun
+    def __init__(self, play: EnginePlay, number: int, on_end: Any, started: bool) -> None:
+        self.play, self.number, self.on_end, self.has_started = play, number, on_end, started
         self.over = False
 
     def abandon(self) -> None:
@@ -47,20 +48,20 @@
         self.over = True
         self.play.write("abandon", self.number)
 
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether it left."""
-        return self.has_begun
+        return self.has_started
 
     def withdraw(self) -> bool:
         """Take it back where it has not left."""
-        self.play.write("withdraw", self.number, self.has_begun)
-        if not self.has_begun:
+        self.play.write("withdraw", self.number, self.has_started)
+        if not self.has_started:
             self.over = True
-        return not self.has_begun
+        return not self.has_started
 
     def begin(self) -> None:
         """It leaves."""
-        self.has_begun = True
+        self.has_started = True
 
     def end(self, outcome: AttemptOutcome) -> None:
         """Tell its outcome once."""
@@ -82,7 +83,7 @@
         self.classes = [c.name for c in settings.classes]
         admission = None
         if seed % 2:
-            limits = AdmissionSettings(most_held=self.rng.choice((5, 100)), most_waiting_inside=4)
+            limits = AdmissionSettings(max_queued=self.rng.choice((5, 100)), max_waiting_in_router=4)
             admission = AdmissionController(limits, seed, self.clock.now())
         self.engine = Engine(
             Router(settings, seed),
@@ -92,11 +93,11 @@
             admission=admission,
             watch=lambda: self.write("watch"),
             log=lambda text: self.write("log"),
-            observe=self.observe,
-            on_fault=lambda where, error: self.write("fault", where, type(error).__name__),
+            on_response=self.observe,
+            on_callback_error=lambda where, error: self.write("fault", where, type(error).__name__),
         )
         if seed % 3 == 0:
-            self.engine.looks_on = self
+            self.engine.attempt_observer = self
         self.pending: dict[int, Any] = {}
         self.attempts = self.number = 0
         self.fault: dict[int, AttemptResult | None] = dict.fromkeys(ENDPOINTS, AttemptResult.OK)
@@ -116,11 +117,11 @@
         while self.clock.now() < START_S + LENGTH_S:
             if self.pauses and self.rng.random() < 0.01:
                 self.task.rightNow += self.rng.choice((0.02, 0.2, 0.5))
-                self.engine.waited(self.rng.choice((0.01, 0.2)), self.clock.now())
+                self.engine.record_wait(self.rng.choice((0.01, 0.2)), self.clock.now())
                 self.engine.before_reading()
             self.task.advance(STEP_S)
             self.task.advance(0.0)
-        self.engine.hurry(self.clock.now() + 0.1)
+        self.engine.answer_all_by(self.clock.now() + 0.1)
         for _ in range(100):
             self.task.advance(0.01)
         self.write_counters()
@@ -159,12 +160,12 @@
         if rng.random() < 0.1:
             self.clock.call_later(rng.uniform(0.0, 0.2), self.disconnect, number)
         if rng.random() < 0.05:
-            self.write("unread", self.engine.unread(rng.uniform(0.0, 0.2), "tenant-1"))
+            self.write("unread", self.engine.reject_unread(rng.uniform(0.0, 0.2), "tenant-1"))
 
     def disconnect(self, number: int) -> None:
         """A client closes its connection, answered or not."""
         self.write("disconnect", number, self.pending[number].open)
-        self.engine.gone(self.pending[number])
+        self.engine.client_disconnected(self.pending[number])
 
     def answered(self, number: int, response: Any) -> None:
         """Write down a final answer."""
@@ -175,16 +176,16 @@
     def shown(self, response: Any) -> tuple[object, ...]:
         """Return what an answer says, its reason left out."""
         return (
-            response.verdict.value,
+            response.status.value,
             response.reply,
             response.endpoint,
             response.retry_after,
-            response.promised,
+            response.reserved,
         )
 
     def observe(self, pending: Any, response: Any, elapsed_s: float) -> None:
         """Write down what the log and the metrics are told."""
-        self.write("observe", pending.id, pending.endpoints, self.shown(response), elapsed_s)
+        self.write("observe", pending.id, pending.attempted_endpoints, self.shown(response), elapsed_s)
         if self.rng.random() < self.raises:
             raise CallbackFailed
 
@@ -217,7 +218,7 @@
         report = messages.LoadReport(position, primary, float(self.rng.randrange(5)))
         attempt.end(AttemptOutcome(result, attempt.number, primary, position, report, "text", arrived))
 
-    def probe(self, endpoint: int, on_end: Any) -> None:
+    def check_health(self, endpoint: int, on_end: Any) -> None:
         """Answer a health check."""
         self.write("probe", endpoint)
         if self.rng.random() < self.raises:
@@ -230,21 +231,21 @@
         """Connections that are not in use are closed."""
         self.write("close idle", endpoint)
 
-    def listed(self, entries: Any, complete: bool) -> None:
+    def update_endpoints(self, entries: Any, complete: bool) -> None:
         """Take the endpoint list."""
         self.write("listed", len(entries), complete)
 
     # An observer of attempts
 
-    def arrived(self) -> None:
+    def request_received(self) -> None:
         """One request came in."""
         self.write("observer arrived")
 
-    def sent(self, endpoint: int) -> None:
+    def attempt_sent(self, endpoint: int) -> None:
         """One attempt was sent."""
         self.write("observer sent", endpoint)
 
-    def ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
+    def attempt_ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
         """One attempt ended."""
         self.write("observer ended", endpoint, result.value, latency_ratio)
 
@@ -282,7 +283,19 @@
         engine = self.engine
         table = engine.request_table
         self.write(
-            "table", len(table.accounts), table.pending, table.opened, table.settled, table.left, table.twice
+            "table",
+            len(table.requests),
+            table.pending,
+            table.opened,
+            table.completed,
+            table.cancelled,
+            table.duplicate_responses,
         )
-        counters = (engine.overdue, engine.hurried, engine.too_slow, engine.too_many, engine.faults)
-        self.write("counters", *counters, sorted(engine.drained.items()), engine.own.limit)
+        counters = (
+            engine.answered_by_last_guard,
+            engine.answered_early,
+            engine.rejected_for_lag,
+            engine.rejected_for_load,
+            engine.callbacks.errors,
+        )
+        self.write("counters", *counters, sorted(engine.draining_since.items()), engine.process_limit.limit)
--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -38,7 +38,7 @@
     def abandon(self) -> None:
         self.abandoned = True
 
-    def begun(self) -> bool:
+    def started(self) -> bool:
         return True
 
     def withdraw(self) -> bool:
@@ -63,13 +63,13 @@
         self.sent.append(Sent(endpoint, payload, on_end))
         return self.sent[-1]
 
-    def probe(self, endpoint, on_end):
+    def check_health(self, endpoint, on_end):
         on_end(AttemptOutcome(api.AttemptResult.OK, report=api.LoadReport(0.0, False)))
 
     def close_idle(self, endpoint):
         pass
 
-    def listed(self, entries, complete):
+    def update_endpoints(self, entries, complete):
         pass
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,10 +11,12 @@
 from hypothesis import strategies as st
 
 from sedgepitch.core.types import ClientRequest, ResponseStatus
-from sedgepitch.decisions.admission.controller import LEAST_ALLOWANCE, AdmissionController, AdmissionSettings
-from sedgepitch.decisions.admission.fair_queue import FairQueue, Held
+from sedgepitch.decisions.admission.controller import AdmissionController
+from sedgepitch.decisions.admission.fair_queue import FairQueue, QueuedRequest
 from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit, Reject
-from sedgepitch.decisions.admission.reservations import GRACE, SLOT, ReservationSchedule
+from sedgepitch.decisions.admission.pool import MIN_ALLOWANCE
+from sedgepitch.decisions.admission.reservations import GRACE_S, SLOT_S, ReservationSchedule
+from sedgepitch.decisions.admission.settings import AdmissionSettings
 from tests.support.mongodb_harness import Front
 
 
@@ -35,7 +37,7 @@
         self.tenant: dict[int, str] = {}
         self.verdicts: dict[int, list] = {}
         self.used: dict[str, float] = {}
-        self.most_held = 0
+        self.max_queued = 0
 
     def at(self, when: float, what: str, item: object) -> None:
         self.order += 1
@@ -70,7 +72,7 @@
                 tenant = self.tenant[item]
                 self.used[tenant] = self.used.get(tenant, 0.0) + self.cost[item]
                 self.take(self.admission.ended(item, self.now, True))
-            self.most_held = max(self.most_held, self.admission.held)
+            self.max_queued = max(self.max_queued, self.admission.queued)
 
 
 def flood(rates: dict[str, float], cost, seconds=20.0, servers=4, seed=1, **changes) -> Fleet:
@@ -99,7 +101,7 @@
 
 
 def test_weights_count():
-    got = shares(flood({"a": 900.0, "b": 900.0}, lambda t: 0.01, weights={"a": 3.0}))
+    got = shares(flood({"a": 900.0, "b": 900.0}, lambda t: 0.01, tenant_weights={"a": 3.0}))
     assert got["a"] == pytest.approx(0.75, abs=0.03)
 
 
@@ -127,7 +129,9 @@
 def test_memory_stays_flat_over_ten_thousand_clients_that_ask_once():
     rng = random.Random(1)
     fleet = Fleet(
-        AdmissionController(AdmissionSettings(most_held=200, most_debts=100, most_promises=500), 1, 0.0),
+        AdmissionController(
+            AdmissionSettings(max_queued=200, max_tracked_tenants=100, max_reservations=500), 1, 0.0
+        ),
         2,
         rng,
     )
@@ -135,13 +139,13 @@
         fleet.ask(number / 2000.0, arrival(number, f"t{number}"), 0.01)
     fleet.run(60.0)
     admission = fleet.admission
-    assert fleet.most_held <= 200
-    assert len(admission.refused) <= 500
-    assert not admission.tickets and not admission.held and not len(admission.wheel)
-    for room in admission.rooms.values():
-        assert len(room.queue.debts) <= 100
-        assert len(room.calendar.all) <= 500
-        assert not room.queue.tenants
+    assert fleet.max_queued <= 200
+    assert len(admission._retry_budget.rejected_keys) <= 500
+    assert not admission.requests and not admission.queued and not len(admission._queue_timers)
+    for pool in admission.pools.values():
+        assert len(pool.queue.finish_tags) <= 100
+        assert len(pool.reservations.reservations) <= 500
+        assert not pool.queue.tenants
     assert set(fleet.verdicts) == set(range(10_000))
 
 
@@ -152,7 +156,7 @@
     when = 0.0
     while (when := when + rng.expovariate(800.0)) < 12.0:  # twice what the fleet can do
         number += 1
-        fleet.ask(when, arrival(number, f"t{number % 20}", mark=f"m{number}"), 0.01)
+        fleet.ask(when, arrival(number, f"t{number % 20}", reservation_token=f"m{number}"), 0.01)
     due: list[tuple[float, str, str]] = []
     for second in range(1, 1500):
         fleet.run(second * 0.01)
@@ -161,7 +165,7 @@
                 if isinstance(verdict, Reject) and verdict.retry_after > 0 and n not in promised:
                     promised[n] = fleet.now + verdict.retry_after
                     number += 1
-                    again = arrival(number, fleet.tenant[n], mark=f"m{n}", time_left=0.5)
+                    again = arrival(number, fleet.tenant[n], reservation_token=f"m{n}", time_left=0.5)
                     fleet.ask(promised[n] + 0.01, again, 0.01)
                     due.append((promised[n], number, n))
     back = [new for at, new, _ in due if at < 13.0]
@@ -171,39 +175,44 @@
 
 
 def test_a_promise_holds_in_its_slot_not_before_and_once():
-    calendar = ReservationSchedule(100, 5.0, 1)
-    assert calendar.promise("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # nothing measured yet
-    calendar.measured(1.0, 10.0)
-    told = calendar.promise("x", "t", 0.01, 1.0, 0.2, 10.0)
-    assert 0.2 <= told <= 0.2 + 3 * SLOT
-    assert not calendar.comes("x", 10.0 + 0.05)  # early: no advantage, and it keeps its promise
-    assert calendar.comes("x", 10.0 + told)
-    assert not calendar.comes("x", 10.0 + told)
-    late = calendar.promise("y", "t", 0.01, 1.0, 0.2, 10.0)
-    assert not calendar.comes("y", 10.0 + late + SLOT + GRACE + 0.01)
-    assert not calendar.all and not calendar.booked and not calendar.booked_by and not calendar.by_mark
+    schedule = ReservationSchedule(100, 5.0, 1)
+    assert schedule.reserve("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # nothing measured yet
+    schedule.update_rate(1.0, 10.0)
+    told = schedule.reserve("x", "t", 0.01, 1.0, 0.2, 10.0)
+    assert 0.2 <= told <= 0.2 + 3 * SLOT_S
+    assert not schedule.redeem("x", 10.0 + 0.05)  # early: no advantage, and it keeps its promise
+    assert schedule.redeem("x", 10.0 + told)
+    assert not schedule.redeem("x", 10.0 + told)
+    late = schedule.reserve("y", "t", 0.01, 1.0, 0.2, 10.0)
+    assert not schedule.redeem("y", 10.0 + late + SLOT_S + GRACE_S + 0.01)
+    assert (
+        not schedule.reservations
+        and not schedule.reserved_cost
+        and not schedule.tenant_reserved_cost
+        and not schedule.by_token
+    )
 
 
 def test_promises_never_exceed_the_room_and_the_latest_end_when_it_falls():
-    calendar = ReservationSchedule(10_000, 5.0, 1)
-    calendar.measured(4.0, 0.0)
-    told = [calendar.promise(f"c{n}", "t", 0.01, 1.0, 0.0, 0.0) for n in range(2000)]
+    schedule = ReservationSchedule(10_000, 5.0, 1)
+    schedule.update_rate(4.0, 0.0)
+    told = [schedule.reserve(f"c{n}", "t", 0.01, 1.0, 0.0, 0.0) for n in range(2000)]
     assert None in told
-    assert all(booked <= 4.0 * SLOT * 0.5 + 1e-9 for booked in calendar.booked.values())
-    before = len(calendar.all)
-    calendar.measured(2.0, 0.0)
-    assert all(booked <= 2.0 * SLOT * 0.5 + 1e-9 for booked in calendar.booked.values())
-    assert 0.4 * before < len(calendar.all) < 0.6 * before
-    assert calendar.ended == before - len(calendar.all)
+    assert all(booked <= 4.0 * SLOT_S * 0.5 + 1e-9 for booked in schedule.reserved_cost.values())
+    before = len(schedule.reservations)
+    schedule.update_rate(2.0, 0.0)
+    assert all(booked <= 2.0 * SLOT_S * 0.5 + 1e-9 for booked in schedule.reserved_cost.values())
+    assert 0.4 * before < len(schedule.reservations) < 0.6 * before
+    assert schedule.revoked == before - len(schedule.reservations)
 
 
 def test_a_tenant_that_is_refused_most_books_no_more_than_its_share():
-    calendar = ReservationSchedule(10_000, 2.0, 1)
-    calendar.measured(4.0, 0.0)
+    schedule = ReservationSchedule(10_000, 2.0, 1)
+    schedule.update_rate(4.0, 0.0)
     for n in range(2000):
-        calendar.promise(f"noisy {n}", "noisy", 0.01, 0.5, 0.0, 0.0)
-    assert all(b <= 4.0 * SLOT * 0.25 + 1e-9 for b in calendar.booked.values())
-    assert calendar.promise("quiet", "quiet", 0.01, 0.5, 0.0, 0.0) < 0.2
+        schedule.reserve(f"noisy {n}", "noisy", 0.01, 0.5, 0.0, 0.0)
+    assert all(b <= 4.0 * SLOT_S * 0.25 + 1e-9 for b in schedule.reserved_cost.values())
+    assert schedule.reserve("quiet", "quiet", 0.01, 0.5, 0.0, 0.0) < 0.2
 
 
 @settings(max_examples=200, deadline=None)
@@ -214,33 +223,37 @@
     )
 )
 def test_a_calendars_books_always_add_up(steps):
-    calendar, now = ReservationSchedule(30, 2.0, 1), 0.0
+    schedule, now = ReservationSchedule(30, 2.0, 1), 0.0
     for tenant, cost, passed, what in steps:
         now += passed
         if what == 0:
-            calendar.measured(cost * 100, now)
+            schedule.update_rate(cost * 100, now)
         elif what < 4:
-            told = calendar.promise(f"{tenant}{what}", tenant, cost, 0.5, passed, now)
-            assert told is None or 0 < told <= 2.0 + SLOT
+            told = schedule.reserve(f"{tenant}{what}", tenant, cost, 0.5, passed, now)
+            assert told is None or 0 < told <= 2.0 + SLOT_S
         else:
-            calendar.comes(f"{tenant}{what - 3}", now)
-        assert len(calendar.all) <= 30
-        assert sum(calendar.booked.values()) == pytest.approx(sum(p.cost for p in calendar.all))
-        assert sum(calendar.booked_by.values()) == pytest.approx(sum(p.cost for p in calendar.all))
-        assert sum(calendar.tenants.values()) == len(calendar.all)
-        assert sum(map(len, calendar.by_mark.values())) == len(calendar.all)
+            schedule.redeem(f"{tenant}{what - 3}", now)
+        assert len(schedule.reservations) <= 30
+        assert sum(schedule.reserved_cost.values()) == pytest.approx(
+            sum(p.cost for p in schedule.reservations)
+        )
+        assert sum(schedule.tenant_reserved_cost.values()) == pytest.approx(
+            sum(p.cost for p in schedule.reservations)
+        )
+        assert sum(schedule.tenant_counts.values()) == len(schedule.reservations)
+        assert sum(map(len, schedule.by_token.values())) == len(schedule.reservations)
 
 
 def test_retries_stay_within_their_share_when_everything_fails():
     admission, now, admitted = AdmissionController(AdmissionSettings(), 1, 0.0), 0.0, 0
     for number in range(500):
         now += 0.002
-        admission.arrive(arrival(number, key=f"m{number}"), now)
+        admission.arrive(arrival(number, idempotency_key=f"m{number}"), now)
         admission.sent(number, now)
         admission.ended(number, now + 0.001, False)
     for number in range(500, 1500):  # all of them come back twice, at once
         now += 0.0001
-        decisions = admission.arrive(arrival(number, key=f"m{number % 500}"), now)
+        decisions = admission.arrive(arrival(number, idempotency_key=f"m{number % 500}"), now)
         if isinstance(decisions[0], Admit):
             admitted += 1
             admission.sent(number, now)
@@ -251,9 +264,9 @@
 def test_a_client_that_goes_on_asking_is_not_taken_for_one_that_tries_again():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     for number in range(300):  # one connection, no key, all refused inside
-        admission.arrive(arrival(number, mark="one connection"), number * 0.001)
+        admission.arrive(arrival(number, reservation_token="one connection"), number * 0.001)
         admission.ended(number, number * 0.001, False)
-    assert isinstance(admission.arrive(arrival(1000, mark="one connection"), 0.4)[0], Admit)
+    assert isinstance(admission.arrive(arrival(1000, reservation_token="one connection"), 0.4)[0], Admit)
 
 
 def test_a_request_that_cannot_be_reached_in_time_is_refused_at_once():
@@ -268,38 +281,42 @@
     for number in range(40):
         admission.arrive(arrival(number), 0.0)
         admission.ended(number, 0.1, False)
-    (room,) = admission.rooms.values()
-    assert room.allowance == LEAST_ALLOWANCE
+    (pool,) = admission.pools.values()
+    assert pool.allowance == MIN_ALLOWANCE
     for number in range(100, 1000):
         admission.arrive(arrival(number), 1.0)
         admission.sent(number, 1.001)
         admission.ended(number, 1.01, True)
-    assert room.allowance == 8.0
-    assert room.waiting_inside == room.inside == 0
+    assert pool.allowance == 8.0
+    assert pool.waiting_in_router == pool.in_flight == 0
 
 
 def test_the_least_worthy_of_the_fullest_tenant_makes_room():
     admission = AdmissionController(
-        AdmissionSettings(most_held=20, most_waiting_inside=2, most_at_a_turn=2), 1, 0.0
+        AdmissionSettings(max_queued=20, max_waiting_in_router=2, max_admitted_per_turn=2), 1, 0.0
     )
     for number in range(22):
         admission.arrive(arrival(number, "noisy", priority_weight=1.0 if number % 2 else 6.0), 0.0)
     out = admission.arrive(arrival(100, "quiet"), 0.0)
     assert [type(d) for d in out] == [Reject]
     assert out[0].id % 2 == 1  # worth 1
-    assert admission.held == 20
+    assert admission.queued == 20
 
 
 def test_new_weights_lose_nothing_that_waits():
-    admission = AdmissionController(AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, 0.0)
+    admission = AdmissionController(
+        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, 0.0
+    )
     for number in range(12):
         admission.arrive(arrival(number, "ab"[number % 2]), 0.0)
-    assert admission.held == 10
-    admission.reload(AdmissionSettings(weights={"a": 9.0}, most_waiting_inside=2, most_at_a_turn=2))
+    assert admission.queued == 10
+    admission.reload(
+        AdmissionSettings(tenant_weights={"a": 9.0}, max_waiting_in_router=2, max_admitted_per_turn=2)
+    )
     let_in = []
     for number in range(12):
         let_in += [d.id for d in admission.sent(number, 0.1)] if number in (0, 1, *let_in) else []
-    assert admission.held == 0
+    assert admission.queued == 0
 
 
 @settings(max_examples=200, deadline=None)
@@ -316,10 +333,10 @@
         for _ in range(200):
             number += 1
             cost = plan[number % len(plan)][2] if plan else 0.01
-            held[number] = Held(number, str(tenant), "c", 1.0, cost, weights[tenant])
+            held[number] = QueuedRequest(number, str(tenant), "c", 1.0, cost, weights[tenant])
             queue.push(held[number])
     for _ in range(300):
-        if min(t.waiting for t in queue.tenants.values()) < 2 or len(queue.tenants) < 5:
+        if min(t.length for t in queue.tenants.values()) < 2 or len(queue.tenants) < 5:
             break
         taken = queue.pop()
         used[int(taken.tenant)] += taken.cost
@@ -335,7 +352,7 @@
     def day() -> tuple[dict, int]:
         rng = random.Random(seed)
         admission = AdmissionController(
-            AdmissionSettings(most_held=15, most_waiting_inside=3, most_promises=20), seed, 0.0
+            AdmissionSettings(max_queued=15, max_waiting_in_router=3, max_reservations=20), seed, 0.0
         )
         now, open_, told = 0.0, {}, {}
 
@@ -354,7 +371,11 @@
             open_[number] = "held"
             mark = f"m{rng.randrange(30)}"
             changes = {"priority_weight": rng.choice([1.0, 6.0]), "time_left": rng.choice([0.01, 0.3, 2.0])}
-            take(admission.arrive(arrival(number, f"t{rng.randrange(5)}", mark=mark, **changes), now))
+            take(
+                admission.arrive(
+                    arrival(number, f"t{rng.randrange(5)}", reservation_token=mark, **changes), now
+                )
+            )
             for other in list(open_):
                 draw = rng.random()
                 if draw < 0.1 and open_.get(other) == "in":
@@ -363,8 +384,8 @@
                     del open_[other]
                     take(admission.ended(other, now, rng.random() < 0.8))
             take(admission.tick(now))
-            assert admission.held == sum(state == "held" for state in open_.values()) <= 15
-            assert set(admission.tickets) == set(open_)
+            assert admission.queued == sum(state == "held" for state in open_.values()) <= 15
+            assert set(admission.requests) == set(open_)
         return told, len(open_)
 
     assert day() == day()
@@ -373,38 +394,41 @@
 def test_before_the_module_a_held_request_is_owed_an_answer_like_any_other():
     front = Front()
     front.engine.admission = AdmissionController(
-        AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now()
+        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
         endpoint.limit = 0.0  # the module has room nowhere
     answers = []
     for number in range(8):
-        command = ClientRequest("note", 0, 0.5, "payload", tenant="t", client=str(number), mark=str(number))
+        command = ClientRequest(
+            "note", 0, 0.5, "payload", tenant="t", client=str(number), reservation_token=str(number)
+        )
         front.engine.submit(command, answers.append)
     front.turn()
-    assert front.engine.admission.held == 6
+    assert front.engine.admission.queued == 6
     assert len(front.engine.router.requests) == 2
     for _ in range(60):
         front.turn(0.01)
     assert len(answers) == 8
-    assert {a.verdict for a in answers} == {ResponseStatus.REJECTED}
-    assert not front.engine.request_table.accounts
-    assert front.engine.overdue == 0
-    assert not front.engine.admission.tickets
+    assert {a.status for a in answers} == {ResponseStatus.REJECTED}
+    assert not front.engine.request_table.requests
+    assert front.engine.answered_by_last_guard == 0
+    assert not front.engine.admission.requests
 
 
 def test_a_client_that_leaves_while_held_is_let_go():
     front = Front()
     front.engine.admission = AdmissionController(
-        AdmissionSettings(most_waiting_inside=2, most_at_a_turn=2), 1, front.clock.now()
+        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
         endpoint.limit = 0.0
-    accounts = [
-        front.engine.submit(ClientRequest("note", 0, 0.5, "p", mark=str(n)), lambda a: None) for n in range(4)
+    pending = [
+        front.engine.submit(ClientRequest("note", 0, 0.5, "p", reservation_token=str(n)), lambda a: None)
+        for n in range(4)
     ]
     front.turn()
-    front.engine.gone(accounts[3])
+    front.engine.client_disconnected(pending[3])
     front.turn()
-    assert front.engine.admission.held == 1
-    assert accounts[3].id not in front.engine.admission.tickets
+    assert front.engine.admission.queued == 1
+    assert pending[3].id not in front.engine.admission.requests
--- a/tests/test_admission_objectives.py
+++ b/tests/test_admission_objectives.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.decisions.admission.controller import AdmissionController
 from sedgepitch.decisions.admission.messages import Admit, Reject
+from sedgepitch.decisions.admission.settings import AdmissionSettings
 from tests.test_admission import Fleet, arrival
 
 AIM = 0.2
@@ -28,9 +29,9 @@
     def run(self, until: float) -> None:
         ended = self.admission.ended
 
-        def noted(number, now, served, heard=0.0):
+        def noted(number, now, served, received_at=0.0):
             self.took[number] = now - self.came[number]
-            return ended(number, now, served, heard)
+            return ended(number, now, served, received_at)
 
         self.admission.ended = noted
         super().run(until)
@@ -136,15 +137,15 @@
 
 def test_a_write_that_is_worth_something_late_may_wait_longer_than_its_aim():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
-    patient = admission._patience(arrival(1, time_left=2.0, latency_objective=0.0))
-    hurried = admission._patience(arrival(2, time_left=2.0, latency_objective=AIM))
+    patient = admission._max_queueing_delay(arrival(1, time_left=2.0, latency_objective=0.0))
+    impatient = admission._max_queueing_delay(arrival(2, time_left=2.0, latency_objective=AIM))
     assert patient == pytest.approx(0.8)
-    assert hurried < AIM
+    assert impatient < AIM
 
 
 def test_the_drivers_own_limit_leaves_each_room_its_part():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
-    admission.own_limit = 8.0
+    admission.process_limit = 8.0
     reads = [admission.arrive(arrival(n, "public", latency_objective=AIM), 0.0) for n in range(40)]
     assert sum(isinstance(d[0], Admit) for d in reads if d) == 8
     assert isinstance(admission.arrive(arrival(100, "stations", primary_only=True), 0.0)[0], Admit)
--- a/tests/test_capacity_estimate.py
+++ b/tests/test_capacity_estimate.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from sedgepitch.decisions.admission.capacity_estimate import LEAST, CapacityEstimate
-from sedgepitch.decisions.admission.process_concurrency_limit import LEAST as OWN_LEAST
-from sedgepitch.decisions.admission.process_concurrency_limit import START, ProcessConcurrencyLimit
+from sedgepitch.decisions.admission.capacity_estimate import MIN_LIMIT, CapacityEstimate
+from sedgepitch.decisions.admission.process_concurrency_limit import INITIAL_LIMIT, ProcessConcurrencyLimit
+from sedgepitch.decisions.admission.process_concurrency_limit import MIN_LIMIT as MIN_PROCESS_LIMIT
 
 
 def play(servers: int, offered, service, seconds: float, seed: int = 1, names=("read",)) -> dict:
@@ -29,21 +29,21 @@
         if ending and ending[0][0] <= arrival:
             now, sent, name = heapq.heappop(ending)
             inside -= 1
-            limit.answered(name, 0.2, now - sent, sent)
+            limit.record_latency(name, 0.2, now - sent, sent)
             done.append((sent, now - sent))
         else:
             now = arrival
             arrival += rng.expovariate(offered(now))
-            dropped += inside >= limit.bound
-            if inside < limit.bound:
+            dropped += inside >= limit.current_limit
+            if inside < limit.current_limit:
                 inside += 1
-                limit.inside(inside, now)
+                limit.record_in_flight(inside, now)
                 start = max(now, heapq.heappop(free))
                 name = rng.choice(names)
                 takes = service(now) * rng.uniform(0.8, 1.2) * (4.0 if name == "heavy" else 1.0)
                 heapq.heappush(free, start + takes)
                 heapq.heappush(ending, (start + takes, now, name))
-        limit.measure(now)
+        limit.update(now)
         limits.append(limit.limit)
     return {"done": done, "limit": limit, "limits": limits, "dropped": dropped}
 
@@ -66,7 +66,7 @@
 def test_without_a_queue_the_limit_is_not_felt():
     result = play(6, lambda now: 200.0, lambda now: 0.01, 10.0)
     assert result["dropped"] == 0
-    assert not result["limit"].dipping
+    assert not result["limit"].probing
 
 
 def test_a_calm_time_first_and_the_flood_is_bounded_within_seconds():
@@ -81,7 +81,7 @@
     took, rate = tail(result, 35.0)
     assert rate > 0.8 * 300
     assert took < 0.06
-    assert min(result["limits"]) >= LEAST
+    assert min(result["limits"]) >= MIN_LIMIT
 
 
 def test_members_that_become_quicker_are_used():
@@ -113,20 +113,20 @@
     rng, limit = random.Random(1), CapacityEstimate(0.0)
     for step in range(20_000):
         now = step * 0.001
-        limit.inside(32, now)
-        limit.answered("read", 0.2, rng.choice((0.0002, 0.004)), now)
-        limit.measure(now)
-    assert limit.bound > 32
+        limit.record_in_flight(32, now)
+        limit.record_latency("read", 0.2, rng.choice((0.0002, 0.004)), now)
+        limit.update(now)
+    assert limit.current_limit > 32
 
 
 def test_answers_that_took_no_time_of_a_class_without_an_aim_set_no_limit():
     limit = CapacityEstimate(0.0)
     for step in range(40):
-        limit.inside(4, step * 0.1)
-        limit.answered("upload", 0.0, 0.0, step * 0.1)
-        limit.measure(step * 0.1)
-    assert limit.bound >= 16
-    assert not limit.dipping
+        limit.record_in_flight(4, step * 0.1)
+        limit.record_latency("upload", 0.0, 0.0, step * 0.1)
+        limit.update(step * 0.1)
+    assert limit.current_limit >= 16
+    assert not limit.probing
 
 
 # The driver's own load
@@ -136,7 +136,7 @@
     """Many equal waits for so long; returns the time afterwards."""
     for _ in range(int(seconds / 0.01)):
         now += 0.01
-        limit.waited(wait, inside, now)
+        limit.record(wait, inside, now)
     return now
 
 
@@ -144,42 +144,43 @@
     limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 2.0, 0.0005, 64, 0.0)
     high = limit.limit
-    assert high > START, "used and quick, it may carry more"
+    assert high > INITIAL_LIMIT, "used and quick, it may carry more"
     now = waits(limit, 3.0, 0.2, 64, now)
-    assert limit.limit < START / 2
-    assert limit.limit >= OWN_LEAST
+    assert limit.limit < INITIAL_LIMIT / 2
+    assert limit.limit >= MIN_PROCESS_LIMIT
     now = waits(limit, 5.0, 0.0005, int(limit.limit), now)
-    assert limit.limit > OWN_LEAST
+    assert limit.limit > MIN_PROCESS_LIMIT
 
 
 def test_one_pause_is_one_cut():
     limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 1.0, 0.0005, 10, 0.0)
     before = limit.limit
-    limit.waited(0.4, 10, now + 0.2)
-    assert limit.cuts == 1
+    limit.record(0.4, 10, now + 0.2)
+    assert limit.decreases == 1
     assert limit.limit < before
     waits(limit, 2.0, 0.0005, 10, now + 0.2)
-    assert limit.cuts == 1
+    assert limit.decreases == 1
     assert limit.limit > 10, "and it is grown back"
-    assert not limit.swamped(1.0, True)
+    assert not limit.rejects_unread(1.0, True)
 
 
 def test_requests_are_refused_unread_only_in_spans_of_long_waits_and_only_if_they_waited():
     limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 1.0, 0.03, 10, 0.0)
-    assert not limit.swamped(0.5, True), "late, but not swamped"
+    assert not limit.rejects_unread(0.5, True), "late, but not swamped"
     now = waits(limit, 0.5, 0.2, 10, now)
-    assert limit.swamped(0.05, True)
-    assert not limit.swamped(0.05, False), "of a tenant that does not ask most"
-    assert limit.swamped(0.5, False)
-    assert not limit.swamped(0.01, True), "this one came just now"
+    assert limit.rejects_unread(0.05, True)
+    assert not limit.rejects_unread(0.05, False), "of a tenant that does not ask most"
+    assert limit.rejects_unread(0.5, False)
+    assert not limit.rejects_unread(0.01, True), "this one came just now"
     waits(limit, 0.5, 0.001, 10, now)
-    assert not limit.swamped(0.5, True)
+    assert not limit.rejects_unread(0.5, True)
 
 
 def test_unread_requests_of_the_busiest_tenant_are_refused_first():
-    from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+    from sedgepitch.decisions.admission.controller import AdmissionController
+    from sedgepitch.decisions.admission.settings import AdmissionSettings
     from tests.support.mongodb_harness import Front, command, replies
 
     front = Front()
@@ -189,13 +190,13 @@
     connection.app_name = "public"
     connection.dataReceived(command(1, find="readings", comment="history-read", maxTimeMS=300))
     front.turn(0.4)
-    waits(front.engine.own, 0.5, 0.3, 10, front.clock.now())
+    waits(front.engine.process_limit, 0.5, 0.3, 10, front.clock.now())
     for number, busiest, unread in ((2, "council", 0), (3, "public", 1)):
-        admission.busiest = busiest
+        admission.most_active_tenant = busiest
         transport.arrived = front.clock.now() - 0.05
         connection.dataReceived(command(number, find="readings", comment="history-read", maxTimeMS=300))
-        assert front.engine.too_many == unread
-        admission.busiest = busiest
+        assert front.engine.rejected_for_load == unread
+        admission.most_active_tenant = busiest
         front.turn(0.4)
         response_to, last = replies(transport)[-1]
         assert response_to == number
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -28,8 +28,8 @@
     _, got = ask(front)
     front.clock.call_later(1.0 - 1e-9, front.endpoints.sent[0].answer)
     front.turn(1.0)
-    assert [a.verdict for a in got] == [ResponseStatus.SERVED]
-    assert front.engine.request_table.twice == front.engine.overdue == 0
+    assert [a.status for a in got] == [ResponseStatus.SERVED]
+    assert front.engine.request_table.duplicate_responses == front.engine.answered_by_last_guard == 0
 
 
 def test_both_copies_of_a_hedged_read_answer_and_one_is_heard():
@@ -44,8 +44,8 @@
     for sent in list(front.endpoints.sent):
         sent.answer()
         front.turn()
-    assert [a.verdict for a in got] == [ResponseStatus.SERVED]
-    assert not front.engine.request_table.accounts
+    assert [a.status for a in got] == [ResponseStatus.SERVED]
+    assert not front.engine.request_table.requests
 
 
 def test_unsafe_write_without_an_answer_fails_and_is_not_sent_again():
@@ -54,7 +54,7 @@
     assert [s.endpoint for s in front.endpoints.sent] == [1]
     front.turn(1.0)
     front.turn(0.05)
-    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
+    assert [a.status for a in got] == [ResponseStatus.FAILED]
     assert len(front.endpoints.sent) == 1
     assert front.endpoints.sent[0].abandoned
 
@@ -68,19 +68,19 @@
                 sent.abandoned = True
                 sent.answer(result=AttemptResult.NOT_ELIGIBLE, primary=False)
         front.turn(0.01)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED]
+    assert [a.status for a in got] == [ResponseStatus.REJECTED]
     assert front.clock.now() <= 1000.51
 
 
 def test_client_that_leaves_gets_nothing_and_its_attempt_is_still_heard():
     front = Front()
     account, got = ask(front)
-    front.engine.gone(account)
+    front.engine.client_disconnected(account)
     front.turn()
     front.endpoints.sent[0].answer()
     front.turn()
     assert not got
-    assert not front.engine.request_table.accounts
+    assert not front.engine.request_table.requests
     assert not front.engine.router.endpoints[1].out
 
 
@@ -88,22 +88,24 @@
     front = Front()
     got = []
     account = front.engine.submit(ClientRequest("upload", 0, 1.0, "payload"), got.append)
-    front.engine.gone(account)
+    front.engine.client_disconnected(account)
     front.turn()
     assert not got
     assert not front.endpoints.sent
-    assert not front.engine.request_table.accounts
+    assert not front.engine.request_table.requests
     assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
 def test_last_guard_answers_where_the_module_does_not():
     front = Front()
-    front.engine._carry = {kind: lambda action: None for kind in front.engine._carry}
+    front.engine.dispatcher.handlers = {
+        kind: lambda action: None for kind in front.engine.dispatcher.handlers
+    }
     _, got = ask(front)
     front.turn(1.0)
     front.turn(0.1)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED]
-    assert front.engine.overdue == 1
+    assert [a.status for a in got] == [ResponseStatus.REJECTED]
+    assert front.engine.answered_by_last_guard == 1
 
 
 def test_more_in_flight_than_the_bound_are_refused_at_once():
@@ -111,7 +113,7 @@
     front.engine.max_in_flight = 3
     answers = [ask(front)[1] for _ in range(5)]
     assert [len(a) for a in answers] == [0, 0, 0, 1, 1]
-    assert answers[4][0].verdict is ResponseStatus.REJECTED
+    assert answers[4][0].status is ResponseStatus.REJECTED
 
 
 def test_events_of_one_turn_are_read_before_a_timer_that_came_due_with_them():
@@ -129,7 +131,7 @@
     front.endpoints.sent[0].answer()
     front.turn()
     assert seen[0] == ["TimerExpired", "AttemptFinished"]
-    assert got[0].verdict is ResponseStatus.SERVED
+    assert got[0].status is ResponseStatus.SERVED
 
 
 def test_a_session_read_whose_session_is_remembered_leaves_at_once_or_is_decided_anew():
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
-from sedgepitch.core.engine import OVERDUE, TICK
+from sedgepitch.core.deadlines import LAST_GUARD_AFTER, TICK
 from sedgepitch.core.types import AttemptOutcome, ClientRequest, ResponseStatus
 from sedgepitch.decisions.event_loop_lag import EventLoopLag
 from sedgepitch.routing import messages as api
@@ -23,13 +23,13 @@
     """What must be the same whether a callback raised or not."""
     router, request_table = front.engine.router, front.engine.request_table
     return {
-        "accounts": len(request_table.accounts),
+        "accounts": len(request_table.requests),
         "owed": request_table.pending,
-        "settled": request_table.settled,
+        "settled": request_table.completed,
         "module_requests": len(router.requests),
         "out_at_members": sum(len(m.out) for m in router.endpoints.values()),
         "probing": [m.id for m in router.endpoints.values() if m.probing],
-        "events": len(front.engine.events),
+        "events": len(front.engine.dispatcher.events),
     }
 
 
@@ -37,7 +37,8 @@
     """Twelve requests, every third of which meets the raising callback; members answer all they get."""
     front = Front()
     if admission:
-        from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+        from sedgepitch.decisions.admission.controller import AdmissionController
+        from sedgepitch.decisions.admission.settings import AdmissionSettings
 
         front.engine.admission = AdmissionController(AdmissionSettings(), 1, front.clock.now())
     for endpoint in (2, 3):
@@ -64,7 +65,7 @@
         if raises("observe"):
             raise Broken
 
-    def probe(endpoint, on_end):
+    def check_health(endpoint, on_end):
         if boundary == "probe":
             raise Broken
         on_end(AttemptOutcome(AttemptResult.OK, report=api.LoadReport(front.clock.now(), False)))
@@ -72,10 +73,11 @@
     def log(text):
         raise Broken
 
-    front.endpoints.send, front.endpoints.probe, front.engine.observe = send, probe, observe
+    front.endpoints.send, front.endpoints.check_health = send, check_health
+    front.engine.on_response = observe
     if boundary == "log":
         front.engine.log = log
-        front.engine.on_fault = lambda where, error: log(where)
+        front.engine.callbacks.on_error = lambda where, error: log(where)
         front.engine.router.handle = _and_log(front.engine.router.handle)
     for n in range(12):
         got[n] = []
@@ -110,17 +112,17 @@
     assert all(len(answers) == 1 for answers in got.values()), "each request has exactly one answer"
     assert after == calm
     assert calm["out_at_members"] == calm["accounts"] == calm["module_requests"] == 0
-    if boundary != "probe" or front.engine.faults:
-        assert front.engine.faults > 0
+    if boundary != "probe" or front.engine.callbacks.errors:
+        assert front.engine.callbacks.errors > 0
     if admission:
-        assert not front.engine.admission.tickets
-        assert all(not room.inside for room in front.engine.admission.rooms.values())
+        assert not front.engine.admission.requests
+        assert all(not pool.in_flight for pool in front.engine.admission.pools.values())
 
 
 def test_a_raising_answer_is_told_in_one_call():
     told = []
     front = Front()
-    front.engine.on_fault = lambda where, error: told.append((where, type(error)))
+    front.engine.callbacks.on_error = lambda where, error: told.append((where, type(error)))
 
     def answered(answer):
         raise Broken
@@ -144,7 +146,7 @@
 def make_late(front: Front, by: float) -> None:
     """Two pauses, so that they count."""
     for _ in range(2):
-        front.engine.event_loop_lag.waited(by, front.clock.now())
+        front.engine.event_loop_lag.record(by, front.clock.now())
         front.task.advance(0.3)
 
 
@@ -156,9 +158,9 @@
     assert len(front.endpoints.sent) == 1
     front.turn(0.21)
     front.turn(0.03)
-    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
+    assert [a.status for a in got] == [ResponseStatus.FAILED]
     _, got = ask(front, "upload", 0.5, front.clock.now() - 0.6)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED], "its time was up before it was read"
+    assert [a.status for a in got] == [ResponseStatus.REJECTED], "its time was up before it was read"
 
 
 def test_what_the_module_sees_late_has_no_more_time_than_its_client():
@@ -170,26 +172,28 @@
     account, got = ask(front, "upload", 0.5)
     front.task.advance(0.3)
     arrived = [event.time_left for event in told if isinstance(event, api.RequestReceived)]
-    assert arrived == [pytest.approx(account.until - front.clock.now())]
+    assert arrived == [pytest.approx(account.router_deadline - front.clock.now())]
     assert arrived[0] < 0.21
     _, got = ask(front, "upload", 0.5)
     front.turn(0.51)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED], "not sent when its time is over"
+    assert [a.status for a in got] == [ResponseStatus.REJECTED], "not sent when its time is over"
     assert len(front.endpoints.sent) == 1
 
 
 def test_the_last_guard_does_not_wait_for_a_delay_that_is_over():
     front = Front()
-    front.engine._carry = {kind: lambda action: None for kind in front.engine._carry}
+    front.engine.dispatcher.handlers = {
+        kind: lambda action: None for kind in front.engine.dispatcher.handlers
+    }
     _, got = ask(front, "upload", 0.3)
     front.turn(0.4)  # stands still: reserve is now far above what the last guard waits
-    assert front.engine.event_loop_lag.reserve(front.clock.now()) > 5 * OVERDUE
+    assert front.engine.event_loop_lag.deadline_margin(front.clock.now()) > 5 * LAST_GUARD_AFTER
     assert not got, "the module is asked first"
     front.engine.event_loop_lag = EventLoopLag()  # and is on time from here on
-    front.turn(OVERDUE)
+    front.turn(LAST_GUARD_AFTER)
     front.turn(TICK)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED]
-    assert front.engine.overdue == 1
+    assert [a.status for a in got] == [ResponseStatus.REJECTED]
+    assert front.engine.answered_by_last_guard == 1
 
 
 def test_answers_are_decided_earlier_by_the_drivers_own_delay():
@@ -197,7 +201,7 @@
     make_late(front, 0.2)
     account, got = ask(front, "upload", 0.5)
     asked = front.clock.now()
-    assert account.until == pytest.approx(account.deadline - 0.2)
+    assert account.router_deadline == pytest.approx(account.deadline - 0.2)
     while not got:
         front.turn(0.01)
     assert front.clock.now() - asked < 0.4
@@ -207,10 +211,10 @@
     front = Front()
     make_late(front, 0.3)
     _, got = ask(front, "history-read", 0.25)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED]
+    assert [a.status for a in got] == [ResponseStatus.REJECTED]
     assert got[0].retry_after > 0
     assert not front.endpoints.sent
-    assert front.engine.too_slow == 1
+    assert front.engine.rejected_for_lag == 1
 
 
 def test_a_delay_that_grows_later_brings_the_answer_forward():
@@ -222,8 +226,8 @@
     make_late(front, 0.4)  # with less than that left, the module still counting on the whole time
     front.turn(0.011)
     front.turn(0.011)
-    assert [a.verdict for a in got] == [ResponseStatus.REJECTED], "a read may be tried again"
-    assert front.engine.hurried == 1
+    assert [a.status for a in got] == [ResponseStatus.REJECTED], "a read may be tried again"
+    assert front.engine.answered_early == 1
     assert not front.engine.router.requests
     front.endpoints.sent[0].answer()
     front.turn()
@@ -237,7 +241,7 @@
     front.task.rightNow += 0.2  # the loop has not looked at its timers since
     front.engine.before_reading()
     front.turn()
-    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
+    assert [a.status for a in got] == [ResponseStatus.FAILED]
 
 
 def test_in_a_late_drivers_long_turn_answers_do_not_wait_for_the_last_moment():
@@ -248,7 +252,7 @@
     front.task.rightNow = 1000.0 + 0.5 - 0.04
     front.engine.before_reading()
     front.turn()
-    assert [a.verdict for a in got] == [ResponseStatus.FAILED]
+    assert [a.status for a in got] == [ResponseStatus.FAILED]
 
 
 # Nothing is sent after the answer, and nothing long after its decision
@@ -293,12 +297,12 @@
     account, got = ask(front, "history-read", 0.5)
     front.turn()
     assert len(wires.opening) == 1 and not wires.sent
-    front.engine.gone(account)
+    front.engine.client_disconnected(account)
     front.turn()
     wires.opening[0](wires)
     front.turn()
     assert not wires.sent
-    assert not front.engine.request_table.accounts
+    assert not front.engine.request_table.requests
     assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -5,35 +5,35 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.decisions.event_loop_lag import COME_BACK, FLOOR, SPAN, SPANS, EventLoopLag
+from sedgepitch.decisions.event_loop_lag import MIN_LAG_S, MIN_RETRY_AFTER, SPAN_S, WINDOW_SPANS, EventLoopLag
 
-WINDOW = SPAN * SPANS
+WINDOW = SPAN_S * WINDOW_SPANS
 
 
 def test_one_pause_is_half_a_forecast_and_the_second_is_believed_at_once():
     event_loop_lag = EventLoopLag()
-    event_loop_lag.waited(0.3, 10.0)
-    assert event_loop_lag.reserve(10.0) == 0.15
-    event_loop_lag.waited(0.2, 10.0 + SPAN)
-    assert event_loop_lag.reserve(10.0 + SPAN) == 0.2
-    assert event_loop_lag.peak == 0.3
+    event_loop_lag.record(0.3, 10.0)
+    assert event_loop_lag.deadline_margin(10.0) == 0.15
+    event_loop_lag.record(0.2, 10.0 + SPAN_S)
+    assert event_loop_lag.deadline_margin(10.0 + SPAN_S) == 0.2
+    assert event_loop_lag.longest == 0.3
 
 
 def test_many_waits_of_one_pause_are_one_pause():
     event_loop_lag = EventLoopLag()
     for n in range(200):  # all that waited while the process stood still is read in the next turn
-        event_loop_lag.waited(0.3 - n * 0.001, 10.0 + n * 1e-5)
-    assert event_loop_lag.reserve(10.01) == 0.15
+        event_loop_lag.record(0.3 - n * 0.001, 10.0 + n * 1e-5)
+    assert event_loop_lag.deadline_margin(10.01) == 0.15
 
 
 def test_the_reserve_is_forgotten_after_the_window_and_says_so_before():
     event_loop_lag = EventLoopLag()
-    event_loop_lag.waited(0.3, 10.0)
-    event_loop_lag.waited(0.3, 11.0)
-    clears = event_loop_lag.clears_in(0.1, 11.0)
-    assert event_loop_lag.reserve(11.0 + clears - 0.01) >= 0.1
-    assert event_loop_lag.reserve(11.0 + clears + 0.01) < 0.1
-    assert event_loop_lag.clears_in(0.1, 30.0) == COME_BACK
+    event_loop_lag.record(0.3, 10.0)
+    event_loop_lag.record(0.3, 11.0)
+    clears = event_loop_lag.margin_below_in(0.1, 11.0)
+    assert event_loop_lag.deadline_margin(11.0 + clears - 0.01) >= 0.1
+    assert event_loop_lag.deadline_margin(11.0 + clears + 0.01) < 0.1
+    assert event_loop_lag.margin_below_in(0.1, 30.0) == MIN_RETRY_AFTER
 
 
 @settings(max_examples=300, deadline=None)
@@ -42,12 +42,12 @@
     event_loop_lag, now, model = EventLoopLag(), 100.0, {}
     for gap, wait in waits:
         now += gap
-        event_loop_lag.waited(wait, now)
-        if wait > FLOOR:
-            model[int(now / SPAN)] = max(model.get(int(now / SPAN), 0.0), wait)
+        event_loop_lag.record(wait, now)
+        if wait > MIN_LAG_S:
+            model[int(now / SPAN_S)] = max(model.get(int(now / SPAN_S), 0.0), wait)
     now += later
-    kept = sorted(v for k, v in model.items() if k > int(now / SPAN) - SPANS)
+    kept = sorted(v for k, v in model.items() if k > int(now / SPAN_S) - WINDOW_SPANS)
     longest = kept[-1] if kept else 0.0
-    assert event_loop_lag.reserve(now) == max(kept[-2] if len(kept) > 1 else 0.0, 0.5 * longest)
+    assert event_loop_lag.deadline_margin(now) == max(kept[-2] if len(kept) > 1 else 0.0, 0.5 * longest)
     below = 0.05
-    assert event_loop_lag.reserve(now + event_loop_lag.clears_in(below, now) + 1e-6) < below
+    assert event_loop_lag.deadline_margin(now + event_loop_lag.margin_below_in(below, now) + 1e-6) < below
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -191,12 +191,12 @@
     stage.turn()
     ending = ShutdownSchedule(stage.clock.now(), 0.5)
     stage.front.ends(ending)
-    stage.engine.hurry(ending.answered_by)
+    stage.engine.answer_all_by(ending.answered_by)
     while stage.clock.now() < ending.over_by:
         stage.front.close_free()
         stage.turn(0.02)
     assert len(errors(wire)) == 3 and wire.half_closed and not stage.engine.request_table.pending
-    assert not stage.engine.overdue
+    assert not stage.engine.answered_by_last_guard
 
 
 def test_a_request_taken_long_before_the_signal_is_answered_before_the_end():
@@ -205,7 +205,7 @@
         connection, wire = stage.client()
         connection.dataReceived(make(1, d="60000"))
         stage.turn()
-        stage.engine.hurry(stage.clock.now() + 1.0)
+        stage.engine.answer_all_by(stage.clock.now() + 1.0)
         stage.pass_by(1.05)
         assert [e["C"] for e in errors(wire)] == [code]
 
@@ -278,21 +278,21 @@
     def send(self, endpoint, payload, on_end, by):
         return self.pool(endpoint).send(payload, on_end, by)
 
-    def probe(self, endpoint, on_end):
+    def check_health(self, endpoint, on_end):
         on_end(AttemptOutcome(AttemptResult.OK, report=api.LoadReport(0.0, False)))
 
     def close_idle(self, endpoint):
         self.pool(endpoint).close_idle()
 
-    def listed(self, entries, complete):
+    def update_endpoints(self, entries, complete):
         pass
 
 
 def pooled(settings: api.Settings = SETTINGS) -> tuple[Stage, PooledMembers]:
     """A stage whose members stand behind pools."""
     stage = Stage(settings)
-    endpoints = PooledMembers(stage.clock, PoolLimits(connect_within=5.0, linger=0.0))
-    stage.engine.endpoints = endpoints
+    endpoints = PooledMembers(stage.clock, PoolLimits(connect_timeout=5.0, discard_timeout=0.0))
+    stage.engine.upstream = endpoints
     return stage, endpoints
 
 
@@ -338,7 +338,7 @@
 def test_a_connection_given_up_and_greeted_all_the_same_is_closed_and_owned_by_nobody():
     task = Clock()
     room, ends, doorway = DescriptorBudget(256), [], Doorway()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_timeout=0.25), room)
     pool.send("request", ends.append)
     task.advance(0.3)
     assert [e.result for e in ends] == [AttemptResult.CONNECT_FAILED] and room.endpoints == 0
@@ -348,7 +348,7 @@
     assert opened.closed and not opened.started and not pool.idle
     lost("closed here")
     failed("late")
-    assert room.endpoints == 0 and not pool.lanes and len(ends) == 1
+    assert room.endpoints == 0 and not pool.connections and len(ends) == 1
 
 
 # A timer that is due while bytes lie unread
@@ -357,7 +357,7 @@
 def test_a_connection_whose_greeting_lies_unread_is_not_given_up():
     task = Clock()
     room, ends, doorway, opened = DescriptorBudget(256), [], Doorway(), Opened()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=0.25), room)
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_timeout=0.25), room)
     pool.send("request", ends.append)
     task.callLater(0.25, lambda: doorway.asked[0][0](opened))  # read behind the timer, in the same turn
     task.advance(0.25)
@@ -369,8 +369,8 @@
 def test_a_probe_whose_answer_lies_unread_has_not_timed_out():
     task = Clock()
     ends, doorway, opened = [], Doorway(), Opened()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=5.0), None)
-    pool.ask("probe", ends.append, 0.25)
+    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_timeout=5.0), None)
+    pool.send_with_timeout("probe", ends.append, 0.25)
     doorway.asked[0][0](opened)
     task.callLater(0.25, lambda: opened.started[0][1](AttemptOutcome(AttemptResult.OK)))
     task.advance(0.25)
@@ -435,10 +435,10 @@
     for pair in pairs:
         for end in pair:
             end.close()
-    assert [answer.verdict for answer in got] == [ResponseStatus.SERVED]
+    assert [answer.status for answer in got] == [ResponseStatus.SERVED]
 
 
-LANE_STEPS = st.lists(
+CONNECTION_STEPS = st.lists(
     st.tuples(
         st.sampled_from(
             ["send", "ready", "failed", "answer", "lost", "abandon", "withdraw", "wait", "retire", "idle"]
@@ -449,11 +449,13 @@
 )
 
 
-@given(LANE_STEPS, st.sampled_from([0.0, 1.0]))
-def test_every_order_of_a_connections_events_tells_one_end_and_leaves_no_descriptor(steps, linger):
+@given(CONNECTION_STEPS, st.sampled_from([0.0, 1.0]))
+def test_every_order_of_a_connections_events_tells_one_end_and_leaves_no_descriptor(steps, discard_timeout):
     task = Clock()
     room, doorway = DescriptorBudget(64), Doorway()
-    limits = PoolLimits(most=4, connect_within=0.25, idle_for=2.0, linger=linger)
+    limits = PoolLimits(
+        max_connections=4, connect_timeout=0.25, max_idle_time=2.0, discard_timeout=discard_timeout
+    )
     pool = ConnectionPool(
         FakeClock(task), doorway, lambda e, r: AttemptOutcome(AttemptResult.OK), limits, room
     )
@@ -498,7 +500,7 @@
         else:
             task.advance(0.1 * which)
         assert all(len(x) <= 1 for x in ends)
-        assert 0 <= room.endpoints <= limits.most
+        assert 0 <= room.endpoints <= limits.max_connections
         assert all(len(x.started) <= 1 for x in opened.values())
     pool.close()
     task.advance(5.0)
@@ -506,7 +508,7 @@
         if number not in over:
             assert held.closed
             doorway.asked[number][2]("closed here")
-    assert room.endpoints == 0 and not pool.lanes and not pool.idle
+    assert room.endpoints == 0 and not pool.connections and not pool.idle
 
 
 # All in one turn
@@ -556,7 +558,9 @@
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
         assert len(answers) <= 1, order
         held = stage.engine.request_table
-        assert held.pending == 0 and held.twice == 0 and not stage.engine.overdue, order
+        assert (
+            held.pending == 0 and held.duplicate_responses == 0 and not stage.engine.answered_by_last_guard
+        ), order
         assert not stage.engine.router.requests, order
 
 
@@ -571,7 +575,10 @@
                 happens(stage, connection, what)
             stage.pass_by(1.5)
             assert [k for k, _ in messages(wire.value())].count(b"Z") == 1, order
-            assert stage.engine.request_table.pending == 0 and stage.engine.request_table.twice == 0, order
+            assert (
+                stage.engine.request_table.pending == 0
+                and stage.engine.request_table.duplicate_responses == 0
+            ), order
 
 
 def test_bytes_of_a_peer_that_breaks_off_at_any_byte_cost_its_own_connection_only():
@@ -711,7 +718,11 @@
     sent = [s.payload.id for s in stage.endpoints.sent]
     assert len(done) == 1 and admission.closed and not admission.queue
     request_table = stage.engine.request_table
-    assert request_table.pending == 0 and request_table.twice == 0 and not stage.engine.overdue
+    assert (
+        request_table.pending == 0
+        and request_table.duplicate_responses == 0
+        and not stage.engine.answered_by_last_guard
+    )
     for caller, early in zip(callers, went + [False] * len(callers), strict=False):
         assert caller.answers() <= caller.whole if early else caller.answers() == caller.whole
     stage.pass_by(2.0)
--- a/tests/test_golden_engine.py
+++ b/tests/test_golden_engine.py
@@ -38,10 +38,11 @@
     for seed in SEEDS:
         kinds.update(played(seed).digest.kinds)
         engine = played(seed).engine
-        for name in ("overdue", "hurried", "too_slow", "too_many", "faults"):
+        for name in ("answered_early", "rejected_for_lag", "rejected_for_load"):
             counters[name] += getattr(engine, name)
+        counters["callback errors"] += engine.callbacks.errors
     assert {"answer", "abandon", "withdraw", "fault", "probe", "observer ended", "sticky"} <= set(kinds)
-    assert all(counters[name] for name in ("hurried", "too_slow", "too_many", "faults")), counters
+    assert len(+counters) == 4, counters
 
 
 if __name__ == "__main__":
--- a/tests/test_mongodb_client.py
+++ b/tests/test_mongodb_client.py
@@ -107,13 +107,13 @@
     connection, _ = front.client()
     connection.dataReceived(insert(1))
     front.turn()
-    account = next(iter(front.engine.request_table.accounts.values()))
-    assert account.command.class_name == "upload/unsafe"
+    account = next(iter(front.engine.request_table.requests.values()))
+    assert account.request.class_name == "upload/unsafe"
     keyed, _ = front.client()
     lsid = {"id": bson.Binary(bytes(16), 4)}
     keyed.dataReceived(insert(2, lsid=lsid, txnNumber=bson.Int64(1)))
     front.turn()
-    assert [a.command.class_name for a in front.engine.request_table.accounts.values()][1] == "upload"
+    assert [a.request.class_name for a in front.engine.request_table.requests.values()][1] == "upload"
 
 
 def test_what_a_client_sends_ahead_is_bounded_and_one_that_does_not_read_is_not_asked_for_more():
@@ -206,7 +206,7 @@
     front.endpoints.sent[0].answer({"n": 1})
     front.turn()
     assert replies(other_transport) == [(5, {"ok": 1.0, "n": 1})]
-    assert front.engine.request_table.twice == 0
+    assert front.engine.request_table.duplicate_responses == 0
 
 
 @settings(max_examples=300, deadline=None)
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -192,7 +192,7 @@
     front = stage.front
     held = front.visitors
     assert not (front.open_ids or front.connections or held.resting or held.talking or held.silent)
-    assert not stage.engine.request_table.accounts and stage.descriptors.clients == 0
+    assert not stage.engine.request_table.requests and stage.descriptors.clients == 0
 
 
 def fill(stage: Stage, busy: int) -> list:
@@ -294,12 +294,12 @@
         connection, wire = stage.client()
         connection.dataReceived(read(1, d="300"))
         stage.turn()
-        stage.engine.event_loop_lag.waited(
+        stage.engine.event_loop_lag.record(
             0.2, stage.clock.now()
         )  # this driver became late after it was taken
-        stage.engine.event_loop_lag.waited(0.2, stage.clock.now() + 0.3)
+        stage.engine.event_loop_lag.record(0.2, stage.clock.now() + 0.3)
         for _ in range(40):
             stage.turn(0.005, 1)
         (error,) = errors(wire)
-        assert stage.engine.hurried == 1 and error["C"] == "53300"
+        assert stage.engine.answered_early == 1 and error["C"] == "53300"
         assert ("D" in error) is told
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -32,7 +32,7 @@
     def __init__(self, payload=None) -> None:
         stage = Stage()
         self.clock = stage.clock
-        limits = PoolLimits(linger=0.0)
+        limits = PoolLimits(discard_timeout=0.0)
         self.endpoints = PostgresUpstream(None, stage.clock, limits, DescriptorBudget(0), WALL, 0.25)
         self.ready, self.ended, self.replies = [], [], []
         self.wire = Wire()
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -87,10 +87,10 @@
     quick.answer()
     front.turn()
     assert len(got) == 1 and not silent.abandoned
-    assert front.engine.request_table.accounts and front.engine.router.endpoints[silent.endpoint].out
+    assert front.engine.request_table.requests and front.engine.router.endpoints[silent.endpoint].out
     front.turn(1.0)
     assert silent.abandoned
-    assert not front.engine.request_table.accounts
+    assert not front.engine.request_table.requests
     assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
