--- a/sedgepitch/core/callback_guard.py
+++ b/sedgepitch/core/callback_guard.py
@@ -3,7 +3,10 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVar, TypeVarTuple
+
+Arguments = TypeVarTuple("Arguments")
+Result = TypeVar("Result")
 
 
 class CallbackGuard:
@@ -15,10 +18,11 @@
     __slots__ = ("errors", "on_error")
 
     def __init__(self, on_error: Callable[[str, BaseException], None] | None = None) -> None:
+        """Tell exceptions to `on_error`, if it is given."""
         self.on_error = on_error
         self.errors = 0
 
-    def call(self, place: str, callback: Callable[..., Any], *args: Any) -> Any:
+    def call(self, place: str, callback: Callable[[*Arguments], Result], *args: *Arguments) -> Result | None:
         """Call `callback` with `args`; returns what it returns, None where it raised."""
         try:
             return callback(*args)
--- a/sedgepitch/core/clock.py
+++ b/sedgepitch/core/clock.py
@@ -1,29 +1,59 @@
-"""The daemon's clock: monotonic seconds, timers, and what is done once this turn's input has been read."""
+"""The clock of a process: monotonic seconds, timers, and calls once this turn's input has been read."""
 
 from __future__ import annotations
 
+import asyncio
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Protocol
+
+from sedgepitch.core.types import TimerHandle
+
+OFFSET_SAMPLES = 5
+
+
+class DelayedCall(Protocol):
+    """A delayed call of Twisted."""
+
+    def active(self) -> bool:
+        """Whether the call is still to come."""
+
+    def cancel(self) -> object:
+        """Cancel it; raises where it is past."""
+
+
+class Reactor(Protocol):
+    """What a clock needs of a Twisted reactor."""
+
+    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> DelayedCall:  # noqa: N802
+        """Call after `delay` seconds."""
+
+
+class TaskClock(Reactor, Protocol):
+    """What a clock needs of a `twisted.internet.task.Clock`."""
+
+    def seconds(self) -> float:
+        """Return the fake time."""
 
 
 class ReactorClock:
-    """Monotonic time beside a reactor's timers (a reactor's own seconds are wall time).
+    """Monotonic time beside a reactor's timers; a reactor's own seconds are wall time.
 
-    On an asyncio loop its own timers are used: a reactor's delayed calls are kept in a heap of their own and
-    armed anew for each change, which costs more than the module's decision where events come one by one.
+    On an asyncio loop its own timers are used: a reactor keeps its delayed calls in a heap of its own and
+    re-arms one timer at each change, which costs more than the router's decision where events come singly.
     """
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
+        """Use the timers of `reactor`, or of its asyncio loop where it has one."""
         self.reactor = reactor
-        self.loop = getattr(reactor, "_asyncioEventloop", None)
+        self.loop: asyncio.AbstractEventLoop | None = getattr(reactor, "_asyncioEventloop", None)
         self.now = time.monotonic
 
-    def call_later(self, delay: float, call: Callable[..., object], *args: object) -> Any:
-        """Call after that many seconds; what is returned can be cancelled, also when it is past."""
+    def call_later(self, delay: float, call: Callable[..., object], *args: object) -> TimerHandle:
+        """Call after `delay` seconds; the handle can be cancelled also when it is past."""
         if self.loop is not None:
             return self.loop.call_later(max(0.0, delay), call, *args)
-        return _Delayed(self.reactor.callLater(max(0.0, delay), call, *args))
+        return _CancellableCall(self.reactor.callLater(max(0.0, delay), call, *args))
 
     def soon(self, call: Callable[..., object], *args: object) -> None:
         """Call once all that is readable in this turn has been read."""
@@ -42,18 +72,19 @@
 
 
 class FakeClock:
-    """A clock for tests, on ``twisted.internet.task.Clock``."""
+    """A clock for tests, on `twisted.internet.task.Clock`."""
 
-    def __init__(self, task_clock: Any) -> None:
+    def __init__(self, task_clock: TaskClock) -> None:
+        """Use the time of a `twisted.internet.task.Clock`."""
         self.clock = task_clock
 
     def now(self) -> float:
         """Return the fake time."""
         return float(self.clock.seconds())
 
-    def call_later(self, delay: float, call: Callable[..., object], *args: object) -> Any:
-        """Call after that much fake time."""
-        return _Delayed(self.clock.callLater(max(0.0, delay), call, *args))
+    def call_later(self, delay: float, call: Callable[..., object], *args: object) -> TimerHandle:
+        """Call after `delay` seconds of fake time."""
+        return _CancellableCall(self.clock.callLater(max(0.0, delay), call, *args))
 
     def soon(self, call: Callable[..., object], *args: object) -> None:
         """Call in the next turn."""
@@ -64,12 +95,12 @@
         self.soon(self.soon, call, *args)
 
 
-class _Delayed:
-    """A reactor's delayed call that may be cancelled whenever, as a loop's may."""
+class _CancellableCall:
+    """A delayed call that may be cancelled at any time, as that of an asyncio loop may."""
 
     __slots__ = ("call",)
 
-    def __init__(self, call: Any) -> None:
+    def __init__(self, call: DelayedCall) -> None:
         self.call = call
 
     def cancel(self) -> None:
@@ -78,19 +109,23 @@
             self.call.cancel()
 
 
-def unix_ahead(
-    wall: Callable[[], float] = time.time, monotonic: Callable[[], float] = time.monotonic, tries: int = 5
+def unix_offset(
+    wall: Callable[[], float] = time.time,
+    monotonic: Callable[[], float] = time.monotonic,
+    samples: int = OFFSET_SAMPLES,
 ) -> float:
-    """What Unix time is ahead of the monotonic clock, in seconds: at most too much, never too little.
+    """Return Unix time less monotonic time, in seconds: at most too much, never too little.
 
-    A process that is kept from running between the two looks would take every replica for fresher than it
-    is, by as long as it stood, as long as it lives. So the look counts that took the least time.
+    A process that is suspended between the two reads would take every replica for fresher than it is, by as
+    long as it was suspended, for as long as it runs. So the sample counts that took the least time.
     """
-    least, ahead = float("inf"), 0.0
-    for _ in range(tries):
+    least = float("inf")
+    offset = 0.0
+    for _ in range(samples):
         before = monotonic()
         unix = wall()
         took = monotonic() - before
         if took < least:
-            least, ahead = took, unix - before
-    return ahead
+            least = took
+            offset = unix - before
+    return offset
--- a/sedgepitch/core/completion.py
+++ b/sedgepitch/core/completion.py
@@ -20,6 +20,7 @@
     __slots__ = ("engine",)
 
     def __init__(self, engine: Engine) -> None:
+        """Work on the requests of `engine`."""
         self.engine = engine
 
     # Requests
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -70,6 +70,7 @@
         limits: PoolLimits,
         budget: ConnectionBudget | None = None,
     ) -> None:
+        """Make an empty pool; `budget` bounds it together with other pools."""
         self.clock = clock
         self.connector = connector
         self.judge = judge
@@ -81,7 +82,7 @@
 
     # Attempts
 
-    def send(self, payload: Any, on_end: AttemptCallback, send_by: float = NEVER) -> PoolAttempt:
+    def send(self, payload: object, on_end: AttemptCallback, send_by: float = NEVER) -> PoolAttempt:
         """Start an attempt; `on_end` is never called before this returns.
 
         What cannot leave by `send_by` ends with `AttemptResult.NOT_SENT`.
@@ -109,7 +110,7 @@
         connection.open()
         return attempt
 
-    def send_with_timeout(self, payload: Any, on_end: AttemptCallback, timeout: float) -> None:
+    def send_with_timeout(self, payload: object, on_end: AttemptCallback, timeout: float) -> None:
         """Start an attempt that times out after so many seconds, unless its reply lies unread then."""
 
         def end(outcome: AttemptOutcome) -> None:
--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -32,6 +32,7 @@
     __slots__ = ("_guards", "_heap", "_tick_due", "engine")
 
     def __init__(self, engine: Engine) -> None:
+        """Work on the requests of `engine`."""
         self.engine = engine
         self._heap: list[tuple[float, int]] = []  # (deadline, request id); ended requests stay a while
         self._guards: deque[tuple[float, PendingRequest]] = deque()  # when the last guard answers each
--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -24,6 +24,7 @@
     __slots__ = ("_flush_due", "_flushing", "decided_at", "engine", "events", "handlers")
 
     def __init__(self, engine: Engine) -> None:
+        """Work for `engine`, whose completion has been made before."""
         self.engine = engine
         self.events: list[api.Event | PendingRequest] = []  # a pending request stands for its arrival
         self.decided_at = 0.0  # the moment that the router's present decisions rest on
@@ -161,7 +162,7 @@
         """Close the connections to an endpoint that are not in use."""
         self.engine.upstream.close_idle(action.endpoint)
 
-    def watch_endpoint_list(self, action: api.WatchEndpointList) -> None:
+    def watch_endpoint_list(self, _action: api.WatchEndpointList) -> None:
         """Ask discovery for changes of the endpoint list."""
         if self.engine.watch is None:
             self.feed(api.EndpointListFailed())
--- a/sedgepitch/core/endpoint_changes.py
+++ b/sedgepitch/core/endpoint_changes.py
@@ -19,6 +19,7 @@
     __slots__ = ("draining_since", "engine")
 
     def __init__(self, engine: Engine) -> None:
+        """Work for `engine`."""
         self.engine = engine
         self.draining_since: dict[int, float] = {}  # when each was first listed draining or gone
 
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -57,6 +57,7 @@
         handover_limit: float = DEFAULT_HANDOVER_LIMIT,
         on_callback_error: Callable[[str, BaseException], None] | None = None,
     ) -> None:
+        """Wire the parts; nothing happens before a request, an event or the endpoint list comes."""
         self.router = router
         self.upstream = upstream
         self.clock = clock
--- a/sedgepitch/core/intake.py
+++ b/sedgepitch/core/intake.py
@@ -32,6 +32,7 @@
     __slots__ = ("engine",)
 
     def __init__(self, engine: Engine) -> None:
+        """Work for `engine`."""
         self.engine = engine
 
     def submit(
--- a/sedgepitch/core/pooled_connection.py
+++ b/sedgepitch/core/pooled_connection.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from sedgepitch.core.types import AttemptCallback, AttemptOutcome
+from sedgepitch.core.types import AttemptCallback, AttemptOutcome, TimerHandle
 from sedgepitch.routing.messages import AttemptResult
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
 class Connection(Protocol):
     """One open connection of a protocol's own kind."""
 
-    def start(self, payload: Any, done: Callable[[Any], None]) -> None:
+    def start(self, payload: object, done: Callable[[Any], None]) -> None:
         """Send one request; `done` gets the reply."""
 
     def close(self) -> None:
@@ -56,8 +56,9 @@
 
     __slots__ = ("connection", "has_started", "on_end", "payload", "send_by", "sent_at")
 
-    def __init__(self, payload: Any, on_end: AttemptCallback, now: float, send_by: float) -> None:
-        self.payload = payload
+    def __init__(self, payload: object, on_end: AttemptCallback, now: float, send_by: float) -> None:
+        """Make an attempt that came to the pool at `now`."""
+        self.payload: Any = payload  # of the protocol's own type
         self.on_end: AttemptCallback | None = on_end
         self.sent_at = now
         self.send_by = send_by
@@ -94,9 +95,8 @@
             self.abandon()
             return True
         pooled = self.connection
-        if pooled is not None and pooled.attempt is self and pooled.connection is not None:
-            if pooled.connection.unsent():
-                pooled.connection.close()
+        if pooled is not None and pooled.attempt is self:
+            pooled.close_if_unsent()
         return False
 
 
@@ -106,13 +106,14 @@
     __slots__ = ("_discarding", "_give_up", "_timer", "attempt", "connection", "idle_since", "pool")
 
     def __init__(self, pool: ConnectionPool) -> None:
+        """Make a connection of `pool` that is not open yet."""
         self.pool = pool
         self.connection: Connection | None = None  # None while it is being opened
         self.attempt: PoolAttempt | None = None
         self.idle_since = 0.0
         self._give_up: Callable[[], None] | None = None  # ends the opening
         self._discarding = False  # the reply to come is wanted by nobody
-        self._timer: Any = None
+        self._timer: TimerHandle | None = None
 
     # Opening
 
@@ -174,7 +175,7 @@
         attempt.has_started = True
         self.connection.start(attempt.payload, self._done)
 
-    def _done(self, reply: Any) -> None:
+    def _done(self, reply: object) -> None:
         """Take the reply; the connection is idle before anyone hears of it."""
         self._cancel_timer()
         attempt, self.attempt = self.attempt, None
@@ -209,6 +210,11 @@
         if self.connection is not None:
             self.connection.close()
 
+    def close_if_unsent(self) -> None:
+        """Close the connection where bytes wait for its socket."""
+        if self.connection is not None and self.connection.unsent():
+            self.connection.close()
+
     def _leave_pool(self) -> PoolAttempt | None:
         """Leave the pool; returns the attempt that was on the connection."""
         self._cancel_timer()
--- a/sedgepitch/core/request_table.py
+++ b/sedgepitch/core/request_table.py
@@ -50,6 +50,7 @@
         read_at: float,
         arrived_at: float,
     ) -> None:
+        """Make the entry of a request that arrived, and was read, at these moments."""
         self.id = number
         self.request = request
         self.on_response: ResponseCallback | None = on_response
@@ -80,6 +81,7 @@
     """
 
     def __init__(self) -> None:
+        """Make an empty table."""
         self.requests: dict[int, PendingRequest] = {}
         self.pending = 0
         self.opened = 0
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -83,7 +83,9 @@
 class Upstream(Protocol):
     """The side of a protocol that speaks with the endpoints."""
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+    def send(
+        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
+    ) -> InFlightAttempt:
         """Send a payload to an endpoint; `on_end` is called once, never before this returns.
 
         What cannot leave by the moment `send_by` ends with `AttemptResult.NOT_SENT`.
@@ -112,14 +114,21 @@
         """One attempt ended; `latency_ratio` is its latency over its class's latency objective."""
 
 
+class TimerHandle(Protocol):
+    """A timer that was asked for."""
+
+    def cancel(self) -> object:
+        """Cancel it; does nothing where it is past."""
+
+
 class Clock(Protocol):
     """One monotonic clock and its timers; tests pass a fake one."""
 
     def now(self) -> float:
         """Return the present moment in seconds, never going back."""
 
-    def call_later(self, delay: float, call: Callable[..., object], *args: object) -> Any:
-        """Call after `delay` seconds; returns a handle with `cancel`, also for a call that is past."""
+    def call_later(self, delay: float, call: Callable[..., object], *args: object) -> TimerHandle:
+        """Call after `delay` seconds."""
 
     def soon(self, call: Callable[..., object], *args: object) -> None:
         """Call once all that is readable in this turn of the event loop has been read."""
--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -81,6 +81,7 @@
     )
 
     def __init__(self, now: float) -> None:
+        """Start at the initial limit, with no baseline."""
         self.limit = INITIAL_LIMIT
         self.current_limit = INITIAL_LIMIT  # the limit, or less during a probe
         self.in_slow_start = True  # no queue has been seen yet
--- a/sedgepitch/decisions/admission/class_latency.py
+++ b/sedgepitch/decisions/admission/class_latency.py
@@ -12,6 +12,7 @@
     __slots__ = ("_at_endpoint", "_since_admission")
 
     def __init__(self) -> None:
+        """Start without answers: every class has the initial latency."""
         self._at_endpoint: dict[str, float] = {}
         self._since_admission: dict[str, float] = {}
 
--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -60,6 +60,7 @@
     """
 
     def __init__(self, settings: AdmissionSettings, seed: int, now: float) -> None:
+        """Start with no pools; `seed` fixes the moments of reservations and the sketches."""
         self.settings = settings
         self.pools: dict[tuple[int, bool], AdmissionPool] = {}  # by group, and whether for its primary alone
         self.requests: dict[int, _TrackedRequest] = {}
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -124,6 +124,7 @@
     """All that is queued for one pool. Costs logarithmic time in the tenants that have something queued."""
 
     def __init__(self, max_tracked_tenants: int) -> None:
+        """Make an empty queue that remembers so many idle tenants at most."""
         self.max_tracked_tenants = max_tracked_tenants
         self.virtual_time = 0.0
         self.tenants: dict[str, TenantQueue] = {}  # those with something queued
--- a/sedgepitch/decisions/admission/pool.py
+++ b/sedgepitch/decisions/admission/pool.py
@@ -29,6 +29,7 @@
     """
 
     def __init__(self, settings: AdmissionSettings, seed: int, now: float) -> None:
+        """Make an empty pool; `seed` fixes the moments of its reservations."""
         self.queue = FairQueue(settings.max_tracked_tenants)
         self.redeemed: deque[QueuedRequest] = deque()  # with a reservation: next, ahead of the queue
         self.reservations = ReservationSchedule(settings.max_reservations, settings.reservation_horizon, seed)
--- a/sedgepitch/decisions/admission/process_concurrency_limit.py
+++ b/sedgepitch/decisions/admission/process_concurrency_limit.py
@@ -46,6 +46,7 @@
     )
 
     def __init__(self, tolerable_wait: float) -> None:
+        """Start at the initial limit, in slow start."""
         self.tolerable_wait = tolerable_wait
         self.limit = INITIAL_LIMIT
         self.in_slow_start = True
--- a/sedgepitch/decisions/admission/reservations.py
+++ b/sedgepitch/decisions/admission/reservations.py
@@ -51,6 +51,7 @@
     """
 
     def __init__(self, max_reservations: int, horizon: float, seed: int) -> None:
+        """Make an empty schedule; `seed` fixes the moments that it draws."""
         self.max_reservations = max_reservations
         self.horizon = horizon
         self.reservations: OrderedDict[Reservation, None] = OrderedDict()  # as they were made
--- a/sedgepitch/decisions/admission/retry_budget.py
+++ b/sedgepitch/decisions/admission/retry_budget.py
@@ -19,6 +19,7 @@
     """
 
     def __init__(self, share: float, max_keys: int, seed: int, now: float) -> None:
+        """Start with nothing counted; `seed` fixes the sketches' hashes."""
         self.share = share
         self.max_keys = max_keys
         self.rejected_keys: OrderedDict[str, None] = OrderedDict()  # the latest last
--- a/sedgepitch/decisions/event_loop_lag.py
+++ b/sedgepitch/decisions/event_loop_lag.py
@@ -25,6 +25,7 @@
     __slots__ = ("_longest", "_margin", "_span", "longest", "samples", "total")
 
     def __init__(self) -> None:
+        """Start without samples: the margin is 0."""
         self._longest = [0.0] * WINDOW_SPANS  # of each span, by its number modulo WINDOW_SPANS
         self._span = 0  # number of the present span
         self._margin = 0.0
--- a/sedgepitch/node/__main__.py
+++ b/sedgepitch/node/__main__.py
@@ -13,7 +13,7 @@
 import signal  # noqa: E402
 from typing import Any  # noqa: E402
 
-from sedgepitch.core.clock import unix_ahead  # noqa: E402
+from sedgepitch.core.clock import unix_offset  # noqa: E402
 from sedgepitch.node.config import BadConfig, Config, load  # noqa: E402
 from sedgepitch.node.lines import TRACE_VARIABLE, Lines  # noqa: E402
 
@@ -45,7 +45,7 @@
     environment = dict(os.environ)
     tracing = bool(environment.get(TRACE_VARIABLE))
     lines = Lines(environment.get("RELAY_NAME", "driver"), tracing=tracing)
-    wall = unix_ahead()
+    wall = unix_offset()
     try:
         config: Config = load(environment, wall)
     except BadConfig as error:
--- a/tests/test_arrival_stamps.py
+++ b/tests/test_arrival_stamps.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.core.clock import unix_ahead
+from sedgepitch.core.clock import unix_offset
 from sedgepitch.net import transport
 from sedgepitch.net.stamps import Stamps
 
@@ -94,6 +94,6 @@
         now[0] += left.pop(0)
         return now[0] + ahead
 
-    told = unix_ahead(lambda: look(1e9), lambda: look(0.0))
+    told = unix_offset(lambda: look(1e9), lambda: look(0.0))
     spans = [stops[n + 1] + stops[n + 2] for n in range(0, 15, 3)]
     assert -1e-6 <= told - 1e9 <= min(spans) + 1e-6
