--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -21,8 +21,8 @@
 from sedgepitch.decisions.admission.pool import AdmissionPool
 from sedgepitch.decisions.admission.retry_budget import RetryBudget
 from sedgepitch.decisions.admission.settings import AdmissionSettings
-from sedgepitch.structures.sketch import FadingSketch
-from sedgepitch.structures.wheel import Entry, Wheel
+from sedgepitch.structures.sketch import DecayingSketch
+from sedgepitch.structures.wheel import TimingWheel, WheelEntry
 
 QUEUE_TIMER_TICK_S = 0.005  # how exactly the time of queued requests ends
 MAX_TIME_IN_FLIGHT_RATIO = 2.0  # time in flight of nearly every request, over its class's usual one
@@ -47,7 +47,7 @@
     arrival: AdmissionRequest
     queued: QueuedRequest
     pool: AdmissionPool
-    timer: Entry[int] | None = None  # while it is queued
+    timer: WheelEntry[int] | None = None  # while it is queued
     turn: int = -1  # of its pool's router, when it was admitted
     admitted_at: float | None = None
     sent_at: float | None = None
@@ -69,9 +69,9 @@
         self.most_active_tenant = ""  # as of the last tick
         self.process_limit = NO_LIMIT  # requests in flight that the process can carry; set by the engine
         self._seed = seed
-        self._queue_timers: Wheel[int] = Wheel(QUEUE_TIMER_TICK_S, now)
+        self._queue_timers: TimingWheel[int] = TimingWheel(QUEUE_TIMER_TICK_S, now)
         self._latency = ClassLatency()
-        self._usage = FadingSketch(USAGE_SKETCH_WIDTH, USAGE_TOP_TENANTS, USAGE_HALF_LIFE_S, seed, now)
+        self._usage = DecayingSketch(USAGE_SKETCH_WIDTH, USAGE_TOP_TENANTS, USAGE_HALF_LIFE_S, seed, now)
         self._retry_budget = RetryBudget(
             settings.retry_budget_share, settings.max_reservations, seed + 1, now
         )
@@ -317,7 +317,7 @@
         """Take what a request cost its endpoints, in seconds, and its latency where it was served."""
         arrival, pool = request.arrival, request.pool
         pool.count_served(request.queued, cost)
-        self._usage.gather(arrival.tenant, cost, now)
+        self._usage.add_batched(arrival.tenant, cost, now)
         if served:
             pool.capacity.record_latency(arrival.class_name, arrival.latency_objective, cost, sent_at)
             self._latency.record(arrival.class_name, cost, since_admission)
--- a/sedgepitch/decisions/admission/retry_budget.py
+++ b/sedgepitch/decisions/admission/retry_budget.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from sedgepitch.structures.sketch import FadingSketch
+from sedgepitch.structures.sketch import DecayingSketch
 
 HALF_LIFE_S = 10.0
 FREE_RETRIES = 5.0  # that a tenant may make, however few first attempts it makes
@@ -23,8 +23,8 @@
         self.share = share
         self.max_keys = max_keys
         self.rejected_keys: OrderedDict[str, None] = OrderedDict()  # the latest last
-        self._first_attempts = FadingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed, now)
-        self._retries = FadingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed + 1, now)
+        self._first_attempts = DecayingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed, now)
+        self._retries = DecayingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed + 1, now)
 
     def is_retry(self, idempotency_key: str) -> bool:
         """Whether a request repeats one that was rejected; the key is forgotten with it."""
@@ -35,7 +35,7 @@
 
     def count_first_attempt(self, tenant: str, now: float) -> None:
         """Count a request that is no retry."""
-        self._first_attempts.gather(tenant, 1.0, now)
+        self._first_attempts.add_batched(tenant, 1.0, now)
 
     def count_retry(self, tenant: str, now: float) -> bool:
         """Count a retry without a reservation; returns whether it is within the budget."""
--- a/sedgepitch/structures/__init__.py
+++ b/sedgepitch/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures made for the job: bounded, without clocks, each measured against a plain twin."""
+"""Bounded data structures without clocks: a timing wheel and a sketch of recent usage."""
--- a/sedgepitch/structures/sketch.py
+++ b/sedgepitch/structures/sketch.py
@@ -1,10 +1,10 @@
 """How much each of very many keys has used lately, in a fixed amount of memory.
 
 A count-min sketch (Cormode and Muthukrishnan, 2005) with conservative update (Estan and Varghese, 2002),
-whose counts fade with a half-life: instead of ageing all cells, new amounts are scaled up, and all is
+whose counts decay with a half-life: instead of ageing all cells, new amounts are scaled up, and all is
 scaled back before the scale grows too large. Beside it the few largest keys are kept by name, as in
-Space-Saving (Metwally et al., 2005). An estimate is never below the true faded amount, and with probability
-1 - e^-DEPTH above it by at most e/width of all that was added.
+Space-Saving (Metwally and others, 2005). An estimate is never below the true decayed amount, and with
+probability 1 - e^-DEPTH above it by at most e / width of all that was added.
 """
 
 from __future__ import annotations
@@ -14,40 +14,49 @@
 
 import xxhash
 
-DEPTH = 4
-RESCALE = 1e30
-GATHER = 256  # keys whose amounts are gathered before they are added
-GATHER_FOR = 0.25  # s; an amount fades from at most so much too late a time, so it is never too small
+DEPTH = 4  # rows
+CELL_BYTES = 8
+MAX_SCALE = 1e30
+MAX_EXPONENT = 700.0  # beyond which math.exp overflows
+BITS_PER_ROW = 32  # of the hash, of which a row uses the lowest
+BATCH_KEYS = 256  # keys whose amounts are batched before they are added
+BATCH_S = 0.25  # an amount decays from so much too late at most, so an estimate is never too small
 
 
-class FadingSketch:
-    """Amounts by key, fading by half each `half_life` s. Memory: DEPTH * width * 8 bytes, `top` names."""
+class DecayingSketch:
+    """Amounts by key that decay by half each `half_life` seconds.
+
+    Memory: DEPTH * width * 8 bytes, and the names of the `top` largest keys. `width` is a power of two.
+    """
 
     def __init__(self, width: int, top: int, half_life: float, seed: int, now: float) -> None:
+        """Start empty. Raises ValueError for a width that is no power of two."""
         if width & (width - 1):
             raise ValueError("width must be a power of two")
-        self.width, self.top, self.seed = width, top, seed
-        self.rate = math.log(2.0) / half_life
-        self.since = now
-        self.rows = [array("d", bytes(8 * width)) for _ in range(DEPTH)]
-        self.names: dict[str, float] = {}
-        self.total = 0.0
-        self.gathered: dict[str, float] = {}
-        self.gathered_from = now
-
-    def gather(self, key: str, amount: float, now: float) -> None:
+        self.width = width
+        self.top = top
+        self.seed = seed
+        self.decay_rate = math.log(2.0) / half_life  # a second
+        self.scaled_from = now
+        self.rows = [array("d", bytes(CELL_BYTES * width)) for _ in range(DEPTH)]
+        self.top_keys: dict[str, float] = {}  # scaled amounts
+        self.total = 0.0  # scaled
+        self._batch: dict[str, float] = {}
+        self._batch_began_at = now
+
+    def add_batched(self, key: str, amount: float, now: float) -> None:
         """Add an amount a little later, together with others: for few keys a tenth of the cost."""
-        if not self.gathered:
-            self.gathered_from = now
-        elif len(self.gathered) >= GATHER or now - self.gathered_from > GATHER_FOR:
-            self._settle(now)
-            self.gathered_from = now
-        self.gathered[key] = self.gathered.get(key, 0.0) + amount
-
-    def _settle(self, now: float) -> None:
-        gathered, self.gathered = self.gathered, {}
-        at = min(now, self.gathered_from + GATHER_FOR)
-        for key, amount in gathered.items():
+        if not self._batch:
+            self._batch_began_at = now
+        elif len(self._batch) >= BATCH_KEYS or now - self._batch_began_at > BATCH_S:
+            self._add_batch(now)
+            self._batch_began_at = now
+        self._batch[key] = self._batch.get(key, 0.0) + amount
+
+    def _add_batch(self, now: float) -> None:
+        batch, self._batch = self._batch, {}
+        at = min(now, self._batch_began_at + BATCH_S)
+        for key, amount in batch.items():
             self.add(key, amount, at)
 
     def add(self, key: str, amount: float, now: float) -> float:
@@ -59,39 +68,47 @@
             if row[cell] < estimate:
                 row[cell] = estimate
         self.total += amount * scale
-        if key in self.names or len(self.names) < self.top:
-            self.names[key] = estimate
-        else:
-            least = min(self.names, key=self.names.__getitem__)
-            if estimate > self.names[least]:
-                del self.names[least]
-                self.names[key] = estimate
+        self._keep_if_large(key, estimate)
         return estimate / scale
 
+    def _keep_if_large(self, key: str, estimate: float) -> None:
+        if key in self.top_keys or len(self.top_keys) < self.top:
+            self.top_keys[key] = estimate
+            return
+        smallest = min(self.top_keys, key=self.top_keys.__getitem__)
+        if estimate > self.top_keys[smallest]:
+            del self.top_keys[smallest]
+            self.top_keys[key] = estimate
+
     def estimate(self, key: str, now: float) -> float:
         """Return what the key has used lately: never too little."""
-        self._settle(now)
-        scale, cells = self._scale(now), self._cells(key)  # in this order: scaling may change the cells
+        self._add_batch(now)
+        scale = self._scale(now)  # before the cells are read: scaling may change them
+        cells = self._cells(key)
         return min(row[cell] for row, cell in zip(self.rows, cells, strict=True)) / scale
 
     def largest(self, now: float) -> list[tuple[str, float]]:
         """Return the largest keys and their amounts, the largest first."""
-        self._settle(now)
+        self._add_batch(now)
         scale = self._scale(now)
-        return sorted(((k, v / scale) for k, v in self.names.items()), key=lambda kv: -kv[1])
+        amounts = ((key, amount / scale) for key, amount in self.top_keys.items())
+        return sorted(amounts, key=lambda entry: -entry[1])
 
     def _cells(self, key: str) -> tuple[int, ...]:
-        mixed = xxhash.xxh3_128_intdigest(key.encode("utf-8", "replace"), self.seed)
+        digest = xxhash.xxh3_128_intdigest(key.encode("utf-8", "replace"), self.seed)
         mask = self.width - 1
-        return tuple((mixed >> (32 * row)) & mask for row in range(DEPTH))
+        return tuple((digest >> (BITS_PER_ROW * row)) & mask for row in range(DEPTH))
 
     def _scale(self, now: float) -> float:
-        scale = math.exp(min(700.0, max(0.0, now - self.since) * self.rate))
-        if scale > RESCALE:
+        """Return the scale of amounts added now; scales all back where it has grown too large."""
+        exponent = max(0.0, now - self.scaled_from) * self.decay_rate
+        scale = math.exp(min(MAX_EXPONENT, exponent))
+        if scale > MAX_SCALE:
             for row in self.rows:
                 for cell in range(self.width):
                     row[cell] /= scale
-            self.names = {k: v / scale for k, v in self.names.items()}
+            self.top_keys = {key: amount / scale for key, amount in self.top_keys.items()}
             self.total /= scale
-            self.since, scale = now, 1.0
+            self.scaled_from = now
+            scale = 1.0
         return scale
--- a/sedgepitch/structures/wheel.py
+++ b/sedgepitch/structures/wheel.py
@@ -2,8 +2,7 @@
 
 Source: Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (1987), scheme 7. Level n has SLOTS
 slots of SLOTS**n ticks each; an item sits in the finest level that reaches its time and moves down as the
-time comes near. Compared with a heap: cancelling needs no search and leaves nothing behind, so what is held
-is what is due.
+time comes near. Compared with a heap, cancelling needs no search and leaves nothing behind.
 """
 
 from __future__ import annotations
@@ -11,42 +10,50 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-SLOTS, LEVELS = 64, 4
+SLOTS = 64  # of each level
+LEVELS = 4
 
 T = TypeVar("T")
 
 
-class Entry(Generic[T]):
-    """One item in a wheel; what `Wheel.put` returns."""
+class WheelEntry(Generic[T]):
+    """One item in a wheel; what `TimingWheel.put` returns."""
 
-    __slots__ = ("at", "item", "slot")
+    __slots__ = ("due_tick", "item", "slot")
 
-    def __init__(self, at: int, item: T) -> None:
-        self.at, self.item = at, item
-        self.slot: dict[Entry[T], None] | None = None
+    def __init__(self, due_tick: int, item: T) -> None:
+        """Make an entry that is in no slot yet."""
+        self.due_tick = due_tick
+        self.item = item
+        self.slot: dict[WheelEntry[T], None] | None = None
 
 
-class Wheel(Generic[T]):
-    """Items by due time, in ticks of so many seconds. Items are never told early, and at most a tick late."""
+class TimingWheel(Generic[T]):
+    """Items by due time, in ticks of `tick` seconds. No item comes early, and none more than a tick late."""
 
     def __init__(self, tick: float, now: float) -> None:
-        self.tick, self.start = tick, now
-        self.hand = 0  # ticks passed
+        """Start empty, with the first tick at `now`."""
+        self.tick = tick
+        self.start = now
+        self.ticks_passed = 0
         self.count = 0
-        self.levels: list[list[dict[Entry[T], None]]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
+        self.levels: list[list[dict[WheelEntry[T], None]]] = [
+            [{} for _ in range(SLOTS)] for _ in range(LEVELS)
+        ]
 
     def __len__(self) -> int:
+        """Return how many items are in."""
         return self.count
 
-    def put(self, at: float, item: T) -> Entry[T]:
-        """Put in an item that is due at that time; one that is past comes with the next advance."""
-        ticks = -int(-(at - self.start) // self.tick)  # rounded up
-        entry = Entry(max(ticks, self.hand + 1), item)
+    def put(self, due: float, item: T) -> WheelEntry[T]:
+        """Put in an item that is due at that moment; one that is past comes with the next advance."""
+        due_tick = -int(-(due - self.start) // self.tick)  # rounded up
+        entry = WheelEntry(max(due_tick, self.ticks_passed + 1), item)
         self._place(entry)
         self.count += 1
         return entry
 
-    def cancel(self, entry: Entry[T]) -> bool:
+    def cancel(self, entry: WheelEntry[T]) -> bool:
         """Take an item out; returns whether it was still in."""
         if entry.slot is None:
             return False
@@ -56,15 +63,15 @@
         return True
 
     def advance(self, now: float) -> Iterator[T]:
-        """Yield what has come due by now, by ticks. A long sleep costs its ticks, or nothing if empty."""
+        """Yield what has come due by now, in ticks. Costs the ticks that passed, or nothing if empty."""
         target = int((now - self.start) / self.tick)
-        while self.hand < target:
+        while self.ticks_passed < target:
             if not self.count:
-                self.hand = target
+                self.ticks_passed = target
                 return
-            self.hand += 1
-            self._come_down()
-            slot = self.levels[0][self.hand % SLOTS]
+            self.ticks_passed += 1
+            self._move_down()
+            slot = self.levels[0][self.ticks_passed % SLOTS]
             while slot:
                 entry, _ = slot.popitem()
                 entry.slot = None
@@ -72,40 +79,48 @@
                 yield entry.item
 
     def next_due(self) -> float | None:
-        """A time by which nothing is due yet, or the earliest due time; None where the wheel is empty."""
+        """Return a moment by which nothing is due, or the earliest due one; None where it is empty."""
         if not self.count:
             return None
-        for level in range(LEVELS):
-            span = SLOTS**level
+        ticks_per_slot = 1
+        for slots in self.levels:
             for step in range(1, SLOTS + 1):
-                if self.levels[level][(self.hand // span + step) % SLOTS]:
-                    return self.start + (self.hand // span + step) * span * self.tick
+                slot = self.ticks_passed // ticks_per_slot + step
+                if slots[slot % SLOTS]:
+                    return self.start + slot * ticks_per_slot * self.tick
+            ticks_per_slot *= SLOTS
         return None
 
-    def _place(self, entry: Entry[T]) -> None:
-        ahead = entry.at - self.hand
-        level, span = 0, 1
-        while level < LEVELS - 1 and ahead >= SLOTS * span:
-            level, span = level + 1, span * SLOTS
-        at = min(entry.at, self.hand + (SLOTS - 1) * span) if level == LEVELS - 1 else entry.at
-        slot = self.levels[level][(at // span) % SLOTS]
+    def _place(self, entry: WheelEntry[T]) -> None:
+        """Put an entry into the finest level that reaches its time; the coarsest takes all that is beyond."""
+        ahead = entry.due_tick - self.ticks_passed
+        level = 0
+        ticks_per_slot = 1
+        while level < LEVELS - 1 and ahead >= SLOTS * ticks_per_slot:
+            level += 1
+            ticks_per_slot *= SLOTS
+        tick = entry.due_tick
+        if level == LEVELS - 1:
+            tick = min(tick, self.ticks_passed + (SLOTS - 1) * ticks_per_slot)
+        slot = self.levels[level][(tick // ticks_per_slot) % SLOTS]
         slot[entry] = None
         entry.slot = slot
 
-    def _come_down(self) -> None:
-        span = SLOTS
+    def _move_down(self) -> None:
+        """Move the entries of each coarser slot that begins with this tick to finer levels."""
+        ticks_per_slot = SLOTS
         for level in range(1, LEVELS):
-            if self.hand % span:
+            if self.ticks_passed % ticks_per_slot:
                 return
-            slot = self.levels[level][(self.hand // span) % SLOTS]
-            moving = list(slot)
+            slot = self.levels[level][(self.ticks_passed // ticks_per_slot) % SLOTS]
+            entries = list(slot)
             slot.clear()
-            for entry in moving:
-                if entry.at <= self.hand:
-                    entry.at = self.hand
-                    due = self.levels[0][self.hand % SLOTS]
+            for entry in entries:
+                if entry.due_tick <= self.ticks_passed:
+                    entry.due_tick = self.ticks_passed
+                    due = self.levels[0][self.ticks_passed % SLOTS]
                     due[entry] = None
                     entry.slot = due
                 else:
                     self._place(entry)
-            span *= SLOTS
+            ticks_per_slot *= SLOTS
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sedgepitch.structures.sketch import FadingSketch
-from sedgepitch.structures.wheel import LEVELS, SLOTS, Wheel
+from sedgepitch.structures.sketch import DecayingSketch
+from sedgepitch.structures.wheel import LEVELS, SLOTS, TimingWheel
 
 STEPS = st.lists(
     st.one_of(
@@ -25,7 +25,7 @@
 @given(STEPS)
 def test_wheel_gives_what_a_heap_gives_within_a_tick(steps):
     now, tick, number = 0.0, 0.5, 0
-    wheel: Wheel[int] = Wheel(tick, now)
+    wheel: TimingWheel[int] = TimingWheel(tick, now)
     entries, heap, due = {}, [], {}
     for what, amount in steps:
         if what == "put":
@@ -53,7 +53,7 @@
 
 
 def test_a_cancelled_entry_is_cancelled_once():
-    wheel: Wheel[str] = Wheel(0.01, 0.0)
+    wheel: TimingWheel[str] = TimingWheel(0.01, 0.0)
     entry = wheel.put(1.0, "x")
     assert wheel.cancel(entry)
     assert not wheel.cancel(entry)
@@ -68,13 +68,13 @@
     st.integers(0, 1000),
 )
 def test_sketch_is_never_below_a_dictionary_and_seldom_far_above(events, seed):
-    sketch, now = FadingSketch(256, 4, 5.0, seed, 0.0), 0.0
+    sketch, now = DecayingSketch(256, 4, 5.0, seed, 0.0), 0.0
     plain: dict[str, float] = {}
     for number, amount, passed in events:
         now += passed
         plain = {k: v * 0.5 ** (passed / 5.0) for k, v in plain.items()}
         plain[str(number)] = plain.get(str(number), 0.0) + amount
-        sketch.gather(str(number), amount, now)
+        sketch.add_batched(str(number), amount, now)
     total = sum(plain.values())
     over = 0
     for key, true in plain.items():
@@ -85,7 +85,7 @@
 
 
 def test_sketch_keeps_the_largest_by_name_and_survives_long_times():
-    sketch = FadingSketch(1024, 3, 1.0, 1, 0.0)
+    sketch = DecayingSketch(1024, 3, 1.0, 1, 0.0)
     for second in range(300):
         sketch.add("noisy", 5.0, float(second))
         sketch.add(f"once {second}", 1.0, float(second))
