--- a/benchmarks/door.py
+++ b/benchmarks/admission.py
@@ -1,6 +1,6 @@
-"""The door's parts against their plain twins, and what it costs and saves before the module.
+"""Admission control: its data structures against plain ones, and what it costs and saves before the router.
 
-`python -m benchmarks.door`. Times are microseconds an operation within one run; about a minute.
+`python -m benchmarks.admission`. Times are microseconds an operation within one run; about a minute.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 
 from benchmarks.rig import Rig
 from sedgepitch.config.load import parse
-from sedgepitch.decisions.admission.controller import AdmissionController, AdmissionSettings
+from sedgepitch.decisions.admission.controller import AdmissionController
 from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit
+from sedgepitch.decisions.admission.settings import AdmissionSettings
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
-from sedgepitch.structures.sketch import FadingSketch
-from sedgepitch.structures.wheel import Wheel
+from sedgepitch.structures.sketch import DecayingSketch
+from sedgepitch.structures.wheel import TimingWheel
 
 SIZES = (1_000, 10_000, 100_000, 1_000_000)
 
@@ -37,7 +38,7 @@
     times = [rng.uniform(0.0, 2.0) for _ in range(count)]
 
     def wheel() -> None:
-        held: Wheel[int] = Wheel(0.005, 0.0)
+        held: TimingWheel[int] = TimingWheel(0.005, 0.0)
         entries = [held.put(at, n) for n, at in enumerate(times)]
         for n, entry in enumerate(entries):
             if n % 10:
@@ -69,7 +70,7 @@
         return held, taken
 
     def sketch():
-        held = FadingSketch(4096, 16, 10.0, 1, 0.0)
+        held = DecayingSketch(4096, 16, 10.0, 1, 0.0)
         for key in keys:
             held.add(key, 1.0, 0.0)
         return held
@@ -87,24 +88,26 @@
     return *times, sketch_bytes / 1024, plain_bytes / 1024, error
 
 
-def door_call(clients: int, pressed: bool) -> tuple[float, float]:
+def controller_call(clients: int, pressed: bool) -> tuple[float, float]:
     """An arrival, its send and its end, by so many clients; and a dictionary of deques alone."""
     count = 20_000
-    door = AdmissionController(AdmissionSettings(most_held=2000), 1, 0.0)
+    controller = AdmissionController(AdmissionSettings(max_queued=2000), 1, 0.0)
     if pressed:
         for n in range(8 + 1000):
-            door.arrive(AdmissionRequest(n, f"t{n % clients}", "c", "x", 1.0, 1e6, 0, False, str(n)), 0.0)
+            controller.arrive(
+                AdmissionRequest(n, f"t{n % clients}", "c", "x", 1.0, 1e6, 0, False, str(n)), 0.0
+            )
 
     def call() -> None:
         open_ = deque(range(8)) if pressed else deque()
         for n in range(10_000, 10_000 + count):
             now = n * 1e-6
             name = f"t{n % clients}"
-            out = door.arrive(AdmissionRequest(n, name, "c", "x", 1.0, 1e6, 0, False, name), now)
+            out = controller.arrive(AdmissionRequest(n, name, "c", "x", 1.0, 1e6, 0, False, name), now)
             open_ += [d.id for d in out if isinstance(d, Admit)]
             if open_:
                 number = open_.popleft()
-                more = door.sent(number, now) + door.ended(number, now + 1e-6, True)
+                more = controller.sent(number, now) + controller.ended(number, now + 1e-6, True)
                 open_ += [d.id for d in more if isinstance(d, Admit)]
 
     queues: dict[str, deque[int]] = {}
@@ -128,29 +131,29 @@
     return timed(call, count), timed(twin, count)
 
 
-def module_with_pending(pending: int, door: bool) -> float:
-    """A read's arrival and answer in the module while so many clients' writes have no primary to go to."""
+def router_with_pending(pending: int, admission: bool) -> float:
+    """A read's arrival and answer in the router while so many clients' writes have no primary to go to."""
     settings = parse(files("sedgepitch.config").joinpath("example.yaml").read_text(), "example")
     router = Router(settings.module_settings(), 1)
-    listings = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
-    router.handle(10.0, [api.EndpointListUpdate(listings, complete=True)])
-    router.members[1].limit = 0.0  # the primary has no room
-    gate = AdmissionController(AdmissionSettings(), 1, 10.0) if door else None
+    entries = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
+    router.handle(10.0, [api.EndpointListUpdate(entries, complete=True)])
+    router.endpoints[1].limit = 0.0  # the primary has no room
+    controller = AdmissionController(AdmissionSettings(), 1, 10.0) if admission else None
     for n in range(pending):
         number = 1_000_000 + n
-        if gate is not None:
+        if controller is not None:
             arrival = AdmissionRequest(number, str(n % 50), str(n), "upload", 6.0, 2.0, 0, True, str(n))
-            if not any(isinstance(d, Admit) for d in gate.arrive(arrival, 10.0)):
+            if not any(isinstance(d, Admit) for d in controller.arrive(arrival, 10.0)):
                 continue
         router.handle(10.0, [api.RequestReceived(number, "upload", 0, 2.0)])
-    count = 100 if pending and not door else 1000
+    count = 100 if pending and not admission else 1000
 
     def call() -> None:
         for n in range(count):
             now = 10.0 + n * 1e-5
             actions = router.handle(now, [api.RequestReceived(n, "history-read", 0, 0.5)])
-            member = next(a.member for a in actions if isinstance(a, api.SendAttempt) and a.request == n)
-            router.handle(now, [api.AttemptFinished(n, 0, member, api.AttemptResult.OK, 0.002, True)])
+            endpoint = next(a.endpoint for a in actions if isinstance(a, api.SendAttempt) and a.request == n)
+            router.handle(now, [api.AttemptFinished(n, 0, endpoint, api.AttemptResult.OK, 0.002, True)])
 
     return timed(call, count)
 
@@ -171,14 +174,16 @@
         )
     print(f"\n{'clients':>10}{'open us':>10}{'pressed us':>12}{'dict of deques us':>19}")
     for clients in (1, 100, 10_000, 1_000_000):
-        quiet, twin = door_call(clients, False)
-        pressed, _ = door_call(clients, True)
+        quiet, twin = controller_call(clients, False)
+        pressed, _ = controller_call(clients, True)
         print(f"{clients:>10}{quiet:>10.2f}{pressed:>12.2f}{twin:>19.2f}", flush=True)
-    quiet = module_with_pending(0, False)
-    print(f"\none read in the module, 8 members: {quiet:.0f} us on a quiet path")
-    without, behind = module_with_pending(1000, False), module_with_pending(1000, True)
+    quiet = router_with_pending(0, False)
+    print(f"\none read in the router, 8 endpoints: {quiet:.0f} us on a quiet path")
+    without, behind = router_with_pending(1000, False), router_with_pending(1000, True)
     print(
-        f"1000 clients' writes pending: {without:.0f} us without the door, {behind:.0f} us behind it", end=""
+        f"1000 clients' writes pending: {without:.0f} us without admission control, "
+        f"{behind:.0f} us behind it",
+        end="",
     )
     print(f" ({without / behind:.0f} times less, {behind / quiet:.2f} of the quiet path)")
     rig = Rig()
@@ -189,7 +194,10 @@
             for way, address in ways.items():
                 rates[way].append(rig.load(address, 32, 1.5)["rate"])
         best = {way: sorted(values)[len(values) // 2] for way, values in rates.items()}
-        print(f"throughput at 32 connections with the door, of without: {best['with'] / best['without']:.2f}")
+        print(
+            "throughput at 32 connections with admission control, of without: "
+            f"{best['with'] / best['without']:.2f}"
+        )
     finally:
         rig.stop()
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,4 +1,4 @@
-"""A flood of one tenant on loopback: shares, uploads in time and promises, with the door and without.
+"""A flood of one tenant on loopback, with admission control and without: shares, uploads, reservations.
 
 `python -m benchmarks.flood [--seconds S] [--seed N] [--councils R] [--burners N]`. One driver, six stand-in
 members of one core; `public` asks for far more than there is, two councils for about their share, `stations`
@@ -37,9 +37,20 @@
     """One arm of the measurement."""
 
     def __init__(
-        self, seconds: float, seed: int, door: bool, flooding: bool, councils: float = 0.0, burners: int = 0
+        self,
+        seconds: float,
+        seed: int,
+        admission: bool,
+        flooding: bool,
+        councils: float = 0.0,
+        burners: int = 0,
     ) -> None:
-        self.seconds, self.random, self.door, self.burners = seconds, random.Random(seed), door, burners
+        self.seconds, self.random, self.admission, self.burners = (
+            seconds,
+            random.Random(seed),
+            admission,
+            burners,
+        )
         self.rates = {t: r for t, r in RATES.items() if flooding or t != "public"}
         if councils:
             self.rates |= {"council-a": councils, "council-b": councils}
@@ -62,7 +73,7 @@
         }
         settings["log"]["lines_per_second"] = 200  # an operator's default
         settings["door"] = {"tenant": ["app_name"], "client": ["session"]}
-        if not self.door:
+        if not self.admission:
             del settings["door"]
         with tempfile.TemporaryDirectory() as place:
             stage = Stage(settings, Path(place))
@@ -81,7 +92,7 @@
                 self._watch(pid, memory)
                 reactor.callLater(self.seconds + 2.5, reactor.stop)
                 gc.collect()
-                gc.freeze()  # a collector's pause in the clients would be a burst at the door
+                gc.freeze()  # a collector's pause in the clients would be a burst of arrivals
                 gc.set_threshold(100_000, 50, 1000)
                 reactor.run()
                 record.close()
@@ -173,17 +184,17 @@
 def main(seconds: float, seed: int, councils: float, burners: int, arm: str) -> None:
     """Print the table."""
     if arm:
-        print(json.dumps(Flood(seconds, seed, "door" in arm, "flood" in arm, councils, burners).run()))
+        print(json.dumps(Flood(seconds, seed, "admission" in arm, "flood" in arm, councils, burners).run()))
         return
     results = {}
-    for name in ("calm door", "flood", "flood door"):
+    for name in ("calm admission", "flood", "flood admission"):
         arguments = ["--seconds", str(seconds), "--seed", str(seed), "--arm", name]
         arguments += ["--councils", str(councils), "--burners", str(burners)]
         done = subprocess.run(
             [sys.executable, "-m", "benchmarks.flood", *arguments], capture_output=True, text=True, check=True
         )
         results[name] = json.loads(done.stdout)
-    calm = results["calm door"]
+    calm = results["calm admission"]
     for name, result in results.items():
         print(f"\n{name}: {result['checked']} cases checked, {result['broken']} broken")
         for text in result["told"]:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The door: fair shares, promises, bounds; alone, in virtual time, and before the module."""
+"""Admission control: fair shares, reservations, bounds; alone, in virtual time, and before the router."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Servers behind a door in virtual time: requests let in go to a free server, else wait inside."""
+    """Servers behind admission control in virtual time: admitted requests go to a free server, else wait."""
 
     def __init__(self, admission: AdmissionController, servers: int, rng: random.Random) -> None:
         self.admission, self.free, self.rng, self.now = admission, servers, rng, 0.0
@@ -35,7 +35,7 @@
         self.order = 0
         self.cost: dict[int, float] = {}
         self.tenant: dict[int, str] = {}
-        self.verdicts: dict[int, list] = {}
+        self.decisions: dict[int, list] = {}
         self.used: dict[str, float] = {}
         self.max_queued = 0
 
@@ -49,7 +49,7 @@
 
     def take(self, decisions) -> None:
         for decision in decisions:
-            self.verdicts.setdefault(decision.id, []).append(decision)
+            self.decisions.setdefault(decision.id, []).append(decision)
             if isinstance(decision, Admit):
                 self.inside.append((decision.id, self.now))
         while self.free and self.inside:
@@ -95,7 +95,7 @@
     return {tenant: used / total for tenant, used in sorted(fleet.used.items())}
 
 
-def test_a_tenant_at_ten_times_its_share_leaves_the_others_theirs():
+def test_a_tenant_at_ten_times_its_quota_leaves_the_others_theirs():
     got = shares(flood({"noisy": 4000.0, "b": 400.0, "c": 400.0}, lambda t: 0.01))
     assert all(abs(share - 1 / 3) < 0.05 / 3 for share in got.values()), got
 
@@ -110,7 +110,7 @@
     assert got["dear"] == pytest.approx(0.5, abs=0.05), got
 
 
-def test_what_one_does_not_use_the_others_may():
+def test_quota_that_one_tenant_does_not_use_goes_to_the_others():
     fleet = flood({"small": 20.0, "big": 2000.0}, lambda t: 0.01)
     assert fleet.used["small"] > 0.95 * 20 * 20 * 0.01 * 0.9
     assert sum(fleet.used.values()) > 0.95 * 4 * 20
@@ -120,7 +120,7 @@
     rates = {f"t{n}": (400.0 if n < 10 else 0.2) for n in range(1000)}
     fleet = flood(rates, lambda t: 0.01, seconds=10.0)
     quiet = [n for n, tenant in fleet.tenant.items() if int(tenant[1:]) >= 10]
-    served = sum(isinstance(fleet.verdicts[n][0], Admit) for n in quiet if n in fleet.verdicts)
+    served = sum(isinstance(fleet.decisions[n][0], Admit) for n in quiet if n in fleet.decisions)
     assert served / len(quiet) > 0.95
     noisy = [fleet.used[f"t{n}"] for n in range(10)]
     assert min(noisy) > 0.9 * max(noisy)
@@ -146,13 +146,13 @@
         assert len(pool.queue.finish_tags) <= 100
         assert len(pool.reservations.reservations) <= 500
         assert not pool.queue.tenants
-    assert set(fleet.verdicts) == set(range(10_000))
+    assert set(fleet.decisions) == set(range(10_000))
 
 
-def test_those_who_come_when_told_are_served():
+def test_clients_that_return_at_retry_after_are_served():
     rng = random.Random(3)
     fleet = Fleet(AdmissionController(AdmissionSettings(), 3, 0.0), 4, rng)
-    number, promised, kept = 0, {}, 0
+    number, reserved_at, served = 0, {}, 0
     when = 0.0
     while (when := when + rng.expovariate(800.0)) < 12.0:  # twice what the fleet can do
         number += 1
@@ -160,29 +160,29 @@
     due: list[tuple[float, str, str]] = []
     for second in range(1, 1500):
         fleet.run(second * 0.01)
-        for n, verdicts in list(fleet.verdicts.items()):
-            for verdict in verdicts:
-                if isinstance(verdict, Reject) and verdict.retry_after > 0 and n not in promised:
-                    promised[n] = fleet.now + verdict.retry_after
+        for n, decisions in list(fleet.decisions.items()):
+            for decision in decisions:
+                if isinstance(decision, Reject) and decision.retry_after > 0 and n not in reserved_at:
+                    reserved_at[n] = fleet.now + decision.retry_after
                     number += 1
                     again = arrival(number, fleet.tenant[n], reservation_token=f"m{n}", time_left=0.5)
-                    fleet.ask(promised[n] + 0.01, again, 0.01)
-                    due.append((promised[n], number, n))
+                    fleet.ask(reserved_at[n] + 0.01, again, 0.01)
+                    due.append((reserved_at[n], number, n))
     back = [new for at, new, _ in due if at < 13.0]
-    kept = sum(isinstance(fleet.verdicts[new][0], Admit) for new in back)
+    served = sum(isinstance(fleet.decisions[new][0], Admit) for new in back)
     assert len(back) > 500
-    assert kept / len(back) >= 0.95
+    assert served / len(back) >= 0.95
 
 
-def test_a_promise_holds_in_its_slot_not_before_and_once():
+def test_a_reservation_holds_in_its_slot_not_before_and_once():
     schedule = ReservationSchedule(100, 5.0, 1)
-    assert schedule.reserve("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # nothing measured yet
+    assert schedule.reserve("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # no rate known yet
     schedule.update_rate(1.0, 10.0)
-    told = schedule.reserve("x", "t", 0.01, 1.0, 0.2, 10.0)
-    assert 0.2 <= told <= 0.2 + 3 * SLOT_S
-    assert not schedule.redeem("x", 10.0 + 0.05)  # early: no advantage, and it keeps its promise
-    assert schedule.redeem("x", 10.0 + told)
-    assert not schedule.redeem("x", 10.0 + told)
+    retry_after = schedule.reserve("x", "t", 0.01, 1.0, 0.2, 10.0)
+    assert 0.2 <= retry_after <= 0.2 + 3 * SLOT_S
+    assert not schedule.redeem("x", 10.0 + 0.05)  # early: no advantage, and the reservation stays
+    assert schedule.redeem("x", 10.0 + retry_after)
+    assert not schedule.redeem("x", 10.0 + retry_after)
     late = schedule.reserve("y", "t", 0.01, 1.0, 0.2, 10.0)
     assert not schedule.redeem("y", 10.0 + late + SLOT_S + GRACE_S + 0.01)
     assert (
@@ -193,11 +193,11 @@
     )
 
 
-def test_promises_never_exceed_the_room_and_the_latest_end_when_it_falls():
+def test_reservations_never_exceed_capacity_and_the_latest_are_revoked_when_it_falls():
     schedule = ReservationSchedule(10_000, 5.0, 1)
     schedule.update_rate(4.0, 0.0)
-    told = [schedule.reserve(f"c{n}", "t", 0.01, 1.0, 0.0, 0.0) for n in range(2000)]
-    assert None in told
+    retry_after = [schedule.reserve(f"c{n}", "t", 0.01, 1.0, 0.0, 0.0) for n in range(2000)]
+    assert None in retry_after
     assert all(booked <= 4.0 * SLOT_S * 0.5 + 1e-9 for booked in schedule.reserved_cost.values())
     before = len(schedule.reservations)
     schedule.update_rate(2.0, 0.0)
@@ -206,7 +206,7 @@
     assert schedule.revoked == before - len(schedule.reservations)
 
 
-def test_a_tenant_that_is_refused_most_books_no_more_than_its_share():
+def test_a_tenant_that_is_rejected_most_reserves_no_more_than_its_quota():
     schedule = ReservationSchedule(10_000, 2.0, 1)
     schedule.update_rate(4.0, 0.0)
     for n in range(2000):
@@ -222,15 +222,15 @@
         max_size=100,
     )
 )
-def test_a_calendars_books_always_add_up(steps):
+def test_the_sums_of_a_reservation_schedule_always_add_up(steps):
     schedule, now = ReservationSchedule(30, 2.0, 1), 0.0
     for tenant, cost, passed, what in steps:
         now += passed
         if what == 0:
             schedule.update_rate(cost * 100, now)
         elif what < 4:
-            told = schedule.reserve(f"{tenant}{what}", tenant, cost, 0.5, passed, now)
-            assert told is None or 0 < told <= 2.0 + SLOT_S
+            retry_after = schedule.reserve(f"{tenant}{what}", tenant, cost, 0.5, passed, now)
+            assert retry_after is None or 0 < retry_after <= 2.0 + SLOT_S
         else:
             schedule.redeem(f"{tenant}{what - 3}", now)
         assert len(schedule.reservations) <= 30
@@ -244,7 +244,7 @@
         assert sum(map(len, schedule.by_token.values())) == len(schedule.reservations)
 
 
-def test_retries_stay_within_their_share_when_everything_fails():
+def test_retries_stay_within_their_budget_when_everything_fails():
     admission, now, admitted = AdmissionController(AdmissionSettings(), 1, 0.0), 0.0, 0
     for number in range(500):
         now += 0.002
@@ -261,7 +261,7 @@
     assert admitted <= 0.2 * 500 + 6
 
 
-def test_a_client_that_goes_on_asking_is_not_taken_for_one_that_tries_again():
+def test_new_requests_of_a_client_are_not_taken_for_retries():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     for number in range(300):  # one connection, no key, all refused inside
         admission.arrive(arrival(number, reservation_token="one connection"), number * 0.001)
@@ -269,14 +269,14 @@
     assert isinstance(admission.arrive(arrival(1000, reservation_token="one connection"), 0.4)[0], Admit)
 
 
-def test_a_request_that_cannot_be_reached_in_time_is_refused_at_once():
+def test_a_request_that_cannot_be_reached_in_time_is_rejected_at_once():
     fleet = flood({"a": 2000.0}, lambda t: 0.01, seconds=5.0)
     late = fleet.admission.arrive(arrival(10**6, "a", client="a-0", time_left=0.001), fleet.now)
     assert isinstance(late[0], Reject)
     assert late[0].why == "its turn would come too late"
 
 
-def test_the_allowance_falls_with_refusals_inside_and_grows_again():
+def test_the_allowance_falls_with_rejections_in_the_router_and_grows_again():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     for number in range(40):
         admission.arrive(arrival(number), 0.0)
@@ -291,7 +291,7 @@
     assert pool.waiting_in_router == pool.in_flight == 0
 
 
-def test_the_least_worthy_of_the_fullest_tenant_makes_room():
+def test_load_is_shed_from_the_lowest_priority_of_the_tenant_with_the_most_queued():
     admission = AdmissionController(
         AdmissionSettings(max_queued=20, max_waiting_in_router=2, max_admitted_per_turn=2), 1, 0.0
     )
@@ -299,11 +299,11 @@
         admission.arrive(arrival(number, "noisy", priority_weight=1.0 if number % 2 else 6.0), 0.0)
     out = admission.arrive(arrival(100, "quiet"), 0.0)
     assert [type(d) for d in out] == [Reject]
-    assert out[0].id % 2 == 1  # worth 1
+    assert out[0].id % 2 == 1  # priority weight 1
     assert admission.queued == 20
 
 
-def test_new_weights_lose_nothing_that_waits():
+def test_new_weights_lose_nothing_that_is_queued():
     admission = AdmissionController(
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, 0.0
     )
@@ -313,9 +313,9 @@
     admission.reload(
         AdmissionSettings(tenant_weights={"a": 9.0}, max_waiting_in_router=2, max_admitted_per_turn=2)
     )
-    let_in = []
+    admitted = []
     for number in range(12):
-        let_in += [d.id for d in admission.sent(number, 0.1)] if number in (0, 1, *let_in) else []
+        admitted += [d.id for d in admission.sent(number, 0.1)] if number in (0, 1, *admitted) else []
     assert admission.queued == 0
 
 
@@ -326,7 +326,7 @@
     ),
     st.lists(st.floats(0.5, 4.0), min_size=5, max_size=5),
 )
-def test_no_tenant_that_waits_falls_behind_another_by_more_than_a_request_each(plan, weights):
+def test_no_queued_tenant_falls_behind_another_by_more_than_a_request_each(plan, weights):
     queue, used, number, most = FairQueue(1000), [0.0] * 5, 0, 0.05
     held = {}
     for tenant in range(5):  # all five wait from the beginning, and always have enough
@@ -354,26 +354,26 @@
         admission = AdmissionController(
             AdmissionSettings(max_queued=15, max_waiting_in_router=3, max_reservations=20), seed, 0.0
         )
-        now, open_, told = 0.0, {}, {}
+        now, open_, decided = 0.0, {}, {}
 
         def take(decisions):
             for decision in decisions:
-                told.setdefault(decision.id, []).append(decision)
+                decided.setdefault(decision.id, []).append(decision)
                 if isinstance(decision, Admit):
-                    assert open_[decision.id] == "held"
+                    assert open_[decision.id] == "queued"
                     open_[decision.id] = "in"
                 else:
-                    assert open_.pop(decision.id) == "held"
+                    assert open_.pop(decision.id) == "queued"
 
         for number in range(120):
             now += rng.choice([0.0, 0.001, 0.02, 0.5, -0.1 if rng.random() < 0.05 else 0.0])
             now = max(now, 0.0)
-            open_[number] = "held"
-            mark = f"m{rng.randrange(30)}"
+            open_[number] = "queued"
+            token = f"m{rng.randrange(30)}"
             changes = {"priority_weight": rng.choice([1.0, 6.0]), "time_left": rng.choice([0.01, 0.3, 2.0])}
             take(
                 admission.arrive(
-                    arrival(number, f"t{rng.randrange(5)}", reservation_token=mark, **changes), now
+                    arrival(number, f"t{rng.randrange(5)}", reservation_token=token, **changes), now
                 )
             )
             for other in list(open_):
@@ -384,20 +384,20 @@
                     del open_[other]
                     take(admission.ended(other, now, rng.random() < 0.8))
             take(admission.tick(now))
-            assert admission.queued == sum(state == "held" for state in open_.values()) <= 15
+            assert admission.queued == sum(state == "queued" for state in open_.values()) <= 15
             assert set(admission.requests) == set(open_)
-        return told, len(open_)
+        return decided, len(open_)
 
     assert day() == day()
 
 
-def test_before_the_module_a_held_request_is_owed_an_answer_like_any_other():
+def test_a_queued_request_gets_one_final_answer_like_any_other():
     front = Front()
     front.engine.admission = AdmissionController(
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
-        endpoint.limit = 0.0  # the module has room nowhere
+        endpoint.limit = 0.0  # the router has capacity nowhere
     answers = []
     for number in range(8):
         command = ClientRequest(
@@ -416,7 +416,7 @@
     assert not front.engine.admission.requests
 
 
-def test_a_client_that_leaves_while_held_is_let_go():
+def test_a_client_that_disconnects_while_queued_is_forgotten():
     front = Front()
     front.engine.admission = AdmissionController(
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
--- a/tests/test_admission_objectives.py
+++ b/tests/test_admission_objectives.py
@@ -1,4 +1,4 @@
-"""The door by aim: tenants under their share against the fluid reference (water-filling), in virtual time."""
+"""Admission by latency objective: tenants under their quota against water-filling, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from sedgepitch.decisions.admission.settings import AdmissionSettings
 from tests.test_admission import Fleet, arrival
 
-AIM = 0.2
+LATENCY_OBJECTIVE_S = 0.2
 
 
 class Timed(Fleet):
-    """A fleet that notes when each request came and when it was answered, and whose members may slow down."""
+    """A fleet that notes when each request came and was answered, and whose endpoints may slow down."""
 
     def __init__(self, admission: AdmissionController, servers: int, rng: random.Random) -> None:
         super().__init__(admission, servers, rng)
@@ -53,7 +53,11 @@
                 break
             number += 1
             request = arrival(
-                number, tenant, client=f"{tenant}-{number % 5}", time_left=0.8, latency_objective=AIM
+                number,
+                tenant,
+                client=f"{tenant}-{number % 5}",
+                time_left=0.8,
+                latency_objective=LATENCY_OBJECTIVE_S,
             )
             fleet.ask(when, request, cost(when) * rng.uniform(0.8, 1.2))
     fleet.run(seconds + 1.0)
@@ -61,15 +65,15 @@
 
 
 def in_time(fleet: Timed, tenant: str, since: float = 2.0) -> float:
-    """Share of a tenant's requests, asked from then on, that were answered within the aim."""
+    """Share of a tenant's requests, asked from then on, that were answered within the objective."""
     asked = [n for n, t in fleet.tenant.items() if t == tenant and fleet.came[n] >= since]
-    return sum(fleet.took.get(n, 9.0) <= AIM for n in asked) / len(asked)
+    return sum(fleet.took.get(n, 9.0) <= LATENCY_OBJECTIVE_S for n in asked) / len(asked)
 
 
 def of_served(fleet: Timed, since: float = 2.0) -> float:
-    """Share of what was served, from then on, that was served within the aim."""
+    """Share of what was served, from then on, that was served within the objective."""
     took = [took for n, took in fleet.took.items() if fleet.came[n] >= since]
-    return sum(t <= AIM for t in took) / len(took)
+    return sum(t <= LATENCY_OBJECTIVE_S for t in took) / len(took)
 
 
 def water_level(rates: dict[str, float], capacity: float) -> float:
@@ -84,7 +88,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_tenants_under_the_water_level_pass_in_time_and_little_is_served_late(seed):
+def test_tenants_under_the_water_level_are_served_in_time_and_little_is_served_late(seed):
     rates = {"public": 1600.0, "a": 120.0, "b": 120.0, "c": 40.0}
     fleet = play({t: lambda now, r=r: r for t, r in rates.items()}, seed=seed)
     level = water_level(rates, 500.0)
@@ -96,7 +100,7 @@
     assert served > 0.9 * level
 
 
-def test_a_tenant_that_alternates_between_idle_and_burst_gets_no_more_than_its_share():
+def test_a_tenant_that_alternates_between_idle_and_burst_gets_no_more_than_its_quota():
     fleet = play({"public": lambda now: 1600.0, "waves": lambda now: 900.0 if now % 2 < 0.5 else 0.0})
     served = {
         t: sum(fleet.tenant[n] == t for n in fleet.took if fleet.came[n] >= 2.0) for t in ("public", "waves")
@@ -107,7 +111,7 @@
     assert of_served(fleet) > 0.85
 
 
-def test_members_that_slow_down_to_a_half_leave_the_small_tenant_its_time():
+def test_endpoints_that_slow_down_to_a_half_leave_the_small_tenant_its_time():
     fleet = play(
         {"public": lambda now: 1600.0, "small": lambda now: 50.0},
         cost=lambda now: 0.01 if now < 8.0 else 0.02,
@@ -119,34 +123,38 @@
     assert served > 0.8 * 250.0, "the members' new capacity is used"
 
 
-def test_a_thousand_tenants_under_their_share_beside_one_far_above_it():
+def test_a_thousand_tenants_under_their_quota_beside_one_far_above_it():
     rates = {f"t{n}": (lambda now: 0.3) for n in range(1000)} | {"public": lambda now: 2000.0}
     fleet = play(rates, seconds=12.0)
     small = [n for n, t in fleet.tenant.items() if t != "public" and fleet.came[n] >= 2.0]
-    assert sum(fleet.took.get(n, 9.0) <= AIM for n in small) / len(small) > 0.95
+    assert sum(fleet.took.get(n, 9.0) <= LATENCY_OBJECTIVE_S for n in small) / len(small) > 0.95
     assert of_served(fleet) > 0.9
 
 
-def test_work_that_would_come_late_is_refused_early():
+def test_work_that_would_be_late_is_rejected_early():
     fleet = play({"public": lambda now: 1600.0})
-    refused = [n for n, v in fleet.verdicts.items() if isinstance(v[-1], Reject)]
+    refused = [n for n, v in fleet.decisions.items() if isinstance(v[-1], Reject)]
     assert refused
-    assert not any(isinstance(fleet.verdicts[n][0], Admit) for n in refused)
+    assert not any(isinstance(fleet.decisions[n][0], Admit) for n in refused)
     assert of_served(fleet) > 0.9
 
 
-def test_a_write_that_is_worth_something_late_may_wait_longer_than_its_aim():
+def test_a_write_with_a_late_priority_weight_may_be_queued_beyond_its_latency_objective():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     patient = admission._max_queueing_delay(arrival(1, time_left=2.0, latency_objective=0.0))
-    impatient = admission._max_queueing_delay(arrival(2, time_left=2.0, latency_objective=AIM))
+    impatient = admission._max_queueing_delay(
+        arrival(2, time_left=2.0, latency_objective=LATENCY_OBJECTIVE_S)
+    )
     assert patient == pytest.approx(0.8)
-    assert impatient < AIM
+    assert impatient < LATENCY_OBJECTIVE_S
 
 
-def test_the_drivers_own_limit_leaves_each_room_its_part():
+def test_the_process_limit_leaves_each_pool_its_part():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     admission.process_limit = 8.0
-    reads = [admission.arrive(arrival(n, "public", latency_objective=AIM), 0.0) for n in range(40)]
+    reads = [
+        admission.arrive(arrival(n, "public", latency_objective=LATENCY_OBJECTIVE_S), 0.0) for n in range(40)
+    ]
     assert sum(isinstance(d[0], Admit) for d in reads if d) == 8
     assert isinstance(admission.arrive(arrival(100, "stations", primary_only=True), 0.0)[0], Admit)
     assert isinstance(admission.arrive(arrival(101, "stations", primary_only=True), 0.0)[0], Admit)
--- a/tests/test_capacity_estimate.py
+++ b/tests/test_capacity_estimate.py
@@ -56,27 +56,27 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_flood_from_the_start_finds_the_servers_pace_and_their_capacity(seed):
+def test_overload_from_the_start_finds_the_baseline_latency_and_the_capacity(seed):
     result = play(6, lambda now: 2000.0, lambda now: 0.01, 30.0, seed)
     took, rate = tail(result, 15.0)
-    assert took < 0.03, "let in, a request is answered almost as if it were alone"
+    assert took < 0.03, "an admitted request is answered almost as if it were alone"
     assert rate > 0.85 * 600
 
 
-def test_without_a_queue_the_limit_is_not_felt():
+def test_without_a_queue_nothing_is_dropped():
     result = play(6, lambda now: 200.0, lambda now: 0.01, 10.0)
     assert result["dropped"] == 0
     assert not result["limit"].probing
 
 
-def test_a_calm_time_first_and_the_flood_is_bounded_within_seconds():
+def test_overload_after_a_calm_time_is_bounded_within_seconds():
     result = play(6, lambda now: 200.0 if now < 5.0 else 2000.0, lambda now: 0.01, 12.0)
     took, rate = tail(result, 8.0)
     assert took < 0.03
     assert rate > 0.85 * 600
 
 
-def test_members_that_slow_down_to_a_half_are_not_starved():
+def test_endpoints_that_slow_down_to_a_half_are_not_starved():
     result = play(6, lambda now: 2000.0, lambda now: 0.01 if now < 20.0 else 0.02, 45.0)
     took, rate = tail(result, 35.0)
     assert rate > 0.8 * 300
@@ -84,7 +84,7 @@
     assert min(result["limits"]) >= MIN_LIMIT
 
 
-def test_members_that_become_quicker_are_used():
+def test_endpoints_that_become_faster_are_used():
     result = play(6, lambda now: 2000.0, lambda now: 0.02 if now < 15.0 else 0.01, 40.0)
     _, rate = tail(result, 30.0)
     assert rate > 0.85 * 600
@@ -101,7 +101,7 @@
     assert tail(result, 30.0)[1] > 50
 
 
-def test_a_long_flood_does_not_drift():
+def test_long_overload_does_not_drift():
     result = play(3, lambda now: 900.0, lambda now: 0.01, 120.0)
     early, _ = tail(result, 30.0)
     late, rate = tail(result, 100.0)
@@ -119,7 +119,7 @@
     assert limit.current_limit > 32
 
 
-def test_answers_that_took_no_time_of_a_class_without_an_aim_set_no_limit():
+def test_answers_that_took_no_time_of_a_class_without_an_objective_set_no_limit():
     limit = CapacityEstimate(0.0)
     for step in range(40):
         limit.record_in_flight(4, step * 0.1)
@@ -129,7 +129,7 @@
     assert not limit.probing
 
 
-# The driver's own load
+# The limit on the process's own concurrency
 
 
 def waits(limit: ProcessConcurrencyLimit, seconds: float, wait: float, inside: int, now: float) -> float:
@@ -140,7 +140,7 @@
     return now
 
 
-def test_a_driver_that_is_late_carries_less_and_grows_back_when_it_is_not():
+def test_a_process_that_lags_carries_less_and_grows_back_when_it_does_not():
     limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 2.0, 0.0005, 64, 0.0)
     high = limit.limit
@@ -152,7 +152,7 @@
     assert limit.limit > MIN_PROCESS_LIMIT
 
 
-def test_one_pause_is_one_cut():
+def test_one_pause_is_one_decrease():
     limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 1.0, 0.0005, 10, 0.0)
     before = limit.limit
@@ -165,10 +165,10 @@
     assert not limit.rejects_unread(1.0, True)
 
 
-def test_requests_are_refused_unread_only_in_spans_of_long_waits_and_only_if_they_waited():
+def test_requests_are_rejected_unread_only_in_spans_of_long_waits_and_only_if_they_waited():
     limit = ProcessConcurrencyLimit(0.02)
     now = waits(limit, 1.0, 0.03, 10, 0.0)
-    assert not limit.rejects_unread(0.5, True), "late, but not swamped"
+    assert not limit.rejects_unread(0.5, True), "late, but not overloaded"
     now = waits(limit, 0.5, 0.2, 10, now)
     assert limit.rejects_unread(0.05, True)
     assert not limit.rejects_unread(0.05, False), "of a tenant that does not ask most"
@@ -178,7 +178,7 @@
     assert not limit.rejects_unread(0.5, True)
 
 
-def test_unread_requests_of_the_busiest_tenant_are_refused_first():
+def test_unread_requests_of_the_most_active_tenant_are_rejected_first():
     from sedgepitch.decisions.admission.controller import AdmissionController
     from sedgepitch.decisions.admission.settings import AdmissionSettings
     from tests.support.mongodb_harness import Front, command, replies
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,9 +12,9 @@
 
 def ask(front, class_name="upload", time_left=1.0):
     got = []
-    account = front.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), got.append)
+    pending = front.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), got.append)
     front.turn()
-    return account, got
+    return pending, got
 
 
 def test_answer_in_the_same_turn_as_the_deadline_is_given_once():
@@ -32,7 +32,7 @@
     assert front.engine.request_table.duplicate_responses == front.engine.answered_by_last_guard == 0
 
 
-def test_both_copies_of_a_hedged_read_answer_and_one_is_heard():
+def test_both_attempts_of_a_hedged_read_answer_and_one_reaches_the_client():
     front = Front()
     for endpoint in (2, 3):
         report = api.LoadReport(front.clock.now(), False)
@@ -40,7 +40,7 @@
     _, got = ask(front, "map-read")
     while len(front.endpoints.sent) < 2 and front.clock.now() < 1000.95:
         front.turn(0.01)
-    assert len(front.endpoints.sent) == 2, "the overdue read was not copied"
+    assert len(front.endpoints.sent) == 2, "the slow read was not hedged"
     for sent in list(front.endpoints.sent):
         sent.answer()
         front.turn()
@@ -48,7 +48,7 @@
     assert not front.engine.request_table.requests
 
 
-def test_unsafe_write_without_an_answer_fails_and_is_not_sent_again():
+def test_non_idempotent_write_without_an_answer_fails_and_is_not_retried():
     front = Front()
     _, got = ask(front, "note")
     assert [s.endpoint for s in front.endpoints.sent] == [1]
@@ -59,7 +59,7 @@
     assert front.endpoints.sent[0].abandoned
 
 
-def test_write_that_never_ran_is_refused_in_time():
+def test_write_that_never_ran_is_rejected_in_time():
     front = Front()
     _, got = ask(front, "note", 0.5)
     while not got and front.clock.now() < 1000.6:
@@ -72,10 +72,10 @@
     assert front.clock.now() <= 1000.51
 
 
-def test_client_that_leaves_gets_nothing_and_its_attempt_is_still_heard():
+def test_disconnected_client_gets_nothing_and_the_end_of_its_attempt_is_still_reported():
     front = Front()
-    account, got = ask(front)
-    front.engine.client_disconnected(account)
+    pending, got = ask(front)
+    front.engine.client_disconnected(pending)
     front.turn()
     front.endpoints.sent[0].answer()
     front.turn()
@@ -84,11 +84,11 @@
     assert not front.engine.router.endpoints[1].out
 
 
-def test_client_that_leaves_in_the_turn_it_asked_leaves_no_trace():
+def test_client_that_disconnects_in_the_turn_of_its_request_leaves_no_trace():
     front = Front()
     got = []
-    account = front.engine.submit(ClientRequest("upload", 0, 1.0, "payload"), got.append)
-    front.engine.client_disconnected(account)
+    pending = front.engine.submit(ClientRequest("upload", 0, 1.0, "payload"), got.append)
+    front.engine.client_disconnected(pending)
     front.turn()
     assert not got
     assert not front.endpoints.sent
@@ -96,7 +96,7 @@
     assert not any(m.out for m in front.engine.router.endpoints.values())
 
 
-def test_last_guard_answers_where_the_module_does_not():
+def test_last_guard_answers_where_the_router_does_not():
     front = Front()
     front.engine.dispatcher.handlers = {
         kind: lambda action: None for kind in front.engine.dispatcher.handlers
@@ -108,7 +108,7 @@
     assert front.engine.answered_by_last_guard == 1
 
 
-def test_more_in_flight_than_the_bound_are_refused_at_once():
+def test_more_in_flight_than_the_bound_are_rejected_at_once():
     front = Front()
     front.engine.max_in_flight = 3
     answers = [ask(front)[1] for _ in range(5)]
@@ -134,16 +134,16 @@
     assert got[0].status is ResponseStatus.SERVED
 
 
-def test_a_session_read_whose_session_is_remembered_leaves_at_once_or_is_decided_anew():
-    for marks, bound in ((api.SessionTracking.BY_PROXY, True), (api.SessionTracking.BY_CLIENT, False)):
+def test_a_session_read_tracked_by_the_proxy_leaves_at_once_or_is_decided_anew():
+    for tracking, bound in ((api.SessionTracking.BY_PROXY, True), (api.SessionTracking.BY_CLIENT, False)):
         front = Front()
-        front.engine.router.settings = replace(front.engine.router.settings, session_tracking=marks)
-        left_by = []
+        front.engine.router.settings = replace(front.engine.router.settings, session_tracking=tracking)
+        send_by = []
         send = front.endpoints.send
-        front.endpoints.send = lambda m, p, e, by, send=send, kept=left_by: kept.append(by) or send(
+        front.endpoints.send = lambda m, p, e, by, send=send, kept=send_by: kept.append(by) or send(
             m, p, e, by
         )
         ask(
             front, next(c.name for c in front.engine.classes.values() if c.freshness is api.Freshness.SESSION)
         )
-        assert [by < float("inf") for by in left_by] == [bound]
+        assert [by < float("inf") for by in send_by] == [bound]
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -1,4 +1,4 @@
-"""How late a driver holds itself to be."""
+"""The deadline margin that follows from the event loop's lag."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 WINDOW = SPAN_S * WINDOW_SPANS
 
 
-def test_one_pause_is_half_a_forecast_and_the_second_is_believed_at_once():
+def test_one_pause_is_half_a_forecast_and_the_second_counts_in_full_at_once():
     event_loop_lag = EventLoopLag()
     event_loop_lag.record(0.3, 10.0)
     assert event_loop_lag.deadline_margin(10.0) == 0.15
@@ -26,7 +26,7 @@
     assert event_loop_lag.deadline_margin(10.01) == 0.15
 
 
-def test_the_reserve_is_forgotten_after_the_window_and_says_so_before():
+def test_the_margin_is_forgotten_after_the_window_and_says_so_before():
     event_loop_lag = EventLoopLag()
     event_loop_lag.record(0.3, 10.0)
     event_loop_lag.record(0.3, 11.0)
@@ -38,7 +38,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 1)), max_size=60), st.floats(0, 3))
-def test_reserve_is_the_longest_but_one_of_the_spans_or_half_of_the_longest(waits, later):
+def test_the_margin_is_the_second_longest_of_the_spans_or_half_of_the_longest(waits, later):
     event_loop_lag, now, model = EventLoopLag(), 100.0, {}
     for gap, wait in waits:
         now += gap
