--- /dev/null
+++ b/tests/support/golden_gossip.py
@@ -0,0 +1,259 @@
+"""A seeded gossip cluster in virtual time; every byte it would send goes into one digest.
+
+Loss, duplication, delay, partitions, suspended, killed and restarted members and state entries come from the
+seed alone. What the members send decides what happens next, so two versions give the same digest only where
+every datagram, every stream frame, every membership decision and every random draw is the same.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from collections.abc import Callable
+from heapq import heappop, heappush
+from typing import Any
+
+from sedgepitch.decisions.gossip import protocol as gossip
+from sedgepitch.decisions.gossip.replay_protection import Sessions, Verdict
+from sedgepitch.peers import wire
+from sedgepitch.peers.keys import Sealer
+
+START_S = 1000.0
+SEALER = Sealer([b"golden key of the gossip digests"])
+INCARNATION_OF_SESSION = 77
+EVENT_LABELS = ("joined", "suspected", "back", "dead", "left", "word")
+MAX_MEMBERS = 12
+
+
+class GoldenCluster:
+    """Plays one seed; `digest` is the SHA-256 of all that was sent and decided."""
+
+    def __init__(self, seed: int, length_s: float = 20.0) -> None:
+        self.rng = random.Random(seed)
+        self.length_s = length_s
+        self.hash = hashlib.sha256()
+        self.seen: dict[str, int] = {}
+        self.now = START_S
+        self.names = [f"m{number}" for number in range(self.rng.randrange(3, MAX_MEMBERS + 1))]
+        self.loss = self.rng.choice((0.0, 0.05, 0.2))
+        self.duplication = self.rng.choice((0.0, 0.1))
+        self.max_delay_s = self.rng.choice((0.002, 0.02, 0.08))
+        self.partition: set[str] = set()
+        self.members: dict[str, Any] = {}
+        self.clock_offsets: dict[str, float] = {}
+        self.suspended: dict[str, list[tuple[str, bytes]]] = {}
+        self.counters: dict[str, int] = {}
+        self.armed: dict[str, float] = {}
+        self.heap: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled = 0
+
+    def play(self) -> str:
+        """Let the cluster run and return the digest."""
+        for name in self.names:
+            self.at(START_S + self.rng.uniform(0.0, 1.0), lambda name=name: self.start(name))
+        self.plan_faults()
+        end = START_S + self.length_s
+        while self.heap and self.heap[0][0] <= end:
+            self.now, _, call = heappop(self.heap)
+            call()
+        self.now = end
+        for name in sorted(self.members):
+            self.record("members", name, " ".join(self.members[name].alive()))
+            self.record("frame", name, self.encode(name, "", self.frame_of(name)).hex())
+        return self.hash.hexdigest()
+
+    def plan_faults(self) -> None:
+        """Draw what befalls the cluster, and when."""
+        for _ in range(self.rng.randrange(4, 10)):
+            when = START_S + self.rng.uniform(1.0, self.length_s)
+            name = self.rng.choice(self.names)
+            length = self.rng.uniform(0.3, 9.0)
+            kind = self.rng.choice(("suspend", "suspend", "kill", "leave", "partition", "seedless"))
+            self.at(when, lambda kind=kind, name=name, length=length: self.fault(kind, name, length))
+        for number in range(self.rng.randrange(5, 40)):
+            when = START_S + self.rng.uniform(0.5, self.length_s)
+            name = self.rng.choice(self.names)
+            body = self.rng.randbytes(self.rng.randrange(0, 300))
+            self.at(when, lambda n=name, k=f"kind{number % 3}", b=body: self.publish(n, k, b))
+
+    # Faults
+
+    def fault(self, kind: str, name: str, length_s: float) -> None:
+        """Begin one fault; it ends after its length."""
+        later = self.now + length_s
+        if kind == "partition":
+            self.partition = set(self.rng.sample(self.names, len(self.names) // 2))
+            self.at(later, self.partition.clear)
+        elif name not in self.members or name in self.suspended:
+            return
+        elif kind == "suspend":
+            self.suspended[name] = []
+            self.at(later, lambda: self.resume(name, keep=length_s > 4.0))
+        elif kind == "kill":
+            del self.members[name]
+            self.at(later, lambda: self.start(name))
+        elif kind == "leave":
+            self.carry_out(name, self.members[name].leave(self.clock(name)))
+            del self.members[name]
+            self.at(later, lambda: self.start(name))
+        else:
+            self.members[name].seeds.clear()
+
+    def start(self, name: str) -> None:
+        """Start a member that knows nothing but its seeds."""
+        if name in self.members:
+            return
+        self.suspended.pop(name, None)
+        seeds = [self.address(other) for other in self.names[:2] if other != name]
+        settings = gossip.GossipSettings()
+        seed = self.rng.getrandbits(32)
+        self.members[name] = gossip.Gossip(settings, name, self.address(name), seeds, seed)
+        self.clock_offsets[name] = self.rng.uniform(-500.0, 500.0)
+        self.turn(name)
+
+    def resume(self, name: str, keep: bool) -> None:
+        """Let a suspended member go on; what waited in its sockets is read or dropped."""
+        waiting = self.suspended.pop(name, [])
+        if keep and name in self.members:
+            for sender, data in waiting:
+                self.deliver(sender, name, data)
+        self.turn(name)
+
+    def publish(self, name: str, kind: str, body: bytes) -> None:
+        """Publish a state entry."""
+        if name in self.members and name not in self.suspended:
+            self.members[name].tell(self.clock(name), kind, body)
+            self.carry_out(name, [])
+
+    # Time and network
+
+    def at(self, when: float, call: Callable[[], None]) -> None:
+        """Schedule a call."""
+        self.scheduled += 1
+        heappush(self.heap, (when, self.scheduled, call))
+
+    def clock(self, name: str) -> float:
+        """Return the time on a member's own clock."""
+        return self.now + self.clock_offsets[name]
+
+    def address(self, name: str) -> tuple[str, int]:
+        """Return where a member listens."""
+        return ("127.0.0.1", 10_000 + int(name[1:]))
+
+    def cut(self, sender: str, to: str) -> bool:
+        """Whether the partition separates two members."""
+        return (sender in self.partition) != (to in self.partition)
+
+    def turn(self, name: str) -> None:
+        """Call a member's timer."""
+        if name in self.members and name not in self.suspended:
+            self.carry_out(name, self.members[name].turn(self.clock(name)))
+
+    def carry_out(self, name: str, actions: list[Any]) -> None:
+        """Record and carry out a member's actions, then arm its timer."""
+        member = self.members[name]
+        for what, about in member.changes:
+            self.record("event", name, f"{EVENT_LABELS.index(what)} {about}")
+        member.changes.clear()
+        for action in actions:
+            if isinstance(action, gossip.Say):
+                data = self.encode(name, action.to, action.message, wire.MOST_DATAGRAM)
+                self.send(name, action.to, data)
+            elif isinstance(action, gossip.Knock):
+                self.record("stream ping", name, action.to)
+                self.stream_ping(name, action.to)
+            else:
+                self.record("sync", name, str(action.address[1]))
+                self.sync(name, f"m{action.address[1] - 10_000}")
+        self.record("due", name, repr(member.due() - self.clock_offsets[name]))
+        due = member.due() - self.clock_offsets[name]
+        armed = self.armed.get(name, 0.0)
+        if armed <= self.now or due < armed - 1e-9:
+            due = max(due, self.now + 1e-4)
+            self.armed[name] = due
+            self.at(due, lambda: self.turn(name))
+
+    def encode(self, sender: str, to: str, body: Any, max_bytes: int = wire.MOST_FRAME) -> bytes:
+        """Return the bytes that go on the wire."""
+        self.counters[sender] = self.counters.get(sender, 0) + 1
+        envelope = wire.Envelope(sender, to, INCARNATION_OF_SESSION, self.counters[sender], body)
+        return wire.encode(SEALER, envelope, max_bytes)
+
+    def send(self, sender: str, to: str, data: bytes) -> None:
+        """Send a datagram over a network that loses, doubles and delays."""
+        self.record(f"datagram {wire.decode(SEALER, data).body.__struct_config__.tag}", sender, data.hex())
+        for _ in range(1 + (self.rng.random() < self.duplication)):
+            if self.rng.random() >= self.loss:
+                when = self.now + self.rng.uniform(0.0005, self.max_delay_s)
+                self.at(when, lambda: self.deliver(sender, to, data))
+
+    def deliver(self, sender: str, to: str, data: bytes) -> None:
+        """Hand a datagram to its receiver."""
+        if to not in self.members or self.cut(sender, to):
+            return
+        if to in self.suspended:
+            self.suspended[to].append((sender, data))
+            return
+        message = wire.decode(SEALER, data).body
+        self.carry_out(to, self.members[to].heard(self.clock(to), sender, message))
+
+    def reached(self, name: str, to: str) -> bool:
+        """Whether a stream between two members comes about."""
+        running = name in self.members and name not in self.suspended
+        return running and to in self.members and to not in self.suspended and not self.cut(name, to)
+
+    def stream_ping(self, name: str, to: str) -> None:
+        """Ask over a stream; the answer comes after a round trip."""
+
+        def answered() -> None:
+            if self.reached(name, to):
+                self.members[name].knocked(self.clock(name), to)
+                self.carry_out(name, [])
+
+        self.at(self.now + 4.0 * self.rng.uniform(0.0005, self.max_delay_s), answered)
+
+    def sync(self, name: str, to: str) -> None:
+        """Exchange complete states."""
+        if not self.reached(name, to):
+            return
+        self.merge(to, name, self.encode(name, to, self.frame_of(name)))
+        data = self.encode(to, name, self.frame_of(to))
+        self.at(self.now + 0.002, lambda: self.merge(name, to, data))
+
+    def frame_of(self, name: str) -> Any:
+        """Return the frame that carries a member's complete state."""
+        return wire.Whole(b"echo", self.members[name].state(self.clock(name)))
+
+    def merge(self, name: str, sender: str, data: bytes) -> None:
+        """Give a member another's state."""
+        self.record("frame", sender, data.hex())
+        if name in self.members and name not in self.suspended:
+            state = wire.decode(SEALER, data, wire.MOST_FRAME).body.state
+            self.carry_out(name, self.members[name].merge(self.clock(name), state, sender))
+
+    def record(self, kind: str, name: str, text: str) -> None:
+        """Take one line into the digest."""
+        self.seen[kind] = self.seen.get(kind, 0) + 1
+        self.hash.update(f"{self.now!r} {kind} {name} {text}\n".encode())
+
+
+def play_replay_protection(seed: int, steps: int = 2000) -> str:
+    """Play datagrams of several incarnations, in disorder and repeated; return the digest of the verdicts."""
+    rng, digest, now = random.Random(seed), hashlib.sha256(), 0.0
+    sessions = Sessions(seed, 4)
+    challenges: dict[str, bytes] = {}
+    for _ in range(steps):
+        now += rng.expovariate(20.0)
+        name, incarnation = f"m{rng.randrange(6)}", rng.randrange(1, 3)
+        counter = max(1, int(now * 20.0) - rng.randrange(80))
+        verdict = sessions.judge(now, name, incarnation, counter)
+        digest.update(f"{name} {incarnation} {counter} {list(Verdict).index(verdict)}\n".encode())
+        if verdict is Verdict.CHALLENGE and (number := sessions.challenge(now, name)) is not None:
+            digest.update(number)
+            challenges[name] = number
+        if rng.random() < 0.2 and name in challenges:
+            proven = sessions.proven(now, name, incarnation, counter, challenges[name])
+            digest.update(f"proven {proven}\n".encode())
+        elif rng.random() < 0.01:
+            sessions.accept(now, name, incarnation, counter)
+    return digest.hexdigest()
--- /dev/null
+++ b/tests/support/golden_zones.py
@@ -0,0 +1,222 @@
+"""Seeded proxy instances that judge zones together in steps of virtual time; all goes into one digest.
+
+Endpoints, requests, faults, lost digests, Byzantine instances and operator commands come from the seed alone.
+The weights that the instances decide on say where their next requests go, so two versions give the same
+digest only where each encoded byte, vote, verdict, state and float operation is the same.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from typing import Any
+
+import msgspec
+
+from sedgepitch.decisions.zones import digests as observations
+from sedgepitch.decisions.zones import operator_commands, weights
+
+START_S = 500.0
+STEP_S = 0.1
+DIGEST_DELAY_STEPS = 3
+ZONES = ("east", "north", "south")
+FAULTS = ("lost", "partly lost", "failing", "slow", "cut off", "overload")
+LATENCY_RATIO_SLOW = 1.2
+
+
+class GoldenZones:
+    """Plays one seed; `play` returns the SHA-256 of all that was told and decided."""
+
+    def __init__(self, seed: int, length_s: float = 13.0) -> None:
+        self.rng = random.Random(seed)
+        self.steps = round(length_s / STEP_S)
+        self.hash = hashlib.sha256()
+        self.seen: set[str] = set()
+        rng = self.rng
+        self.zones = ZONES[: rng.choice((2, 3, 3))]
+        self.endpoints_a_zone = rng.choice((1, 3, 4, 12))
+        self.endpoints = {
+            100 * place + number: zone
+            for place, zone in enumerate(self.zones, 1)
+            for number in range(self.endpoints_a_zone)
+        }
+        self.numbers = list(self.endpoints)
+        self.names = [f"i{number:02}" for number in range(rng.randrange(3, 9))]
+        self.home = {name: self.zones[place % len(self.zones)] for place, name in enumerate(self.names)}
+        self.rate = {name: rng.uniform(0.5, 40.0) for name in self.names}
+        self.byzantine = set(rng.sample(self.names, rng.choice((0, 0, 1, len(self.names) // 3))))
+        settings = weights.ZoneSettings(warm=5.0, wait=rng.choice((1.0, 2.0)))
+        self.weights = {name: weights.Zones(name, settings) for name in self.names}
+        self.observed = {name: observations.Evidence() for name in self.names}
+        self.commands = {name: operator_commands.Orders() for name in self.names}
+        self.suspects: dict[str, dict[int, str]] = {name: {} for name in self.names}
+        self.faults: list[tuple[int, int, str, str]] = []
+        self.past: list[dict[str, bytes]] = []
+        self.now = START_S
+
+    def play(self) -> str:
+        """Let the steps pass and return the digest."""
+        for _ in range(self.rng.randrange(1, 5)):
+            begin = self.rng.randrange(10, self.steps - 20)
+            end = begin + self.rng.randrange(5, 100)
+            self.faults.append((begin, end, self.rng.choice(FAULTS), self.rng.choice(self.zones)))
+        for step in range(self.steps):
+            self.now += STEP_S
+            told: dict[str, bytes] = {}
+            for name in self.names:
+                self.traffic(step, name)
+                told[name] = self.tell(name)
+            self.past.append(told)
+            self.command(step)
+            for name in self.names:
+                self.judge(step, name)
+        return self.hash.hexdigest()
+
+    # Traffic
+
+    def fault_of(self, step: int, name: str, zone: str) -> str:
+        """Return the fault that an instance meets at a zone now."""
+        for begin, end, fault, where in self.faults:
+            if begin <= step < end and where == zone and not (fault == "cut off" and self.home[name] == zone):
+                return fault
+        return ""
+
+    def traffic(self, step: int, name: str) -> None:
+        """Send this step's requests where the zone weights let them go."""
+        rng, observed = self.rng, self.observed[name]
+        held = self.weights[name].zones
+        arrived = int(self.rate[name] * STEP_S + rng.random())
+        for _ in range(arrived):
+            observed.arrived(self.now)
+            endpoint = rng.choice(self.numbers)
+            zone = self.endpoints[endpoint]
+            if zone in held and rng.random() >= held[zone].share:
+                continue
+            observed.sent(self.now, endpoint, zone)
+            self.finish(name, endpoint, zone, self.fault_of(step, name, zone))
+        if rng.random() < 0.002:
+            observed.forget(self.now)
+        if rng.random() < 0.002:
+            observed.forget_zone(rng.choice(self.zones))
+
+    def finish(self, name: str, endpoint: int, zone: str, fault: str) -> None:
+        """Let one attempt end."""
+        rng, observed, suspects = self.rng, self.observed[name], self.suspects[name]
+        if fault in ("lost", "cut off") or (fault == "partly lost" and endpoint % 3 == 0):
+            suspects[endpoint] = zone
+            if rng.random() < 0.7:
+                observed.silent(self.now, endpoint, zone)
+            return
+        suspects.pop(endpoint, None)
+        if fault == "failing" and rng.random() < 0.5:
+            observed.refused(self.now, endpoint, zone)
+            return
+        ratio = rng.uniform(0.02, 0.3)
+        if fault in ("slow", "overload"):
+            ratio += LATENCY_RATIO_SLOW * rng.random()
+        observed.good(self.now, endpoint, zone, ratio)
+
+    # What is told
+
+    def digest(self, name: str) -> Any:
+        """Return an instance's digest; a Byzantine one makes its rows up."""
+        rng, held = self.rng, self.weights[name]
+        if name in self.byzantine:
+            rows = tuple(
+                observations.Row(zone, *(rng.randrange(40) for _ in range(9)), there=rng.randrange(9))
+                for zone in self.zones
+            )
+            stances = tuple(observations.Stance(zone, 3, rng.randrange(1001), 5) for zone in self.zones)
+            return observations.Digest(self.home[name], rng.choice((0.0, 1e6)), True, rows, stances)
+        in_part = [zone.name for zone in held.zones.values() if zone.share < 1.0]
+        up = dict.fromkeys(self.zones, self.endpoints_a_zone)
+        rows = self.observed[name].rows(self.now, self.suspects[name], up, in_part)
+        fit = rng.random() >= 0.01
+        demand = round(self.observed[name].demand, 2)
+        return observations.Digest(self.home[name], demand, fit, rows, held.stances(self.now))
+
+    def tell(self, name: str) -> bytes:
+        """Return the encoded digest of this step, and record what it says."""
+        digest = self.digest(name)
+        body = observations.encode(digest)
+        self.record("digest", name, body.hex())
+        self.record("votes", name, repr({zone: int(v) for zone, v in observations.votes(digest).items()}))
+        self.record("partial", name, repr(sorted(observations.parts(digest))))
+        return body
+
+    def command(self, step: int) -> None:
+        """Give an operator command now and then; commands travel with a chance."""
+        rng = self.rng
+        if rng.random() < 0.01:
+            name, zone = rng.choice(self.names), rng.choice(self.zones)
+            what = rng.choice(("leave", "return"))
+            self.commands[name].give(zone, what, rng.choice((0.0, 3.0)), name)
+        if step % 5 == 0:
+            for name in self.names:
+                other = rng.choice(self.names)
+                body = operator_commands.encode(self.commands[other])
+                new = self.commands[name].merge(operator_commands.decode(body))
+                self.record("commands", name, f"{new} {body.hex()}")
+
+    # What is decided
+
+    def judge(self, step: int, name: str) -> None:
+        """Let an instance judge its zones by what it has heard, and record what it decided."""
+        rng = self.rng
+        told = self.past[-DIGEST_DELAY_STEPS] if len(self.past) >= DIGEST_DELAY_STEPS else {}
+        heard = {}
+        for other, body in told.items():
+            if other != name and rng.random() >= 0.02 and (digest := observations.decode(body)) is not None:
+                heard[other] = (rng.choice((0.3, 0.3, 0.3, 11.0)) if step % 7 == 0 else 0.3, digest)
+        own = observations.decode(self.past[-1][name]) or self.digest(name)
+        sizes = {zone: float(self.endpoints_a_zone) for zone in self.zones}
+        late = rng.random() < 0.01
+        leaves = self.commands[name].leaves()
+        view = weights.View(self.now, own, heard, sizes, leaves, late, len(self.names))
+        zones = self.weights[name]
+        shares = zones.turn(view)
+        self.record("shares", name, repr(shares))
+        for what in zones.changes:
+            self.seen.add(what[1])
+            self.record("change", name, " ".join(what))
+        zones.changes.clear()
+        self.record("proven", name, repr(zones.proven))
+        for zone in zones.zones.values():
+            state = (int(zone.state), zone.since, zone.share, int(zone.cause), zone.step, zone.wait)
+            self.record("state", name, f"{zone.name} {state!r} {zone.relapses} {zone.load!r}")
+        if step % 4 == 0:
+            self.record_council(name, view)
+
+    def record_council(self, name: str, view: Any) -> None:
+        """Record what the digests that an instance has heard amount to."""
+        council = weights.Council(name, view)
+        for zone in self.zones:
+            verdict = int(council.verdict(zone))
+            self.seen.add(f"verdict {verdict}")
+            self.record("verdict", name, f"{verdict} {council.doubted(zone)!r} {council.rate(zone)!r}")
+            self.record(
+                "served", name, f"{council.served(zone)} {council.back(zone)} {council.middle(zone)!r}"
+            )
+
+    def record(self, kind: str, name: str, text: str) -> None:
+        """Take one line into the digest."""
+        self.seen.add(kind)
+        self.hash.update(f"{self.now!r} {kind} {name} {text}\n".encode())
+
+
+def play_bounds(seed: int) -> str:
+    """Encode and decode digests at and beyond their bounds; return the digest of the results."""
+    rng, digest = random.Random(seed), hashlib.sha256()
+    for _ in range(200):
+        zones = [f"{number:02}" + "z" * rng.randrange(23) for number in range(rng.randrange(13))]
+        rows = tuple(
+            observations.Row(
+                zone, *(rng.choice((0, 9, 9999, -1 if rng.random() < 0.02 else 1)) for _ in range(12))
+            )
+            for zone in zones
+        )
+        stances = tuple(observations.Stance(zone, rng.randrange(5), rng.randrange(1002), 7) for zone in zones)
+        told = observations.Digest("home", rng.uniform(0, 1e4), True, rows, stances)
+        digest.update(observations.encode(told))
+        digest.update(repr(observations.decode(msgspec.msgpack.encode(told)) is None).encode())
+    return digest.hexdigest()
