--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -32,7 +32,7 @@
 from sedgepitch.routing.router import Router
 
 if TYPE_CHECKING:
-    from sedgepitch.peers.service import Peers
+    from sedgepitch.peers.service import PeerService
     from sedgepitch.peers.zones import ZoneKeeper
 
 METRICS_BACKLOG = 50  # connections that may wait to be accepted
@@ -157,23 +157,24 @@
         self.ports: list[Any] = []
         self.ready: Callable[[], None] | None = None
 
-    def _make_peers(self) -> Peers:
+    def _make_peers(self) -> PeerService:
         """Know the other instances; raises KeyFileError. Imported only where the settings ask for it."""
-        from sedgepitch.decisions.gossip.protocol import GossipSettings
+        from sedgepitch.decisions.gossip.settings import GossipSettings
         from sedgepitch.peers.keys import load_keys
-        from sedgepitch.peers.service import Peers, PeerSettings
+        from sedgepitch.peers.service import PeerService, PeerSettings
 
         told = self.settings.peers
         assert told is not None
-        paces = GossipSettings(
-            period=told.period, answer_within=0.4 * told.period, spread_every=0.4 * told.period
+        settings = PeerSettings(
+            self.settings.driver.name,
+            told.listen,
+            tuple(told.seeds),
+            dict(told.routes),
+            GossipSettings.for_probe_interval(told.period),
         )
-        place = PeerSettings(
-            self.settings.driver.name, told.listen, tuple(told.seeds), dict(told.routes), paces
-        )
-        return Peers(self.reactor, self.clock, place, load_keys(told.key_file), say=self._note)
+        return PeerService(self.reactor, self.clock, settings, load_keys(told.key_file), log=self._note)
 
-    def _make_zones(self, peers: Peers) -> ZoneKeeper:
+    def _make_zones(self, peers: PeerService) -> ZoneKeeper:
         """Leave zones, and come back to them, together with the peers."""
         from sedgepitch.decisions.zones.weights import ZoneSettings
         from sedgepitch.peers.zones import ZoneKeeper
@@ -187,7 +188,7 @@
         )
         zone = self.settings.driver.zone
         keeper = ZoneKeeper(self.engine, peers, self.clock, zone, paces, told.beat, self._note)
-        peers.changed = keeper.changed
+        peers.on_event = keeper.changed
         return keeper
 
     def _mark_age(self) -> float:
--- /dev/null
+++ b/sedgepitch/decisions/gossip/members.py
@@ -0,0 +1,91 @@
+"""The table of members: what is known of each, and how it is reached."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+
+from sedgepitch.decisions.gossip.actions import Address, EventKind, MemberEvent
+from sedgepitch.decisions.gossip.messages import MembershipUpdate, MemberState
+
+
+@dataclass(slots=True)
+class HeldEntry:
+    """A state entry as held here; `published_at` is on the own clock."""
+
+    version: int
+    published_at: float
+    body: bytes
+
+
+@dataclass(slots=True)
+class Member:
+    """Another member. Membership alone changes its state and address, StateEntries adds its entries."""
+
+    name: str
+    address: Address
+    incarnation: int
+    state: MemberState
+    state_since: float
+    accusers: set[str] = field(default_factory=set)
+    entries: dict[str, HeldEntry] = field(default_factory=dict)
+
+    @property
+    def reachable(self) -> bool:
+        """Whether the member is not known to be gone."""
+        return self.state <= MemberState.SUSPECT
+
+    def update(self, own_name: str) -> MembershipUpdate:
+        """Return what is known of it as an update; an own accusation is named before others'."""
+        accuser = own_name if own_name in self.accusers else min(self.accusers, default="")
+        host, port = self.address
+        return MembershipUpdate(self.name, host, port, self.incarnation, int(self.state), accuser)
+
+
+class MemberTable:
+    """This node's identity and all other members by name."""
+
+    def __init__(self, name: str, address: Address, rng: random.Random) -> None:
+        self.name = name
+        self.address = address
+        self.incarnation = 0
+        self.members: dict[str, Member] = {}
+        self.routes: dict[str, Address] = {}  # where a member is reached from here, whatever it says itself
+        self.events: list[MemberEvent] = []  # since the owner last took them
+        self._rng = rng
+
+    def alive(self) -> list[str]:
+        """Return the names of members not known to be gone, this one included, in order."""
+        return sorted([self.name, *(m.name for m in self.members.values() if m.reachable)])
+
+    def reachable_names(self, excluded: tuple[str, ...] = ()) -> list[str]:
+        """Return the names of other members that are not known to be gone."""
+        return [m.name for m in self.members.values() if m.reachable and m.name not in excluded]
+
+    def sample(self, count: int, excluded: tuple[str, ...] = ()) -> list[str]:
+        """Draw up to so many reachable members."""
+        names = self.reachable_names(excluded)
+        return self._rng.sample(names, min(count, len(names)))
+
+    def address_of(self, name: str) -> Address | None:
+        """Return where a member is reached from here; None if it is unknown."""
+        if name in self.routes:
+            return self.routes[name]
+        member = self.members.get(name)
+        return member.address if member else None
+
+    def own_update(self) -> MembershipUpdate:
+        """Return the update that says that this node is alive."""
+        host, port = self.address
+        return MembershipUpdate(self.name, host, port, self.incarnation, int(MemberState.ALIVE))
+
+    def update_about(self, name: str) -> MembershipUpdate | None:
+        """Return what is known of a member or of this node as an update."""
+        if name == self.name:
+            return self.own_update()
+        member = self.members.get(name)
+        return member.update(self.name) if member else None
+
+    def report(self, kind: EventKind, name: str) -> None:
+        """Note an event for the owner."""
+        self.events.append(MemberEvent(kind, name))
--- /dev/null
+++ b/sedgepitch/decisions/gossip/node.py
@@ -0,0 +1,195 @@
+"""A gossip node: one member's part of the protocol, in one object.
+
+The caller passes in events and the time and carries out the actions that it gets back; `due` says when to
+call `on_timer`.
+
+A timer that comes late shows that this process was suspended or starved. It must not take its own silence for
+others': probes under way are dropped and suspects get as much more time as was slept, before anything that
+came meanwhile is judged. The price is that failures during a pause are detected later.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+from math import inf
+
+from msgspec.structs import replace
+
+from sedgepitch.decisions.gossip.actions import Action, Address, MemberEvent, SendDatagram
+from sedgepitch.decisions.gossip.anti_entropy import AntiEntropy, soften
+from sedgepitch.decisions.gossip.dissemination import TransmitQueue
+from sedgepitch.decisions.gossip.failure_detection import FailureDetector
+from sedgepitch.decisions.gossip.local_health import LocalHealth
+from sedgepitch.decisions.gossip.members import Member, MemberTable
+from sedgepitch.decisions.gossip.membership import Membership
+from sedgepitch.decisions.gossip.messages import (
+    Ack,
+    ClusterState,
+    MembershipUpdate,
+    MemberState,
+    Message,
+    Nack,
+    Ping,
+    PingRequest,
+    StateEntry,
+    UpdateMessage,
+)
+from sedgepitch.decisions.gossip.piggyback import Sender
+from sedgepitch.decisions.gossip.probe_order import ProbeOrder
+from sedgepitch.decisions.gossip.settings import GossipSettings, GossipSettingsError
+from sedgepitch.decisions.gossip.state_entries import PublishedEntry, StateEntries
+
+PAUSE_HEALTH_PENALTY = 2  # points of local health that a pause of this process costs
+
+
+class GossipNode:
+    """One member. Raises GossipSettingsError for a name that cannot be used."""
+
+    def __init__(
+        self, settings: GossipSettings, name: str, address: Address, seeds: Iterable[Address], seed: int
+    ) -> None:
+        if not 0 < len(name) <= settings.max_name_length:
+            raise GossipSettingsError(f"a peer's name needs 1 to {settings.max_name_length} characters")
+        rng = random.Random(seed)
+        self.settings = settings
+        self.table = MemberTable(name, address, rng)
+        self.health = LocalHealth(settings.max_local_health)
+        self.pauses = 0
+        queue = TransmitQueue(settings)
+        probe_order = ProbeOrder(self.table, rng)
+        self.entries = StateEntries(settings, self.table, queue)
+        self.membership = Membership(settings, self.table, queue, self.entries, self.health, probe_order)
+        sender = Sender(settings, self.table, self.entries, queue)
+        self.detector = FailureDetector(
+            settings, self.table, self.membership, sender, self.health, probe_order, rng
+        )
+        self.anti_entropy = AntiEntropy(settings, self.table, self.entries, seeds, rng)
+        self._queue = queue
+        self._sender = sender
+        self._due = -inf
+
+    # Views
+
+    @property
+    def name(self) -> str:
+        """Return this member's name."""
+        return self.table.name
+
+    @property
+    def members(self) -> dict[str, Member]:
+        """Return the other members by name."""
+        return self.table.members
+
+    def alive(self) -> list[str]:
+        """Return the names of members not known to be gone, this one included, in order."""
+        return self.table.alive()
+
+    def entries_of_kind(self, kind: str, now: float) -> dict[str, PublishedEntry]:
+        """Return the state entries of one kind by origin, own included, of members not known to be gone."""
+        return self.entries.of_kind(kind, now)
+
+    def take_events(self) -> list[MemberEvent]:
+        """Return the events since the last call."""
+        events = self.table.events
+        self.table.events = []
+        return events
+
+    def due(self) -> float:
+        """Return when `on_timer` is to be called."""
+        self._due = min(
+            self.detector.due, self.anti_entropy.due, self._queue.due, self.membership.next_timeout()
+        )
+        return self._due
+
+    def lateness(self, now: float) -> float:
+        """Return by how many seconds the timer is late; 0 before the first one."""
+        return max(0.0, now - self._due) if self._due > -inf else 0.0
+
+    # Events
+
+    def publish(self, now: float, kind: str, body: bytes) -> None:
+        """Publish a state entry, which replaces the last of its kind. Raises StateEntryError."""
+        self.entries.publish(now, kind, body)
+
+    def on_timer(self, now: float) -> list[Action]:
+        """Do what is due."""
+        self._detect_pause(now)
+        actions: list[Action] = []
+        self.detector.end_overdue(now, actions)
+        self.membership.expire(now)
+        self.detector.probe_next(now, actions)
+        self.anti_entropy.sync(now, actions)
+        if now >= self._queue.due:
+            self._sender.gossip(now, actions)
+        self.due()
+        return actions
+
+    def on_datagram(self, now: float, sender: str, message: Message) -> list[Action]:
+        """Take an authenticated message of a member and answer it."""
+        self._detect_pause(now)
+        actions: list[Action] = []
+        if sender == self.name:
+            return actions
+        if not isinstance(message, Nack):
+            self._apply(now, message.updates, message.entries, sender)
+        match message:
+            case Ping():
+                self._sender.send(now, sender, Ack(message.sequence), actions)
+            case PingRequest():
+                self.detector.relay(now, sender, message, actions)
+            case Ack():
+                self.detector.acked(now, message.sequence, actions)
+            case Nack():
+                self.detector.nacked(message.sequence)
+            case UpdateMessage():
+                pass
+        self.due()
+        return actions
+
+    def state(self, now: float) -> ClusterState:
+        """Return all that this node knows, for an exchange over a stream."""
+        return self.anti_entropy.state(now)
+
+    def merge(self, now: float, state: ClusterState, sender: str) -> None:
+        """Take another member's complete state."""
+        self._detect_pause(now)
+        self._apply(now, [soften(update, sender) for update in state.updates], state.entries, sender)
+        self.due()
+
+    def stream_ping_answered(self, now: float, name: str) -> None:
+        """Take the answer to a StreamPing."""
+        self._detect_pause(now)
+        self.detector.answered_by_stream(name)
+        self.due()
+
+    def leave(self) -> list[Action]:
+        """Announce that this node leaves, to a few members; the others hear of it from them."""
+        self.membership.leaving = True
+        self.table.incarnation += 1
+        update = replace(self.table.own_update(), state=int(MemberState.LEFT))
+        return [
+            SendDatagram(name, address, UpdateMessage((update,)))
+            for name in self.table.sample(2 * self.settings.gossip_fanout)
+            if (address := self.table.address_of(name)) is not None
+        ]
+
+    def _apply(
+        self, now: float, updates: Iterable[MembershipUpdate], entries: Iterable[StateEntry], sender: str
+    ) -> None:
+        for update in updates:
+            self.membership.apply(now, update, sender)
+        for entry in entries:
+            self.entries.accept(now, entry)
+
+    def _detect_pause(self, now: float) -> None:
+        """Find out whether this process was suspended, before anything that came meanwhile is judged."""
+        late = self.lateness(now)
+        if late <= self.settings.pause_threshold:
+            return
+        self._due = now
+        self.pauses += 1
+        self.health.adjust(PAUSE_HEALTH_PENALTY)
+        self.membership.extend_suspicions(late)
+        self.detector.restart(now)
+        self.anti_entropy.due = now  # ask a member what has happened meanwhile
--- a/sedgepitch/decisions/gossip/replay_protection.py
+++ b/sedgepitch/decisions/gossip/replay_protection.py
@@ -1,9 +1,8 @@
-"""Which life of each peer is spoken with, and which of its datagrams came already: pure.
+"""Protection against replayed datagrams, without wall clocks and without state on disk.
 
-A peer counts the datagrams of one life, a random number drawn at its start. A life that is not known is
-not believed: it is asked to repeat a fresh number (a challenge), which a replayed datagram cannot. Of a
-known life a datagram is taken once, and not when later ones came long before it. No wall clock is needed,
-and nothing on disk.
+A sender draws a random session id at its start and numbers its datagrams. A session that is not known is
+challenged to repeat a fresh nonce, which a replayed datagram cannot do. Of a known session each datagram is
+accepted once, within an anti-replay window as IPsec has it (RFC 4303), and only soon after the newest one.
 """
 
 from __future__ import annotations
@@ -12,82 +11,96 @@
 from dataclasses import dataclass
 from enum import Enum
 
-WINDOW = 64  # datagrams that may overtake one
-LATE = 2.0  # s after the newest one in which an overtaken one is still taken
-CHALLENGE_EVERY = 0.2  # s between challenges to one name
-ANSWER_WITHIN = 2.0  # s
-MOST = 1024  # names held
+WINDOW_SIZE = 64  # datagrams that may overtake one
+WINDOW_MASK = (1 << WINDOW_SIZE) - 1
+REORDER_MAX_S = 2.0  # after the newest datagram, in which an overtaken one is accepted
+CHALLENGE_INTERVAL_S = 0.2  # between challenges to one sender
+CHALLENGE_TIMEOUT_S = 2.0
+NONCE_BYTES = 16
+MAX_SENDERS = 1024
 
 
 class Verdict(Enum):
     """What is to be done with a datagram."""
 
-    TAKE = "take"
+    ACCEPT = "accept"
     DROP = "drop"
     CHALLENGE = "challenge"
 
 
 @dataclass(slots=True)
 class _Session:
-    life: int
+    """The newest counter of a session, when it came, and a bit for each counter behind it that came."""
+
+    session_id: int
     highest: int
-    seen: int  # bit n: the datagram n before the highest
-    at: float
+    window: int
+    newest_at: float
+
+
+@dataclass(slots=True, frozen=True)
+class _Challenge:
+    sent_at: float
+    nonce: bytes
 
 
-class Sessions:
-    """The lives that proved themselves, by name. Times are seconds on the own monotonic clock."""
+class SenderSessions:
+    """The proven session of each sender. Times are seconds on the own monotonic clock."""
 
-    def __init__(self, seed: int, most: int = MOST) -> None:
-        self.random = random.Random(seed)
-        self.most = most
-        self.held: dict[str, _Session] = {}
-        self.asked: dict[str, tuple[float, bytes]] = {}
+    def __init__(self, seed: int, max_senders: int = MAX_SENDERS) -> None:
+        self.sessions: dict[str, _Session] = {}
+        self.challenges: dict[str, _Challenge] = {}
+        self._rng = random.Random(seed)
+        self._max_senders = max_senders
 
-    def judge(self, now: float, sender: str, life: int, counter: int) -> Verdict:
-        """Whether a datagram that verified is taken, dropped as a replay, or its sender challenged."""
-        session = self.held.get(sender)
-        if session is None or session.life != life:
+    def check(self, now: float, sender: str, session_id: int, counter: int) -> Verdict:
+        """Decide on an authenticated datagram, and note an accepted one."""
+        session = self.sessions.get(sender)
+        if session is None or session.session_id != session_id:
             return Verdict.CHALLENGE
         ahead = counter - session.highest
         if ahead > 0:
-            session.seen = (session.seen << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            session.highest, session.at = counter, now
-            return Verdict.TAKE
-        bit = 1 << -ahead
-        if -ahead >= WINDOW or session.seen & bit or now - session.at > LATE:
+            session.window = (session.window << ahead | 1) & WINDOW_MASK if ahead < WINDOW_SIZE else 1
+            session.highest = counter
+            session.newest_at = now
+            return Verdict.ACCEPT
+        behind = -ahead
+        bit = 1 << behind
+        if behind >= WINDOW_SIZE or session.window & bit or now - session.newest_at > REORDER_MAX_S:
             return Verdict.DROP
-        session.seen |= bit
-        return Verdict.TAKE
+        session.window |= bit
+        return Verdict.ACCEPT
 
     def challenge(self, now: float, sender: str) -> bytes | None:
-        """A number for this name to repeat; None where it was asked just now."""
-        asked = self.asked.get(sender)
-        if asked is not None and now - asked[0] < CHALLENGE_EVERY:
+        """Return a nonce for the sender to repeat; None if it was challenged just now."""
+        pending = self.challenges.get(sender)
+        if pending is not None and now - pending.sent_at < CHALLENGE_INTERVAL_S:
             return None
-        number = self.random.randbytes(16)
-        self.asked.pop(sender, None)
-        self.asked[sender] = (now, number)
-        if len(self.asked) > self.most:
-            del self.asked[next(iter(self.asked))]
-        return number
-
-    def proven(self, now: float, sender: str, life: int, counter: int, number: bytes) -> bool:
-        """Whether this is the number asked for, in time; then its life is the one spoken with."""
-        asked = self.asked.get(sender)
-        if asked is None or asked[1] != number or now - asked[0] > ANSWER_WITHIN:
+        nonce = self._rng.randbytes(NONCE_BYTES)
+        self.challenges.pop(sender, None)
+        self.challenges[sender] = _Challenge(now, nonce)
+        if len(self.challenges) > self._max_senders:
+            del self.challenges[next(iter(self.challenges))]
+        return nonce
+
+    def verify(self, now: float, sender: str, session_id: int, counter: int, nonce: bytes) -> bool:
+        """Whether this is the nonce asked for, in time; if so its session is established."""
+        pending = self.challenges.get(sender)
+        if pending is None or pending.nonce != nonce or now - pending.sent_at > CHALLENGE_TIMEOUT_S:
             return False
-        del self.asked[sender]
-        self.accept(now, sender, life, counter)
+        del self.challenges[sender]
+        self.establish(now, sender, session_id, counter)
         return True
 
-    def accept(self, now: float, sender: str, life: int, counter: int) -> None:
-        """Speak with this life of a name, which has proved itself; a known one's counter only grows."""
-        session = self.held.pop(sender, None)
-        if session is None or session.life != life:
-            session = _Session(life, counter, 1, now)
+    def establish(self, now: float, sender: str, session_id: int, counter: int) -> None:
+        """Accept a proven session from now on; the counter of a known one only grows."""
+        session = self.sessions.pop(sender, None)
+        if session is None or session.session_id != session_id:
+            session = _Session(session_id, counter, 1, now)
         elif counter > session.highest:
-            session.highest, session.seen, session.at = counter, 1, now
-        self.held[sender] = session
-        if len(self.held) > self.most:
-            del self.held[next(iter(self.held))]
+            session.highest = counter
+            session.window = 1
+            session.newest_at = now
+        self.sessions[sender] = session
+        if len(self.sessions) > self._max_senders:
+            del self.sessions[next(iter(self.sessions))]
--- a/sedgepitch/model/gossipnet.py
+++ b/sedgepitch/model/gossipnet.py
@@ -1,4 +1,4 @@
-"""Many gossip peers on a network in virtual time: loss, delay, cuts, frozen and killed peers.
+"""Many gossip nodes on a network in virtual time: loss, delay, partitions, suspended and killed members.
 
 `python -m sedgepitch.model.gossipnet` prints detection times, false suspicions and bytes; simulated figures.
 """
@@ -10,243 +10,295 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
-from typing import Any
 
-from sedgepitch.decisions.gossip import protocol as gossip
-from sedgepitch.decisions.gossip.protocol import Address, Gossip, GossipSettings, Knock, Life, Say
+from sedgepitch.decisions.gossip.actions import Action, Address, EventKind, SendDatagram, StreamPing
+from sedgepitch.decisions.gossip.messages import ClusterState, MemberState, Message, Nack
+from sedgepitch.decisions.gossip.node import GossipNode
+from sedgepitch.decisions.gossip.piggyback import encoded_size_bound
+from sedgepitch.decisions.gossip.settings import GossipSettings
 
-OVERHEAD = 40  # bytes of a datagram beside its news: version, tag, names, counters
+DATAGRAM_OVERHEAD_BYTES = 40  # beside updates and entries: version, tag, names, counters
+START_S = 1000.0
+FIRST_PORT = 10_000
+SEED_MEMBERS = 2  # whose addresses the others know
+MAX_CLOCK_OFFSET_S = 500.0
+MIN_TIMER_S = 1e-4  # virtual time never stands still
+STATE_TRANSFER_S = 0.002
+STREAM_ROUND_TRIPS = 4.0  # one-way delays of a handshake, a question and its answer
+SECONDS_PER_HOUR = 3600.0
+
+
+def _no_partition(_sender: str, _to: str) -> bool:
+    """Separate nobody."""
+    return False
 
 
 @dataclass(slots=True)
-class Network:
-    """What datagrams meet. `cut` says whether one name cannot reach another. Times in seconds."""
+class NetworkConditions:
+    """What datagrams meet. `partitioned` says whether one member cannot reach another. Times in seconds."""
 
     loss: float = 0.0
-    doubled: float = 0.0
-    least: float = 0.0005
-    most: float = 0.002
-    cut: Callable[[str, str], bool] = lambda a, b: False
+    duplication: float = 0.0
+    min_delay: float = 0.0005
+    max_delay: float = 0.002
+    partitioned: Callable[[str, str], bool] = _no_partition
+
+
+@dataclass(slots=True, frozen=True)
+class RecordedEvent:
+    """What an observer noticed of a member, and when, in virtual seconds."""
+
+    at: float
+    observer: str
+    kind: EventKind
+    member: str
 
 
 @dataclass(slots=True)
-class Seen:
-    """What happened, with its time: (time, at whom, what, about whom)."""
+class Record:
+    """What happened in a cluster."""
 
-    changes: list[tuple[float, str, str, str]] = field(default_factory=list)
+    events: list[RecordedEvent] = field(default_factory=list)
     datagrams: int = 0
     bytes: int = 0
 
 
-class Fleet:
-    """Peers by name. `run` lets time pass; `freeze`, `wake`, `kill` and `start` treat one."""
+class SimulatedCluster:
+    """Members by name. `run` lets time pass; `suspend`, `resume`, `kill` and `start` act on one member."""
 
     def __init__(
-        self, count: int, seed: int, settings: GossipSettings | None = None, network: Network | None = None
+        self,
+        count: int,
+        seed: int,
+        settings: GossipSettings | None = None,
+        network: NetworkConditions | None = None,
     ) -> None:
-        self.settings, self.network = settings or GossipSettings(), network or Network()
-        self.random, self.seed = random.Random(seed), seed
-        self.now = 1000.0
-        self.peers: dict[str, Gossip] = {}
-        self.offsets: dict[str, float] = {}  # every peer's clock starts elsewhere
-        self.frozen: dict[str, list[tuple[str, Any]]] = {}
-        self.seen = Seen()
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
-        self._armed: dict[str, float] = {}
+        self.settings = settings or GossipSettings()
+        self.network = network or NetworkConditions()
+        self.rng = random.Random(seed)
+        self.now = START_S
+        self.nodes: dict[str, GossipNode] = {}
+        self.clock_offsets: dict[str, float] = {}  # each member's clock starts elsewhere
+        self.suspended: dict[str, list[tuple[str, Message]]] = {}  # with what waits in its socket
+        self.record = Record()
+        self._calls: list[tuple[float, int, Callable[[], None]]] = []
+        self._scheduled = 0
+        self._timers: dict[str, float] = {}
         for number in range(count):
             self.start(f"d{number}")
 
-    def start(self, name: str) -> Gossip:
-        """Start a peer, or start one anew that knows nothing."""
-        seeds = [self._address(f"d{n}") for n in range(2) if f"d{n}" != name]
-        made = Gossip(self.settings, name, self._address(name), seeds, self.random.getrandbits(32))
-        self.peers[name] = made
-        self.offsets[name] = self.random.uniform(-500.0, 500.0)
-        self._turn(name)
-        return made
+    # Members
+
+    def start(self, name: str) -> GossipNode:
+        """Start a member, or start one anew that knows nothing."""
+        names = (f"d{number}" for number in range(SEED_MEMBERS))
+        seeds = [self._address(other) for other in names if other != name]
+        node = GossipNode(self.settings, name, self._address(name), seeds, self.rng.getrandbits(32))
+        self.nodes[name] = node
+        self.clock_offsets[name] = self.rng.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S)
+        self._on_timer(name)
+        return node
 
     def kill(self, name: str) -> None:
-        """End a peer; nobody is told."""
-        self.peers.pop(name, None)
-        self.frozen.pop(name, None)
-
-    def freeze(self, name: str) -> None:
-        """Stop a process. What comes waits in its sockets."""
-        self.frozen[name] = []
-
-    def wake(self, name: str, keep: bool = False) -> None:
-        """Let it go on; what waited is dropped by its age as the sockets do, unless kept."""
-        waited = self.frozen.pop(name, [])
-        if keep:
-            for sender, message in waited:
+        """End a member without notice."""
+        self.nodes.pop(name, None)
+        self.suspended.pop(name, None)
+
+    def suspend(self, name: str) -> None:
+        """Suspend a process. What comes waits in its socket."""
+        self.suspended[name] = []
+
+    def resume(self, name: str, read_waiting: bool = False) -> None:
+        """Let a process go on; what waited is dropped for its age as the sockets do, unless it is read."""
+        waiting = self.suspended.pop(name, [])
+        if read_waiting:
+            for sender, message in waiting:
                 self._deliver(sender, name, message)
-        self._turn(name)
+        self._on_timer(name)
+
+    # Time
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Have something done."""
-        self._count += 1
-        heappush(self._heap, (when, self._count, call))
+        """Schedule a call."""
+        self._scheduled += 1
+        heappush(self._calls, (when, self._scheduled, call))
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
         end = self.now + seconds
-        while self._heap and self._heap[0][0] <= end:
-            self.now, _, call = heappop(self._heap)
+        while self._calls and self._calls[0][0] <= end:
+            self.now, _, call = heappop(self._calls)
             call()
         self.now = end
 
-    def clock(self, name: str) -> float:
-        """The time on a peer's own clock."""
-        return self.now + self.offsets[name]
-
-    def views(self, without: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
-        """Whom each living peer holds for living."""
-        held = (p for n, p in self.peers.items() if n not in without and n not in self.frozen)
-        return [tuple(p.alive()) for p in held]
-
-    def agree(self, names: list[str]) -> bool:
-        """Whether all of these hold just these for living."""
-        want = sorted(names)
-        return all(self.peers[n].alive() == want for n in names)
-
-    def until(self, met: Callable[[], bool], within: float, step: float = 0.05) -> float:
-        """Run until something is so; returns how long that took. Raises AssertionError where it never is."""
+    def run_until(self, condition: Callable[[], bool], timeout: float, step: float = 0.05) -> float:
+        """Run until a condition holds and return how long that took. Raises AssertionError at the timeout."""
         began = self.now
-        while not met():
-            if self.now - began > within:
-                raise AssertionError(f"not met within {within} s: {self.views()[:2]}")
+        while not condition():
+            if self.now - began > timeout:
+                raise AssertionError(f"not met within {timeout} s: {self._first_views()}")
             self.run(step)
         return self.now - began
 
-    def _address(self, name: str) -> Address:
-        return ("127.0.0.1", 10_000 + int(name[1:]))
-
-    def _name(self, address: Address) -> str:
-        return f"d{address[1] - 10_000}"
+    def clock(self, name: str) -> float:
+        """Return the time on a member's own clock."""
+        return self.now + self.clock_offsets[name]
 
-    def _turn(self, name: str) -> None:
-        peer = self.peers.get(name)
-        if peer is None or name in self.frozen:
-            return
-        self._carry(name, peer.turn(self.clock(name)))
+    # Views
 
-    def _carry(self, name: str, actions: list[gossip.Action]) -> None:
-        peer = self.peers[name]
-        for what, about in peer.changes:
-            self.seen.changes.append((self.now, name, what, about))
-        peer.changes.clear()
+    def agree(self, names: list[str]) -> bool:
+        """Whether all of these members hold exactly these for alive."""
+        expected = sorted(names)
+        return all(self.nodes[name].alive() == expected for name in names)
+
+    def _first_views(self) -> list[list[str]]:
+        running = [node for name, node in self.nodes.items() if name not in self.suspended]
+        return [node.alive() for node in running[:2]]
+
+    # Actions
+
+    def send(self, sender: str, action: SendDatagram) -> None:
+        """Send a datagram over the network."""
+        network, message = self.network, action.message
+        self.record.datagrams += 1
+        self.record.bytes += DATAGRAM_OVERHEAD_BYTES
+        if not isinstance(message, Nack):
+            self.record.bytes += sum(encoded_size_bound(update) // 2 for update in message.updates)
+            self.record.bytes += sum(encoded_size_bound(entry) // 2 for entry in message.entries)
+        copies = 1 + (self.rng.random() < network.duplication)
+        for _ in range(copies):
+            if self.rng.random() >= network.loss:
+                delay = self.rng.uniform(network.min_delay, network.max_delay)
+                self.at(self.now + delay, lambda: self._deliver(sender, action.to, message))
+
+    def _on_timer(self, name: str) -> None:
+        node = self.nodes.get(name)
+        if node is not None and name not in self.suspended:
+            self._carry_out(name, node.on_timer(self.clock(name)))
+
+    def _carry_out(self, name: str, actions: list[Action]) -> None:
+        node = self.nodes[name]
+        for event in node.take_events():
+            self.record.events.append(RecordedEvent(self.now, name, event.kind, event.member))
         for action in actions:
-            if isinstance(action, Say):
-                self._send(name, action)
-            elif isinstance(action, Knock):
-                self._knock(name, action.to)
+            if isinstance(action, SendDatagram):
+                self.send(name, action)
+            elif isinstance(action, StreamPing):
+                self._stream_ping(name, action.to)
             else:
                 self._sync(name, self._name(action.address))
-        due = peer.due() - self.offsets[name]
-        armed = self._armed.get(name, 0.0)
+        self._arm(name, node)
+
+    def _arm(self, name: str, node: GossipNode) -> None:
+        """Set a member's timer, unless one that is set comes soon enough."""
+        due = node.due() - self.clock_offsets[name]
+        armed = self._timers.get(name, 0.0)
         if armed <= self.now or due < armed - 1e-9:
-            due = max(due, self.now + 1e-4)  # virtual time never stands still
-            self._armed[name] = due
-            self.at(due, lambda: self._turn(name))
-
-    def _send(self, sender: str, say: Say) -> None:
-        network = self.network
-        message = say.message
-        news = [*getattr(message, "rumours", ()), *getattr(message, "words", ())]
-        self.seen.datagrams += 1
-        self.seen.bytes += OVERHEAD + sum(self.peers[sender]._size(piece) // 2 for piece in news)
-        copies = 1 + (self.random.random() < network.doubled)
-        for _ in range(copies):
-            if self.random.random() >= network.loss:
-                delay = self.random.uniform(network.least, network.most)
-                self.at(self.now + delay, lambda: self._deliver(sender, say.to, message))
+            due = max(due, self.now + MIN_TIMER_S)
+            self._timers[name] = due
+            self.at(due, lambda: self._on_timer(name))
 
-    def _deliver(self, sender: str, to: str, message: Any) -> None:
-        if to not in self.peers or self.network.cut(sender, to):
+    def _deliver(self, sender: str, to: str, message: Message) -> None:
+        if to not in self.nodes or self.network.partitioned(sender, to):
             return
-        if to in self.frozen:
-            self.frozen[to].append((sender, message))
+        if to in self.suspended:
+            self.suspended[to].append((sender, message))
             return
-        self._carry(to, self.peers[to].heard(self.clock(to), sender, message))
+        self._carry_out(to, self.nodes[to].on_datagram(self.clock(to), sender, message))
 
-    def _reached(self, name: str, to: str) -> bool:
-        """Whether a stream comes about; streams send anew what is lost."""
-        cut = self.network.cut(name, to) or self.network.cut(to, name)
-        return to in self.peers and to not in self.frozen and not cut
+    # Streams
 
-    def _knock(self, name: str, to: str) -> None:
+    def _running(self, name: str) -> bool:
+        return name in self.nodes and name not in self.suspended
+
+    def _connects(self, name: str, to: str) -> bool:
+        """Whether a stream comes about; streams send again what is lost."""
+        partitioned = self.network.partitioned(name, to) or self.network.partitioned(to, name)
+        return self._running(to) and not partitioned
+
+    def _stream_ping(self, name: str, to: str) -> None:
         def answered() -> None:
-            if name in self.peers and name not in self.frozen and self._reached(name, to):
-                self.peers[name].knocked(self.clock(name), to)
+            if self._running(name) and self._connects(name, to):
+                self.nodes[name].stream_ping_answered(self.clock(name), to)
 
-        self.at(self.now + 4.0 * self.random.uniform(self.network.least, self.network.most), answered)
+        delay = self.rng.uniform(self.network.min_delay, self.network.max_delay)
+        self.at(self.now + STREAM_ROUND_TRIPS * delay, answered)
 
     def _sync(self, name: str, to: str) -> None:
-        if not self._reached(name, to):
+        if not self._connects(name, to):
             return
-        mine = self.peers[name].state(self.clock(name))
-        self._carry(to, self.peers[to].merge(self.clock(to), mine, name))
-        theirs = self.peers[to].state(self.clock(to))  # with what it refutes
-        self.at(self.now + 0.002, lambda: self._merged(name, theirs, to))
+        self._merge(to, self.nodes[name].state(self.clock(name)), name)
+        reply = self.nodes[to].state(self.clock(to))  # with what it refutes
+        self.at(self.now + STATE_TRANSFER_S, lambda: self._merge(name, reply, to))
 
-    def _merged(self, name: str, state: gossip.State, sender: str) -> None:
-        if name in self.peers and name not in self.frozen:
-            self._carry(name, self.peers[name].merge(self.clock(name), state, sender))
+    def _merge(self, name: str, state: ClusterState, sender: str) -> None:
+        if self._running(name):
+            self.nodes[name].merge(self.clock(name), state, sender)
+            self._carry_out(name, [])
+
+    def _address(self, name: str) -> Address:
+        return ("127.0.0.1", FIRST_PORT + int(name[1:]))
+
+    def _name(self, address: Address) -> str:
+        return f"d{address[1] - FIRST_PORT}"
 
 
 @dataclass(slots=True, frozen=True)
-class Measured:
-    """One row: detection in s, false suspicions and deaths an hour and peer, bytes a second and peer."""
+class Measurement:
+    """One row: detection in s, false suspicions and deaths an hour and member, bytes a second and member."""
 
     count: int
     loss: float
-    first: float
-    last: float
+    first_detection: float
+    last_detection: float
     suspicions: float
     deaths: float
     bytes: float
 
 
-def measure(count: int, loss: float, seed: int, calm: float = 60.0) -> Measured:
-    """A calm time with loss, then one peer is killed."""
-    fleet = Fleet(count, seed, network=Network(loss=loss))
-    names = list(fleet.peers)
-    fleet.until(lambda: fleet.agree(names), 60.0)
-    fleet.seen.bytes = 0
-    mark = len(fleet.seen.changes)
-    fleet.run(calm)
-    each_hour = 3600.0 / calm / count
-    false = [what for _, _, what, _ in fleet.seen.changes[mark:]]
-    rate = fleet.seen.bytes / calm / count
-    began, mark = fleet.now, len(fleet.seen.changes)
-    fleet.kill(names[-1])
-    rest = names[:-1]
-    fleet.until(lambda: all(p.peers[names[-1]].life is Life.DEAD for p in fleet.peers.values()), 120.0)
-    dead = [
-        t - began for t, _, what, about in fleet.seen.changes[mark:] if what == "dead" and about not in rest
+def measure(count: int, loss: float, seed: int, calm: float = 60.0) -> Measurement:
+    """Run a calm time with loss, then kill one member. `calm` is in seconds."""
+    cluster = SimulatedCluster(count, seed, network=NetworkConditions(loss=loss))
+    names = list(cluster.nodes)
+    cluster.run_until(lambda: cluster.agree(names), 60.0)
+    cluster.record.bytes = 0
+    first = len(cluster.record.events)
+    cluster.run(calm)
+    false_events = [event.kind for event in cluster.record.events[first:]]
+    bytes_per_second = cluster.record.bytes / calm / count
+    killed_at, first = cluster.now, len(cluster.record.events)
+    victim = names[-1]
+    cluster.kill(victim)
+    cluster.run_until(
+        lambda: all(node.members[victim].state is MemberState.DEAD for node in cluster.nodes.values()), 120.0
+    )
+    detected = [
+        event.at - killed_at
+        for event in cluster.record.events[first:]
+        if event.kind is EventKind.DEAD and event.member == victim
     ]
-    return Measured(
+    per_hour = SECONDS_PER_HOUR / calm / count
+    return Measurement(
         count,
         loss,
-        min(dead),
-        max(dead),
-        false.count("suspected") * each_hour,
-        false.count("dead") * each_hour,
-        rate,
+        min(detected),
+        max(detected),
+        false_events.count(EventKind.SUSPECTED) * per_hour,
+        false_events.count(EventKind.DEAD) * per_hour,
+        bytes_per_second,
     )
 
 
 def main() -> int:
     """Print the table."""
-    print("simulated, one seed a row; a period of 0.25 s")
+    print("simulated, one seed a row; a probe interval of 0.25 s")
     heads = ("first dead s", "last s", "suspected/h", "dead/h", "bytes/s")
     print(f"{'peers':>6}{'loss':>6}{heads[0]:>14}{heads[1]:>8}{heads[2]:>13}{heads[3]:>8}{heads[4]:>9}")
     for count in (8, 16, 32):
         for loss in (0.0, 0.05, 0.2):
             row = measure(count, loss, seed=count)
             print(
-                f"{row.count:6}{row.loss:6.2f}{row.first:14.2f}{row.last:8.2f}"
+                f"{row.count:6}{row.loss:6.2f}{row.first_detection:14.2f}{row.last_detection:8.2f}"
                 f"{row.suspicions:13.1f}{row.deaths:8.1f}{row.bytes:9.0f}"
             )
     return 0
--- a/sedgepitch/peers/__main__.py
+++ b/sedgepitch/peers/__main__.py
@@ -1,10 +1,10 @@
-"""A peer by itself, without a driver: listens to the fleet and says on standard output what it hears.
+"""A gossip peer without a proxy: joins the cluster and prints what it hears.
 
 `python -m sedgepitch.peers --name NAME --key FILE [--listen 127.0.0.1:0] [--seed HOST:PORT ...]`
 
-One JSON object a line: first `ready` with the address, then every change with its time on the monotonic
-clock. Lines on standard input make it speak: `tell KIND TEXT`, `status [KIND ...]`, `stop`. For tests and for
-people at night.
+Prints one JSON object a line: first `ready` with the address, then each event with its time on the monotonic
+clock. Takes commands on standard input: `tell KIND TEXT` publishes a state entry, `status [KIND ...]` prints
+what is known, `stop` leaves. For tests and for operators.
 """
 
 from __future__ import annotations
@@ -13,17 +13,26 @@
 import signal
 import sys
 import time
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from sedgepitch.config.units import address
-from sedgepitch.decisions.gossip.protocol import GossipSettings
-from sedgepitch.peers.keys import KeyFileError, load_keys
+from sedgepitch.decisions.gossip.settings import GossipSettings
+from sedgepitch.decisions.gossip.state_entries import StateEntryError
+from sedgepitch.peers.keys import Authenticator, KeyFileError, load_keys
 
+if TYPE_CHECKING:
+    from sedgepitch.peers.service import PeerService, PeerSettings
 
-def _say(what: str, **fields: Any) -> None:
-    sys.stdout.write(json.dumps({"at": round(time.monotonic(), 4), "what": what, **fields}) + "\n")
+CLOSING_TIME_S = 0.05  # for the announcement to leave the sockets
+DIGITS = 4  # of seconds
+Reactor = Any  # Twisted's reactors have no common type
+
+
+def _print(what: str, **fields: object) -> None:
+    line = {"at": round(time.monotonic(), DIGITS), "what": what, **fields}
+    sys.stdout.write(json.dumps(line) + "\n")
     sys.stdout.flush()
 
 
@@ -39,69 +48,89 @@
 ) -> None:
     """Run one peer."""
     try:
-        sealer = load_keys(key)
-        ways = {r.partition("=")[0]: address(r.partition("=")[2]) for r in routes}
-        where, first = address(listen), tuple(address(s) for s in seeds)
+        authenticator = load_keys(key)
+        by_name = {r.partition("=")[0]: address(r.partition("=")[2]) for r in routes}
+        listen_address = address(listen)
+        seed_addresses = tuple(address(seed) for seed in seeds)
     except (KeyFileError, ValueError) as error:
         raise click.ClickException(str(error)) from None
     from sedgepitch.cli.reactors import install
 
-    reactor = install("uvloop")
+    reactor = install("uvloop")  # before anything else imports a reactor
+    from sedgepitch.peers.service import PeerSettings
+
+    settings = PeerSettings(
+        name, listen_address, seed_addresses, by_name, GossipSettings.for_probe_interval(period)
+    )
+    _run(reactor, settings, authenticator)
+
+
+def _run(reactor: Reactor, settings: PeerSettings, authenticator: Authenticator) -> None:
+    """Run the peer until it is stopped."""
     from twisted.internet.error import CannotListenError
     from twisted.internet.stdio import StandardIO
     from twisted.protocols.basic import LineOnlyReceiver
 
     from sedgepitch.core.clock import ReactorClock
-    from sedgepitch.peers.service import Peers, PeerSettings
+    from sedgepitch.peers.service import PeerService
 
-    paces = GossipSettings(period=period, answer_within=0.4 * period, spread_every=0.4 * period)
-    settings = PeerSettings(name, where, first, ways, paces)
-    peers = Peers(
+    service = PeerService(
         reactor,
         ReactorClock(reactor),
         settings,
-        sealer,
-        changed=lambda what, about: _say(what, peer=about),
-        say=lambda event, **fields: _say("line", event=event, **fields),
+        authenticator,
+        on_event=lambda event: _print(event.kind.value, peer=event.member),
+        log=lambda event, **fields: _print("line", event=event, **fields),
     )
 
     def stop() -> None:
-        if not peers.stopped:
-            peers.stop()
-            reactor.callLater(0.05, reactor.stop)
+        if not service.stopped:
+            service.stop()
+            reactor.callLater(CLOSING_TIME_S, reactor.stop)
 
-    class Orders(LineOnlyReceiver):
+    class Commands(LineOnlyReceiver):
         delimiter = b"\n"
 
         def lineReceived(self, line: bytes) -> None:
-            what, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
-            if what == "tell":
-                kind, _, text = rest.partition(" ")
-                try:
-                    peers.tell(kind, text.encode())
-                except ValueError as error:
-                    _say("refused", why=str(error))
-            elif what == "status":
-                words = {
-                    kind: {
-                        n: (round(age, 4), body.decode("utf-8", "replace")) for n, (age, body) in told.items()
-                    }
-                    for kind in rest.split()
-                    if (told := peers.heard_of(kind)) is not None
-                }
-                _say("status", cpu_s=round(time.process_time(), 4), words=words, **peers.status())
-            elif what == "stop":
+            """Carry out one command."""
+            command, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
+            if command == "tell":
+                _publish(service, rest)
+            elif command == "status":
+                _print_status(service, rest.split())
+            elif command == "stop":
                 stop()
 
     try:
-        host, port = peers.start()
+        host, port = service.start()
     except CannotListenError as error:
         raise click.ClickException(f"cannot listen on {error.interface}:{error.port}") from None
-    StandardIO(Orders())
+    StandardIO(Commands())  # type: ignore[no-untyped-call]  # of Twisted
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(stop))
-    _say("ready", address=f"{host}:{port}", name=name)
+    _print("ready", address=f"{host}:{port}", name=settings.name)
     reactor.run(installSignalHandlers=False)
 
 
+def _publish(service: PeerService, arguments: str) -> None:
+    """Publish `KIND TEXT`."""
+    kind, _, text = arguments.partition(" ")
+    try:
+        service.publish(kind, text.encode())
+    except StateEntryError as error:
+        _print("refused", why=str(error))
+
+
+def _print_status(service: PeerService, kinds: list[str]) -> None:
+    """Print what the peer knows, with the state entries of these kinds."""
+    entries = {
+        kind: {
+            origin: (round(entry.age, DIGITS), entry.body.decode("utf-8", "replace"))
+            for origin, entry in service.entries_of_kind(kind).items()
+        }
+        for kind in kinds
+    }
+    _print("status", cpu_s=round(time.process_time(), DIGITS), words=entries, **service.status())
+
+
 if __name__ == "__main__":
     main()
--- /dev/null
+++ b/sedgepitch/peers/counters.py
@@ -0,0 +1,22 @@
+"""What a peer counts, under the names that its status shows."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class PeerCounter(StrEnum):
+    """Counters of datagrams, streams and timers."""
+
+    SENT = "sent"
+    SEND_FAILED = "unsent"
+    ACCEPTED = "taken"
+    REPLAYED = "replayed"
+    UNPROVEN_SESSION = "unproven"  # dropped, since its sender was challenged just now
+    MISADDRESSED = "not for me"
+    STALE = "old"  # waited in the socket while this process was suspended
+    INVALID_DATAGRAM = "bad"
+    INVALID_FRAME = "bad frames"
+    STREAMS = "streams"
+    STREAMS_REFUSED = "streams refused"
+    LATE_TIMERS = "late turns"
--- a/sedgepitch/peers/keys.py
+++ b/sedgepitch/peers/keys.py
@@ -1,8 +1,8 @@
-"""The key file, and the tag that every datagram and frame carries.
+"""The key file, and the authentication of datagrams and frames.
 
 A key file has one key a line, 64 to 128 hexadecimal digits; lines that begin with # are comments. The first
-key tags what is sent, all of them are taken, so that a key is changed by adding the new one everywhere, then
-putting it first, then removing the old one.
+key authenticates what is sent, all of them are accepted, so that a key is changed by adding the new one
+everywhere, then putting it first, then removing the old one.
 """
 
 from __future__ import annotations
@@ -14,81 +14,101 @@
 import stat
 from pathlib import Path
 
+from sedgepitch.errors import ConfigurationError, PeerError
+
 VERSION = 1
-TAG = 16  # bytes
-MOST_KEYS = 4
-PERSON = b"sedgepitch peers"
+TAG_BYTES = 16
+KEY_BYTES_MIN = 32
+KEY_BYTES_MAX = 64  # of BLAKE2b
+MAX_KEYS = 4
+MAX_FILE_BYTES = 4096
+PERSONALIZATION = b"sedgepitch peers"
+OTHERS_PERMISSIONS = 0o077
+OWNER_ONLY = 0o600
 
 
-class KeyFileError(ValueError):
+class KeyFileError(ConfigurationError, ValueError):
     """A key file that cannot be used; one line that names the place."""
 
 
-class BadSeal(Exception):
-    """Bytes that no holder of a key wrote, or of a version that is not spoken here."""
+class KeyLengthError(ConfigurationError, ValueError):
+    """No key, or one of a length that cannot be used."""
+
 
+class AuthenticationError(PeerError):
+    """Bytes that no holder of a key wrote, or of a version that is not supported."""
 
-class Sealer:
-    """Tags and checks. `seal` returns version, tag and body."""
+
+class Authenticator:
+    """Adds and checks the version byte and the keyed BLAKE2b tag. Raises KeyLengthError."""
 
     def __init__(self, keys: list[bytes]) -> None:
-        if not keys or any(not 32 <= len(key) <= 64 for key in keys):
-            raise ValueError("a key has 32 to 64 bytes")
-        self.keys = list(keys)
+        if not keys or any(not KEY_BYTES_MIN <= len(key) <= KEY_BYTES_MAX for key in keys):
+            raise KeyLengthError(f"a key has {KEY_BYTES_MIN} to {KEY_BYTES_MAX} bytes")
+        self._keys = list(keys)
 
     def seal(self, body: bytes) -> bytes:
-        """Return the body with its version and tag."""
-        return bytes((VERSION,)) + self._tag(self.keys[0], body) + body
+        """Return version, tag and body."""
+        return bytes((VERSION,)) + self._tag(self._keys[0], body) + body
 
     def open(self, data: bytes) -> bytes:
-        """Return the body; raises BadSeal."""
-        if len(data) <= 1 + TAG:
-            raise BadSeal("too short")
+        """Return the body; raises AuthenticationError."""
+        if len(data) <= 1 + TAG_BYTES:
+            raise AuthenticationError("too short")
         if data[0] != VERSION:
-            raise BadSeal(f"version {data[0]}, {VERSION} is spoken here")
-        tag, body = data[1 : 1 + TAG], data[1 + TAG :]
-        if not any(hmac.compare_digest(tag, self._tag(key, body)) for key in self.keys):
-            raise BadSeal("the tag does not fit: another key, or damaged")
+            raise AuthenticationError(f"version {data[0]}, {VERSION} is spoken here")
+        tag = data[1 : 1 + TAG_BYTES]
+        body = data[1 + TAG_BYTES :]
+        if not any(hmac.compare_digest(tag, self._tag(key, body)) for key in self._keys):
+            raise AuthenticationError("the tag does not fit: another key, or damaged")
         return body
 
     def _tag(self, key: bytes, body: bytes) -> bytes:
-        return hashlib.blake2b(body, key=key, digest_size=TAG, person=PERSON).digest()
+        return hashlib.blake2b(body, key=key, digest_size=TAG_BYTES, person=PERSONALIZATION).digest()
 
 
-def load_keys(path: str | Path) -> Sealer:
+def load_keys(path: str | Path) -> Authenticator:
     """Read a key file; raises KeyFileError."""
-    try:
-        with open(path, "rb") as file:
-            mode = os.fstat(file.fileno()).st_mode
-            text = file.read(4096)
-    except OSError as error:
-        raise KeyFileError(f"{path}: {error.strerror or error}") from None
-    if stat.S_IMODE(mode) & 0o077:
-        raise KeyFileError(
-            f"{path}: others than its owner may use it (mode {stat.S_IMODE(mode):o}, wants 600)"
-        )
+    text = _read_private(path)
     keys = []
     for number, line in enumerate(text.split(b"\n"), 1):
-        line = line.strip()
-        if not line or line.startswith(b"#"):
-            continue
-        try:
-            key = bytes.fromhex(line.decode("ascii"))
-        except ValueError:
-            raise KeyFileError(f"{path}:{number}: not hexadecimal digits") from None
-        if not 32 <= len(key) <= 64:
-            raise KeyFileError(f"{path}:{number}: a key has 64 to 128 digits, this one {2 * len(key)}")
-        keys.append(key)
-    if not 0 < len(keys) <= MOST_KEYS:
-        raise KeyFileError(f"{path}: {len(keys)} keys, wanted 1 to {MOST_KEYS}")
-    return Sealer(keys)
+        digits = line.strip()
+        if digits and not digits.startswith(b"#"):
+            keys.append(_parse_key(f"{path}:{number}", digits))
+    if not 0 < len(keys) <= MAX_KEYS:
+        raise KeyFileError(f"{path}: {len(keys)} keys, wanted 1 to {MAX_KEYS}")
+    return Authenticator(keys)
 
 
 def new_key_file(path: str | Path) -> None:
-    """Write a file with a new key, for its owner alone; raises KeyFileError where there is one."""
+    """Write a file with a new key that its owner alone may use; raises KeyFileError if it exists."""
+    try:
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, OWNER_ONLY)
+    except OSError as error:
+        raise KeyFileError(f"{path}: {error.strerror or error}") from None
+    with os.fdopen(descriptor, "w", encoding="ascii") as file:
+        file.write(secrets.token_hex(KEY_BYTES_MIN) + "\n")
+
+
+def _read_private(path: str | Path) -> bytes:
+    """Return the start of a file that nobody but its owner may use."""
     try:
-        held = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+        with open(path, "rb") as file:
+            mode = stat.S_IMODE(os.fstat(file.fileno()).st_mode)
+            text = file.read(MAX_FILE_BYTES)
     except OSError as error:
         raise KeyFileError(f"{path}: {error.strerror or error}") from None
-    with os.fdopen(held, "w", encoding="ascii") as file:
-        file.write(secrets.token_hex(32) + "\n")
+    if mode & OTHERS_PERMISSIONS:
+        raise KeyFileError(f"{path}: others than its owner may use it (mode {mode:o}, wants {OWNER_ONLY:o})")
+    return text
+
+
+def _parse_key(place: str, digits: bytes) -> bytes:
+    try:
+        key = bytes.fromhex(digits.decode("ascii"))
+    except ValueError:
+        raise KeyFileError(f"{place}: not hexadecimal digits") from None
+    if not KEY_BYTES_MIN <= len(key) <= KEY_BYTES_MAX:
+        digits_min, digits_max = 2 * KEY_BYTES_MIN, 2 * KEY_BYTES_MAX
+        raise KeyFileError(f"{place}: a key has {digits_min} to {digits_max} digits, this one {2 * len(key)}")
+    return key
--- a/sedgepitch/peers/service.py
+++ b/sedgepitch/peers/service.py
@@ -1,7 +1,7 @@
-"""One peer on sockets: datagrams and short streams, carried to and from `decisions/gossip`. Decides nothing.
+"""A gossip node on sockets: carries datagrams, streams and timers to and from it, and decides nothing.
 
-What came while this process stood still is not read as news: datagrams that wait in the socket at a late turn
-are dropped, streams that were open are closed.
+What came while this process was suspended is not read as news: datagrams that wait in the socket when a timer
+is late are dropped, and streams that were open are closed.
 """
 
 from __future__ import annotations
@@ -12,32 +12,48 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from twisted.internet.address import IPv4Address
-from twisted.internet.interfaces import IAddress
-from twisted.internet.protocol import ClientFactory, DatagramProtocol, ServerFactory, connectionDone
-from twisted.protocols.basic import Int32StringReceiver
-from twisted.python.failure import Failure
-
 from sedgepitch.core.types import Clock
-from sedgepitch.decisions.gossip import protocol as gossip
-from sedgepitch.decisions.gossip.protocol import Address, Gossip, GossipSettings, Knock, Say, Sync
-from sedgepitch.decisions.gossip.replay_protection import Sessions, Verdict
+from sedgepitch.decisions.gossip.actions import (
+    Action,
+    Address,
+    EventKind,
+    MemberEvent,
+    SendDatagram,
+    StreamPing,
+    SyncState,
+)
+from sedgepitch.decisions.gossip.messages import ClusterState, Message
+from sedgepitch.decisions.gossip.node import GossipNode
+from sedgepitch.decisions.gossip.replay_protection import SenderSessions
+from sedgepitch.decisions.gossip.settings import GossipSettings
+from sedgepitch.decisions.gossip.state_entries import PublishedEntry
+from sedgepitch.errors import PeerError
 from sedgepitch.net.listener import listen
 from sedgepitch.peers import wire
-from sedgepitch.peers.keys import Sealer
-from sedgepitch.peers.wire import BadDatagram, Challenge, Envelope, Opened, Opening, Proof, Whole
+from sedgepitch.peers.counters import PeerCounter
+from sedgepitch.peers.datagrams import Datagrams
+from sedgepitch.peers.input_errors import InputErrors
+from sedgepitch.peers.keys import Authenticator
+from sedgepitch.peers.status import node_status
+from sedgepitch.peers.streams import STREAM_TIMEOUT_S, AcceptedStreams, OpenedStream, Stream
+from sedgepitch.peers.wire import Envelope
+
+LISTEN_BACKLOG = 64  # streams that may wait to be accepted
+MAX_STREAMS = 32  # open at once, each way
+TIMER_MIN_S = 0.001
+TIMER_TOLERANCE_S = 1e-4  # a timer that is set is kept if the next one is not sooner by more
+SESSION_ID_BITS = 63
+SEED_BITS = 32
+Reactor = Any  # Twisted's reactors have no common type
 
-BACKLOG = 64  # streams that may wait to be accepted
-STREAM_WITHIN = 2.0  # s for a whole exchange
-MOST_STREAMS = 32  # open at once, each way
-PROOFS_A_SECOND = 50  # answers to challenges
-PARKED_FOR = 0.5  # s that a first datagram waits for its sender's proof
-LINE_EVERY = 1.0  # s between lines of one kind about bad input
+
+class NotStartedError(PeerError):
+    """The service was used before `start`."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeerSettings:
-    """Where this peer is and whom it asks first. `routes`: how a peer is reached from here, by name."""
+    """Where this peer listens and whom it asks first. `routes`: how a peer is reached from here, by name."""
 
     name: str
     listen: Address
@@ -46,388 +62,189 @@
     gossip: GossipSettings = field(default_factory=GossipSettings)
 
 
-class Peers:
-    """The service. `changed` hears (what, name) as in `Gossip.changes`; `say` writes a line of the log."""
+def _ignore_event(event: MemberEvent) -> None:
+    """Do nothing with a member's event."""
+
+
+def _log_nothing(event: str, **fields: object) -> None:
+    """Write no log event."""
+
+
+class PeerService:
+    """One peer. `on_event` hears each event of a member; `log` writes a structured log event."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         clock: Clock,
         settings: PeerSettings,
-        sealer: Sealer,
-        changed: Callable[[str, str], None] = lambda what, name: None,
-        say: Callable[..., None] = lambda event, **fields: None,
+        authenticator: Authenticator,
+        on_event: Callable[[MemberEvent], None] = _ignore_event,
+        log: Callable[..., None] = _log_nothing,
         seed: int | None = None,
     ) -> None:
-        self.reactor, self.clock, self.settings, self.sealer = reactor, clock, settings, sealer
-        self.changed, self.say = changed, say
-        self.random = random.Random(seed) if seed is not None else random.SystemRandom()
-        self.life, self.counter = self.random.getrandbits(63), 0
-        self.sessions = Sessions(self.random.getrandbits(32), settings.gossip.most_peers)
-        self.gossip: Gossip | None = None
-        self.parked: dict[str, tuple[float, Any]] = {}
-        self.streams: set[_Stream] = set()
-        self.counts: Counter[str] = Counter()
-        self.sent_bytes = 0
-        self.proofs_from, self.proofs = 0.0, 0
-        self.said: dict[str, float] = {}
-        self.udp: Any = None
-        self.tcp: Any = None
-        self.timer: Any = None
-        self.timer_at = 0.0
+        self.clock = clock
+        self.settings = settings
+        self.authenticator = authenticator
+        self.on_event = on_event
+        self.rng = random.Random(seed) if seed is not None else random.SystemRandom()
+        self.node: GossipNode | None = None
+        self.streams: set[Stream] = set()
+        self.stream_bytes = 0
+        self.counters: Counter[PeerCounter] = Counter()
+        self.input_errors = InputErrors(clock, self.counters, log)
         self.stopped = False
-
-    # Life
+        self._session_id = self.rng.getrandbits(SESSION_ID_BITS)
+        self._counter = 0
+        sessions = SenderSessions(self.rng.getrandbits(SEED_BITS), settings.gossip.max_members)
+        self._datagrams = Datagrams(self, sessions)
+        self._reactor = reactor
+        self._log = log
+        self._udp: Any = None
+        self._tcp: Any = None
+        self._timer: Any = None
+        self._timer_at = 0.0
+
+    # Start and stop
 
     def start(self) -> Address:
-        """Open both sockets on one port; returns the address. Raises CannotListenError."""
+        """Open both sockets on one port and return the address. Raises CannotListenError."""
         host, port = self.settings.listen
-        self.tcp = listen(self.reactor, port, _Accepting(self), host, BACKLOG)
-        port = self.tcp.getHost().port
+        self._tcp = listen(self._reactor, port, AcceptedStreams(self), host, LISTEN_BACKLOG)
+        port = self._tcp.getHost().port
         try:
-            self.udp = self.reactor.listenUDP(
-                port, _Datagrams(self), interface=host, maxPacketSize=wire.MOST_DATAGRAM + 1
+            self._udp = self._reactor.listenUDP(
+                port, self._datagrams, interface=host, maxPacketSize=wire.MAX_DATAGRAM_BYTES + 1
             )
         except Exception:
-            self.tcp.stopListening()
+            self._tcp.stopListening()
             raise
-        self.gossip = Gossip(
-            self.settings.gossip,
-            self.settings.name,
-            (host, port),
-            self.settings.seeds,
-            self.random.getrandbits(32),
-        )
-        self.gossip.routes.update(self.settings.routes)
-        self._turn()
+        settings = self.settings
+        seed = self.rng.getrandbits(SEED_BITS)
+        self.node = GossipNode(settings.gossip, settings.name, (host, port), settings.seeds, seed)
+        self.node.table.routes.update(settings.routes)
+        self._on_timer()
         return host, port
 
     def stop(self) -> None:
-        """Say goodbye and close."""
-        if self.stopped or self.gossip is None:
+        """Announce that this peer leaves, and close."""
+        if self.stopped or self.node is None:
             return
-        self._carry(self.gossip.leave(self.clock.now()))
+        self._carry_out(self.node, self.node.leave())
         self.stopped = True
-        if self.timer is not None:
-            self.timer.cancel()
-        self.udp.stopListening()
-        self.tcp.stopListening()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._udp.stopListening()
+        self._tcp.stopListening()
         for stream in list(self.streams):
-            stream.end()
+            stream.abort()
 
-    def tell(self, kind: str, body: bytes) -> None:
-        """Say something of this peer to all; raises ValueError where it is too large."""
-        assert self.gossip is not None
-        self.gossip.tell(self.clock.now(), kind, body)
+    # For the owner
+
+    def publish(self, kind: str, body: bytes) -> None:
+        """Publish a state entry. Raises StateEntryError if too large, NotStartedError before `start`."""
+        if self.node is None:
+            raise NotStartedError(f"the peer {self.settings.name} is not started")
+        self.node.publish(self.clock.now(), kind, body)
         self._arm()
 
-    def heard_of(self, kind: str) -> dict[str, tuple[float, bytes]]:
-        """The living peers' words of one kind, each with its age in seconds."""
-        return self.gossip.heard_of(kind, self.clock.now()) if self.gossip is not None else {}
+    def entries_of_kind(self, kind: str) -> dict[str, PublishedEntry]:
+        """Return the state entries of one kind by origin; none before `start`."""
+        return self.node.entries_of_kind(kind, self.clock.now()) if self.node is not None else {}
 
-    def status(self) -> dict[str, Any]:
-        """What is held, for people."""
-        held, now = self.gossip, self.clock.now()
-        if held is None:
+    def status(self) -> dict[str, object]:
+        """Return what is known of members, for operators; empty before `start`."""
+        if self.node is None:
             return {}
-        return {
-            "name": held.name,
-            "address": "{}:{}".format(*held.address),
-            "incarnation": held.incarnation,
-            "awareness": held.awareness,
-            "sleeps": held.sleeps,
-            "suspicions": held.suspicions,
-            "deaths": held.deaths,
-            "counts": dict(self.counts),
-            "sent_bytes": self.sent_bytes,
-            "peers": [
-                {
-                    "name": peer.name,
-                    "address": "{}:{}".format(*(held.address_of(peer.name) or peer.address)),
-                    "life": peer.life.name.lower(),
-                    "for_s": round(now - peer.since, 3),
-                    "incarnation": peer.incarnation,
-                    "accusers": sorted(peer.accusers) if peer.life == gossip.Life.SUSPECT else [],
-                    "words": {kind: round(now - word.born, 3) for kind, word in peer.words.items()},
-                }
-                for peer in sorted(held.peers.values(), key=lambda p: p.name)
-            ],
-        }
-
-    # Time
-
-    def late(self) -> bool:
-        """Whether this process stood still: what waits to be read is as old as that."""
-        held = self.gossip
-        return held is not None and held.lateness(self.clock.now()) > held.settings.asleep_after
-
-    def _turn(self) -> None:
-        self.timer = None
-        if self.stopped or self.gossip is None:
-            return
-        if self.late():
-            self.counts["late turns"] += 1
-            for stream in list(self.streams):
-                stream.end()
-            self.parked.clear()
-        self._carry(self.gossip.turn(self.clock.now()))
-        self._arm()
+        sent_bytes = self.stream_bytes + self._datagrams.sent_bytes
+        return node_status(self.node, self.clock.now(), self.counters, sent_bytes)
 
-    def _arm(self) -> None:
-        """Have a turn when the next thing is due."""
-        if self.stopped or self.gossip is None:
-            return
-        due = self.gossip.due()
-        if self.timer is not None:
-            if due >= self.timer_at - 1e-4:
-                return
-            self.timer.cancel()
-        now = self.clock.now()
-        self.timer_at = max(due, now + 0.001)
-        self.timer = self.clock.call_later(self.timer_at - now, self._turn)
-
-    def _carry(self, actions: list[gossip.Action]) -> None:
-        assert self.gossip is not None
-        changes, self.gossip.changes = self.gossip.changes, []
-        for what, name in changes:
-            if what != "word":
-                self.say(f"peer.{what}", peer=name)
-            self.changed(what, name)
-        for action in actions:
-            if isinstance(action, Say):
-                self._send(action.to, action.address, action.message)
-            elif isinstance(action, Sync):
-                self._open(action.address, "")
-            elif isinstance(action, Knock):
-                self._open(action.address, action.to)
-
-    # Datagrams
-
-    def envelope(self, to: str, body: Any) -> Envelope:
-        """Wrap a message; every one has the next number."""
-        self.counter += 1
-        return Envelope(self.settings.name, to, self.life, self.counter, body)
-
-    def _send(self, to: str, address: Address, body: Any) -> None:
-        if self.udp is None or self.stopped:
-            return
-        data = wire.encode(self.sealer, self.envelope(to, body))
-        try:
-            self.udp.write(data, address)
-        except OSError:  # a full buffer, or nobody there: as lost on the way
-            self.counts["unsent"] += 1
-            return
-        self.counts["sent"] += 1
-        self.sent_bytes += len(data)
+    # For datagrams and streams
 
-    def datagram(self, data: bytes, source: Address) -> None:
-        """Take what came; nothing that does not verify has an effect."""
-        held = self.gossip
-        if held is None or self.stopped:
-            return
-        if self.late():
-            self.counts["old"] += 1
-            return
-        try:
-            told = wire.decode(self.sealer, data)
-        except BadDatagram as error:
-            self._bad("bad", "peers.bad", str(error), source)
-            return
-        if told.to != held.name or told.sender == held.name:
-            self.counts["not for me"] += 1
-            return
-        now, body = self.clock.now(), told.body
-        if isinstance(body, Challenge):
-            self._prove(now, told.sender, body, source)
-        elif isinstance(body, Proof):
-            if self.sessions.proven(now, told.sender, told.life, told.counter, body.number):
-                self._unpark(now, told.sender)
-        elif isinstance(body, (Opening, Opened, Whole)):
-            self.counts["bad"] += 1
-        else:
-            verdict = self.sessions.judge(now, told.sender, told.life, told.counter)
-            if verdict is Verdict.TAKE:
-                self.counts["taken"] += 1
-                self._carry(held.heard(now, told.sender, body))
-                self._arm()
-            elif verdict is Verdict.DROP:
-                self.counts["replayed"] += 1
-            else:
-                self._challenge(now, told.sender, body, source)
-
-    def _challenge(self, now: float, sender: str, body: Any, source: Address) -> None:
-        assert self.gossip is not None
-        number = self.sessions.challenge(now, sender)
-        if number is None:
-            self.counts["unproven"] += 1
-            return
-        self.parked[sender] = (now, body)
-        if len(self.parked) > self.settings.gossip.most_peers:
-            del self.parked[next(iter(self.parked))]
-        self._send(sender, self.gossip.address_of(sender) or source, Challenge(number))
-
-    def _prove(self, now: float, sender: str, challenge: Challenge, source: Address) -> None:
-        assert self.gossip is not None
-        if now - self.proofs_from >= 1.0:
-            self.proofs_from, self.proofs = now, 0
-        self.proofs += 1
-        if self.proofs <= PROOFS_A_SECOND and len(challenge.number) <= 64:
-            self._send(sender, self.gossip.address_of(sender) or source, Proof(challenge.number))
-
-    def _unpark(self, now: float, sender: str) -> None:
-        parked = self.parked.pop(sender, None)
-        if parked is not None and now - parked[0] <= PARKED_FOR and self.gossip is not None:
-            self._carry(self.gossip.heard(now, sender, parked[1]))
-            self._arm()
+    def envelope(self, to: str, body: wire.Body) -> Envelope:
+        """Wrap a message; each has the next number of this session."""
+        self._counter += 1
+        return Envelope(self.settings.name, to, self._session_id, self._counter, body)
 
-    def _bad(self, kind: str, event: str, why: str, source: Any) -> None:
-        self.counts[kind] += 1
-        now = self.clock.now()
-        if now - self.said.get(event, -LINE_EVERY) >= LINE_EVERY:
-            self.said[event] = now
-            self.say(event, why=why, source="{}:{}".format(*source), times=self.counts[kind])
+    def address_of(self, name: str) -> Address | None:
+        """Return where a member is reached; None if it is unknown."""
+        return self.node.table.address_of(name) if self.node is not None else None
 
-    # Streams
+    def was_suspended(self) -> bool:
+        """Whether this process was suspended until now: what waits to be read is as old as that."""
+        node = self.node
+        return node is not None and node.lateness(self.clock.now()) > node.settings.pause_threshold
 
-    def _open(self, address: Address, name: str) -> None:
-        if len(self.streams) >= 2 * MOST_STREAMS:
-            self.counts["streams refused"] += 1
-            return
-        self.reactor.connectTCP(*address, _Opening(self, name), timeout=STREAM_WITHIN)
+    def handle_message(self, now: float, sender: str, message: Message) -> None:
+        """Give a message of a proven session to the node."""
+        if self.node is not None:
+            self._carry_out(self.node, self.node.on_datagram(now, sender, message))
+            self._arm()
 
-    def accepts(self) -> bool:
+    def may_accept_stream(self) -> bool:
         """Whether one more stream may be opened to this peer."""
-        return sum(s.served for s in self.streams) < MOST_STREAMS
-
-    def whole(self, stream: _Stream, told: Envelope, state: gossip.State | None) -> None:
-        """A stream has proved its other end, and brought its state or none."""
-        held, now = self.gossip, self.clock.now()
-        if held is None or self.stopped:
-            return
-        self.counts["streams"] += 1
-        self.sessions.accept(now, told.sender, told.life, told.counter)
-        self._unpark(now, told.sender)
-        if not stream.served and stream.name:
-            held.knocked(now, told.sender)
+        return sum(stream.accepted for stream in self.streams) < MAX_STREAMS
+
+    def stream_completed(self, stream: Stream, envelope: Envelope, state: ClusterState | None) -> None:
+        """A stream has proved its other side's session, and brought its state or none."""
+        node = self.node
+        if node is None or self.stopped:
+            return
+        now, sender = self.clock.now(), envelope.sender
+        self.counters[PeerCounter.STREAMS] += 1
+        self._datagrams.sessions.establish(now, sender, envelope.session_id, envelope.counter)
+        self._datagrams.session_proven(now, sender)
+        if not stream.accepted and stream.ping_target:
+            node.stream_ping_answered(now, sender)
         if state is not None:
-            self._carry(held.merge(now, state, told.sender))
+            node.merge(now, state, sender)
+            self._carry_out(node, [])
         self._arm()
 
+    # Timer and actions
 
-class _Datagrams(DatagramProtocol):
-    def __init__(self, peers: Peers) -> None:
-        self.peers = peers
-
-    def datagramReceived(self, data: bytes, addr: Any) -> None:
-        self.peers.datagram(data, addr)
-
-
-class _Stream(Int32StringReceiver):
-    """One exchange: each side repeats the other's number, so neither can be a replay."""
-
-    MAX_LENGTH = wire.MOST_FRAME
-    transport: Any
-
-    def __init__(self, peers: Peers, served: bool, name: str = "") -> None:
-        self.peers, self.served, self.name = peers, served, name
-        self.number = peers.random.randbytes(16)
-        self.theirs = b""
-        self.timer: Any = None
-        self.over = False
-
-    def connectionMade(self) -> None:
-        self.peers.streams.add(self)
-        self.timer = self.peers.clock.call_later(STREAM_WITHIN, self.end)
-        if not self.served:
-            self._say(Opening(self.number), self.name)
-
-    def end(self) -> None:
-        """Close it at once."""
-        self.over = True
-        if self.transport is not None:
-            self.transport.abortConnection()
-
-    def stringReceived(self, string: bytes) -> None:
-        peers = self.peers
-        if self.over or peers.stopped:
-            return
-        if peers.late():
-            self.end()
-            return
-        try:
-            told = wire.decode(peers.sealer, string, wire.MOST_FRAME)
-            self._frame(told)
-        except BadDatagram as error:
-            self._wrong(str(error))
-
-    def lengthLimitExceeded(self, length: int) -> None:
-        self._wrong(f"a frame of {length} bytes")
-
-    def _frame(self, told: Envelope) -> None:
-        peers, body = self.peers, told.body
-        held = peers.gossip
-        if held is None or told.to not in (held.name, "") or told.sender == held.name:
-            raise BadDatagram(f"a frame from '{told.sender}' to '{told.to}'")
-        if self.served and isinstance(body, Opening):
-            self.theirs = body.number[:64]
-            self._say(Opened(self.theirs, self.number), told.sender)
+    def _on_timer(self) -> None:
+        self._timer = None
+        if self.stopped or self.node is None:
             return
-        if not self.served and isinstance(body, Opened) and body.echo == self.number and not self.theirs:
-            self.theirs = body.number[:64]
-            state = None if self.name else held.state(peers.clock.now())
-            self._say(Whole(self.theirs, state), told.sender)
-            return
-        if not isinstance(body, Whole) or body.echo != self.number:
-            raise BadDatagram(f"a frame out of turn from '{told.sender}'")
-        peers.whole(self, told, body.state)
-        if self.served:
-            state = held.state(peers.clock.now()) if body.state is not None else None
-            self._say(Whole(self.theirs, state), told.sender)
-        self.over = True
-        if self.transport is not None:
-            self.transport.loseConnection()
-
-    def _say(self, body: Any, to: str) -> None:
-        try:
-            data = wire.encode(self.peers.sealer, self.peers.envelope(to, body), wire.MOST_FRAME)
-        except ValueError as error:
-            self._wrong(str(error))
-            return
-        self.peers.sent_bytes += len(data) + 4
-        self.sendString(data)
-
-    def _wrong(self, why: str) -> None:
-        source: IAddress = self.transport.getPeer()
-        place = (source.host, source.port) if isinstance(source, IPv4Address) else ("?", 0)
-        self.peers._bad("bad frames", "peers.bad_frame", why, place)
-        self.end()
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.over = True
-        self.peers.streams.discard(self)
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-
-
-class _Accepting(ServerFactory):
-    noisy = False
-
-    def __init__(self, peers: Peers) -> None:
-        self.peers = peers
-
-    def buildProtocol(self, addr: IAddress | None) -> _Stream | None:
-        if not self.peers.accepts():
-            self.peers.counts["streams refused"] += 1
-            return None
-        return _Stream(self.peers, served=True)
-
-
-class _Opening(ClientFactory):
-    noisy = False
-
-    def __init__(self, peers: Peers, name: str) -> None:
-        self.peers, self.name = peers, name
+        if self.was_suspended():
+            self.counters[PeerCounter.LATE_TIMERS] += 1
+            for stream in list(self.streams):
+                stream.abort()
+            self._datagrams.forget_unproven()
+        self._carry_out(self.node, self.node.on_timer(self.clock.now()))
+        self._arm()
 
-    def buildProtocol(self, addr: IAddress | None) -> _Stream:
-        return _Stream(self.peers, served=False, name=self.name)
+    def _arm(self) -> None:
+        """Set the timer for when the next thing is due."""
+        if self.stopped or self.node is None:
+            return
+        due = self.node.due()
+        if self._timer is not None:
+            if due >= self._timer_at - TIMER_TOLERANCE_S:
+                return
+            self._timer.cancel()
+        now = self.clock.now()
+        self._timer_at = max(due, now + TIMER_MIN_S)
+        self._timer = self.clock.call_later(self._timer_at - now, self._on_timer)
+
+    def _carry_out(self, node: GossipNode, actions: list[Action]) -> None:
+        for event in node.take_events():
+            if event.kind is not EventKind.ENTRY_CHANGED:
+                self._log(f"peer.{event.kind.value}", peer=event.member)
+            self.on_event(event)
+        for action in actions:
+            match action:
+                case SendDatagram():
+                    self._datagrams.send(action.to, action.address, action.message)
+                case SyncState():
+                    self._open_stream(action.address)
+                case StreamPing():
+                    self._open_stream(action.address, ping_target=action.to)
+
+    def _open_stream(self, address: Address, ping_target: str = "") -> None:
+        if len(self.streams) >= 2 * MAX_STREAMS:
+            self.counters[PeerCounter.STREAMS_REFUSED] += 1
+            return
+        host, port = address
+        self._reactor.connectTCP(host, port, OpenedStream(self, ping_target), timeout=STREAM_TIMEOUT_S)
--- a/sedgepitch/peers/wire.py
+++ b/sedgepitch/peers/wire.py
@@ -1,104 +1,126 @@
-"""What goes between peers as bytes: msgpack in a sealed envelope. Sans I/O.
+"""The encoding of datagrams and stream frames: msgpack in an authenticated envelope. Sans I/O.
 
-Unknown fields behind the known ones are ignored, so a later text may add some. Everything that does not read
-is a BadDatagram, whatever is wrong with it.
+Unknown fields behind the known ones are ignored, so a later version may add some. The order of fields and the
+tags are the wire format: two versions of the program run in one cluster.
 """
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 from msgspec import Struct
 
-from sedgepitch.decisions.gossip.protocol import Ack, Ask, Nack, Ping, State, Tell
-from sedgepitch.peers.keys import BadSeal, Sealer
+from sedgepitch.decisions.gossip.messages import Ack, ClusterState, Nack, Ping, PingRequest, UpdateMessage
+from sedgepitch.errors import ConfigurationError, PeerError
+from sedgepitch.peers.keys import AuthenticationError, Authenticator
 
-MOST_DATAGRAM = 1400  # bytes
-MOST_FRAME = 1 << 20
+MAX_DATAGRAM_BYTES = 1400
+MAX_FRAME_BYTES = 1 << 20
+MAX_REASON_CHARACTERS = 200  # of a decoder's message in an error
 
 
 class Challenge(Struct, frozen=True, array_like=True, tag=6):
-    """Repeat this number, so that I know your life is not a replayed one."""
+    """Asks the sender of a datagram to repeat a nonce, which proves that its session is not replayed."""
 
-    number: bytes
+    nonce: bytes
 
 
-class Proof(Struct, frozen=True, array_like=True, tag=7):
-    """The number repeated."""
+class ChallengeResponse(Struct, frozen=True, array_like=True, tag=7):
+    """Repeats the nonce of a Challenge."""
 
-    number: bytes
+    nonce: bytes
 
 
-class Opening(Struct, frozen=True, array_like=True, tag=8):
-    """First on a stream, by who opened it; `to` is empty where the name is not known yet."""
+class StreamHello(Struct, frozen=True, array_like=True, tag=8):
+    """The first frame of a stream, by the side that opened it; the envelope's `to` may be empty."""
 
-    number: bytes
+    nonce: bytes
 
 
-class Opened(Struct, frozen=True, array_like=True, tag=9):
-    """The answer: the other's number repeated, and one to repeat."""
+class StreamHelloReply(Struct, frozen=True, array_like=True, tag=9):
+    """Repeats the nonce of a StreamHello and gives one to repeat."""
 
     echo: bytes
-    number: bytes
+    nonce: bytes
 
 
-class Whole(Struct, frozen=True, array_like=True, tag=10):
-    """A number repeated, and all that is held; no state where it is only asked who lives."""
+class StreamState(Struct, frozen=True, array_like=True, tag=10):
+    """Repeats a nonce and carries the complete state; none in a stream that only pings."""
 
     echo: bytes
-    state: State | None
+    state: ClusterState | None
 
 
-Body = Ping | Ask | Ack | Nack | Tell | Challenge | Proof | Opening | Opened | Whole
+DatagramBody = Ping | PingRequest | Ack | Nack | UpdateMessage | Challenge | ChallengeResponse
+StreamBody = StreamHello | StreamHelloReply | StreamState
+Body = (
+    Ping
+    | PingRequest
+    | Ack
+    | Nack
+    | UpdateMessage
+    | Challenge
+    | ChallengeResponse
+    | StreamHello
+    | StreamHelloReply
+    | StreamState
+)
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """From whom, of which life, the how manieth, and to whom."""
+    """A message with its sender, receiver, and place in the sender's session."""
 
     sender: str
     to: str
-    life: int
+    session_id: int
     counter: int
     body: Body
 
 
-class BadDatagram(Exception):
-    """Bytes that are no envelope for this peer; one line."""
+class InvalidMessageError(PeerError):
+    """Bytes that are no message for this peer; one line."""
+
+
+class MessageTooLargeError(ConfigurationError, ValueError):
+    """A message that cannot be shortened to what may be sent."""
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def encode(sealer: Sealer, envelope: Envelope, most: int = MOST_DATAGRAM) -> bytes:
-    """Return the bytes; news that has no room is left out from the end. Raises ValueError over `most`."""
+def encode(authenticator: Authenticator, envelope: Envelope, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
+    """Return the authenticated bytes; updates that have no room are left out from the end.
+
+    Raises MessageTooLargeError where the message is too large even without them.
+    """
     while True:
-        data = sealer.seal(_encoder.encode(envelope))
-        if len(data) <= most:
+        data = authenticator.seal(_encoder.encode(envelope))
+        if len(data) <= max_bytes:
             return data
-        shorter = _shorter(envelope.body)
+        shorter = _shortened(envelope.body)
         if shorter is None:
-            raise ValueError(f"a message of {len(data)} bytes, {most} are sent")
+            raise MessageTooLargeError(f"a message of {len(data)} bytes, {max_bytes} are sent")
         envelope = msgspec.structs.replace(envelope, body=shorter)
 
 
-def _shorter(body: Any) -> Any:
-    if isinstance(body, (Ping, Ask, Ack, Tell)):
-        if body.words:
-            return msgspec.structs.replace(body, words=body.words[:-1])
-        if body.rumours:
-            return msgspec.structs.replace(body, rumours=body.rumours[:-1])
-    return None
-
-
-def decode(sealer: Sealer, data: bytes, most: int = MOST_DATAGRAM) -> Envelope:
-    """Read what verifies; raises BadDatagram."""
-    if len(data) > most:
-        raise BadDatagram(f"{len(data)} bytes, {most} are taken")
+def decode(authenticator: Authenticator, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> Envelope:
+    """Return the envelope of authentic bytes; raises InvalidMessageError."""
+    if len(data) > max_bytes:
+        raise InvalidMessageError(f"{len(data)} bytes, {max_bytes} are taken")
     try:
-        return _decoder.decode(sealer.open(data))
-    except BadSeal as error:
-        raise BadDatagram(str(error)) from None
+        return _decoder.decode(authenticator.open(data))
+    except AuthenticationError as error:
+        raise InvalidMessageError(str(error)) from None
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, OverflowError) as error:
-        raise BadDatagram(f"unreadable: {str(error)[:200]}") from None
+        raise InvalidMessageError(f"unreadable: {str(error)[:MAX_REASON_CHARACTERS]}") from None
+
+
+def _shortened(body: Body) -> Body | None:
+    """Return a message without its last state entry or update; None if it has neither."""
+    if not isinstance(body, Ping | PingRequest | Ack | UpdateMessage):
+        return None
+    if body.entries:
+        return msgspec.structs.replace(body, entries=body.entries[:-1])
+    if body.updates:
+        return msgspec.structs.replace(body, updates=body.updates[:-1])
+    return None
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -15,14 +15,15 @@
 
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import Clock
-from sedgepitch.decisions.gossip.protocol import Life
+from sedgepitch.decisions.gossip.actions import MemberEvent
+from sedgepitch.decisions.gossip.messages import MemberState
 from sedgepitch.decisions.zones import digests as evidence
 from sedgepitch.decisions.zones import operator_commands as orders
 from sedgepitch.decisions.zones.digests import Digest, Evidence
 from sedgepitch.decisions.zones.operator_commands import Orders
 from sedgepitch.decisions.zones.weights import FRESH_FOR, State, View, Zones, ZoneSettings
-from sedgepitch.peers.keys import BadSeal
-from sedgepitch.peers.service import Peers
+from sedgepitch.peers.keys import AuthenticationError
+from sedgepitch.peers.service import PeerService
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
 
@@ -57,7 +58,7 @@
     def __init__(
         self,
         engine: Engine,
-        peers: Peers,
+        peers: PeerService,
         clock: Clock,
         zone: str,
         settings: ZoneSettings,
@@ -121,7 +122,7 @@
         self.stopped = True
         self.engine.looks_on = None
 
-    def changed(self, what: str, name: str) -> None:
+    def changed(self, event: MemberEvent) -> None:
         """A peer's word or life has changed."""
         self.news = True
 
@@ -148,7 +149,7 @@
             self._turn(now, late)
         if now - self.told_at >= (LEAST_GAP if changed else self.beat):
             self.told_as, self.told_at = said, now
-            self.peers.tell(DIGEST, evidence.encode(self.own))
+            self.peers.publish(DIGEST, evidence.encode(self.own))
         if self.orders.held and now - self.orders_at >= TELL_ORDERS:
             self._tell_orders()
 
@@ -168,8 +169,8 @@
             if m.zone and m.state is api.EndpointState.UP
         )
         rows = self.evidence.rows(now, suspects, {z: up[z] for z in self._sizes()}, in_part)
-        gossip = self.peers.gossip
-        slow = gossip is not None and gossip.awareness >= gossip.settings.awareness_most // 2
+        gossip = self.peers.node
+        slow = gossip is not None and gossip.health.score >= gossip.settings.max_local_health // 2
         fit = now >= self.unfit_until and not slow and not self.engine.own.late
         return Digest(self.zone, round(self.evidence.demand, 2), fit, rows, self.zones.stances(now))
 
@@ -183,11 +184,12 @@
 
     def _turn(self, now: float, late: bool) -> None:
         self.turned_at, self.news = now, False
-        if (gossip := self.peers.gossip) is None:
+        if (gossip := self.peers.node) is None:
             return
-        alive = {p.name for p in gossip.peers.values() if p.life is Life.ALIVE}
+        alive = {m.name for m in gossip.members.values() if m.state is MemberState.ALIVE}
         told: dict[str, tuple[float, Digest]] = {}
-        for name, (age, body) in gossip.heard_of(DIGEST, now).items():
+        for name, entry in gossip.entries_of_kind(DIGEST, now).items():
+            age, body = entry.age, entry.body
             if name == self.name or name not in alive:
                 continue
             held = self.heard.get(name)
@@ -196,7 +198,7 @@
                 self.bad += held.digest is None
             if held.digest is not None:
                 told[name] = (age, held.digest)
-        for name in [n for n in self.heard if n not in gossip.peers]:
+        for name in [n for n in self.heard if n not in gossip.members]:
             del self.heard[name]
         self._merge_orders(now)
         view = View(now, self.own, told, self._sizes(), self.orders.leaves(), late, 1 + len(alive))
@@ -216,14 +218,15 @@
     # Orders
 
     def _merge_orders(self, now: float) -> None:
-        gossip = self.peers.gossip
+        gossip = self.peers.node
         assert gossip is not None
         new = False
-        for name, (_, body) in gossip.heard_of(ORDERS, now).items():
+        for name, entry in gossip.entries_of_kind(ORDERS, now).items():
+            body = entry.body
             if name != self.name and self.heard_orders.get(name) != body:
                 self.heard_orders[name] = body
                 new = self.orders.merge(orders.decode(body)) or new
-        for name in [n for n in self.heard_orders if n not in gossip.peers]:
+        for name in [n for n in self.heard_orders if n not in gossip.members]:
             del self.heard_orders[name]
         if new:
             self.say("zone.orders", held=[f"{o.what} {o.zone}" for o in self.orders.held.values()])
@@ -231,7 +234,7 @@
 
     def _tell_orders(self) -> None:
         self.orders_at = self.clock.now()
-        self.peers.tell(ORDERS, orders.encode(self.orders))
+        self.peers.publish(ORDERS, orders.encode(self.orders))
 
     def number(self) -> str:
         """A number that one order must carry, so that an order overheard is of no use again."""
@@ -246,12 +249,12 @@
     def order(self, sealed: bytes) -> dict[str, Any]:
         """Carry out an order that a holder of the key gave. Raises BadOrder."""
         try:
-            told = json.loads(self.peers.sealer.open(sealed))
+            told = json.loads(self.peers.authenticator.open(sealed))
             at = self.numbers.pop(str(told["number"]), None)
             if at is None or self.clock.now() - at > NUMBER_FOR:
                 raise BadOrder("the order's number is not one that was given out, or it is too old")
             zone, what, within = str(told["zone"]), str(told["what"]), float(told.get("within", 0.0))
-        except BadSeal as error:
+        except AuthenticationError as error:
             raise BadOrder(str(error)) from None
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
             if isinstance(error, BadOrder):
@@ -274,11 +277,11 @@
 
     def status(self) -> dict[str, Any]:
         """What is held of zones, who says what, and whom each order has reached."""
-        now, gossip = self.clock.now(), self.peers.gossip
-        heard = {} if gossip is None else gossip.heard_of(DIGEST, now)
+        now, gossip = self.clock.now(), self.peers.node
+        heard = {} if gossip is None else gossip.entries_of_kind(DIGEST, now)
         living = [] if gossip is None else gossip.alive()
-        said = {} if gossip is None else gossip.heard_of(ORDERS, now)
-        told = {name: orders.decode(body) for name, (_, body) in said.items()}
+        said = {} if gossip is None else gossip.entries_of_kind(ORDERS, now)
+        told = {name: orders.decode(entry.body) for name, entry in said.items()}
         return {
             "name": self.name,
             "zone": self.zone,
@@ -299,15 +302,15 @@
                 {
                     "name": name,
                     "zone": digest.zone,
-                    "age_s": round(0.0 if name == self.name else age, 2),
+                    "age_s": round(0.0 if name == self.name else entry.age, 2),
                     "demand": digest.demand,
                     "fit": digest.fit,
                     "votes": {zone: vote.name.lower() for zone, vote in evidence.votes(digest).items()},
                     "all_it_uses_is_down": sorted(evidence.parts(digest)),
                     "shares": {s.zone: s.share / 1000.0 for s in digest.stances},
                 }
-                for name, (age, body) in sorted(heard.items())
-                if (digest := self.own if name == self.name else evidence.decode(body)) is not None
+                for name, entry in sorted(heard.items())
+                if (digest := self.own if name == self.name else evidence.decode(entry.body)) is not None
             ],
             "orders": [
                 {
--- a/tests/support/byzantine_peer.py
+++ b/tests/support/byzantine_peer.py
@@ -19,15 +19,15 @@
     reactor = install("uvloop")
     from sedgepitch.config.units import address
     from sedgepitch.core.clock import ReactorClock
-    from sedgepitch.decisions.gossip.protocol import GossipSettings
+    from sedgepitch.decisions.gossip.settings import GossipSettings
     from sedgepitch.decisions.zones.digests import Digest, Row, Stance, encode
     from sedgepitch.peers.keys import load_keys
-    from sedgepitch.peers.service import Peers, PeerSettings
+    from sedgepitch.peers.service import PeerService, PeerSettings
 
     clock = ReactorClock(reactor)
     ways = {r.partition("=")[0]: address(r.partition("=")[2]) for r in routes}
     place = PeerSettings(name, ("127.0.0.1", 0), (address(seed),), ways, GossipSettings())
-    peers = Peers(reactor, clock, place, load_keys(key))
+    peers = PeerService(reactor, clock, place, load_keys(key))
     host, port = peers.start()
 
     def lie() -> None:
@@ -40,7 +40,7 @@
         stances = tuple(
             Stance(z, state if z != zone else 0, share if z != zone else 1000, 100) for z in zones
         )
-        peers.tell("zones", encode(Digest(zone, 1e6, True, tuple(row(z) for z in zones), stances)))
+        peers.publish("zones", encode(Digest(zone, 1e6, True, tuple(row(z) for z in zones), stances)))
         clock.call_later(0.3, lie)
 
     lie()
--- a/tests/support/golden_gossip.py
+++ b/tests/support/golden_gossip.py
@@ -13,15 +13,17 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from sedgepitch.decisions.gossip import protocol as gossip
-from sedgepitch.decisions.gossip.replay_protection import Sessions, Verdict
+from sedgepitch.decisions.gossip.actions import Action, EventKind, SendDatagram, StreamPing
+from sedgepitch.decisions.gossip.node import GossipNode
+from sedgepitch.decisions.gossip.replay_protection import SenderSessions, Verdict
+from sedgepitch.decisions.gossip.settings import GossipSettings
 from sedgepitch.peers import wire
-from sedgepitch.peers.keys import Sealer
+from sedgepitch.peers.keys import Authenticator
 
 START_S = 1000.0
-SEALER = Sealer([b"golden key of the gossip digests"])
-INCARNATION_OF_SESSION = 77
-EVENT_LABELS = ("joined", "suspected", "back", "dead", "left", "word")
+AUTHENTICATOR = Authenticator([b"golden key of the gossip digests"])
+SESSION_ID = 77
+EVENT_KINDS = list(EventKind)
 MAX_MEMBERS = 12
 
 
@@ -39,7 +41,7 @@
         self.duplication = self.rng.choice((0.0, 0.1))
         self.max_delay_s = self.rng.choice((0.002, 0.02, 0.08))
         self.partition: set[str] = set()
-        self.members: dict[str, Any] = {}
+        self.members: dict[str, GossipNode] = {}
         self.clock_offsets: dict[str, float] = {}
         self.suspended: dict[str, list[tuple[str, bytes]]] = {}
         self.counters: dict[str, int] = {}
@@ -93,11 +95,11 @@
             del self.members[name]
             self.at(later, lambda: self.start(name))
         elif kind == "leave":
-            self.carry_out(name, self.members[name].leave(self.clock(name)))
+            self.carry_out(name, self.members[name].leave())
             del self.members[name]
             self.at(later, lambda: self.start(name))
         else:
-            self.members[name].seeds.clear()
+            self.members[name].anti_entropy.seeds.clear()
 
     def start(self, name: str) -> None:
         """Start a member that knows nothing but its seeds."""
@@ -105,9 +107,9 @@
             return
         self.suspended.pop(name, None)
         seeds = [self.address(other) for other in self.names[:2] if other != name]
-        settings = gossip.GossipSettings()
+        settings = GossipSettings()
         seed = self.rng.getrandbits(32)
-        self.members[name] = gossip.Gossip(settings, name, self.address(name), seeds, seed)
+        self.members[name] = GossipNode(settings, name, self.address(name), seeds, seed)
         self.clock_offsets[name] = self.rng.uniform(-500.0, 500.0)
         self.turn(name)
 
@@ -122,7 +124,7 @@
     def publish(self, name: str, kind: str, body: bytes) -> None:
         """Publish a state entry."""
         if name in self.members and name not in self.suspended:
-            self.members[name].tell(self.clock(name), kind, body)
+            self.members[name].publish(self.clock(name), kind, body)
             self.carry_out(name, [])
 
     # Time and network
@@ -147,19 +149,18 @@
     def turn(self, name: str) -> None:
         """Call a member's timer."""
         if name in self.members and name not in self.suspended:
-            self.carry_out(name, self.members[name].turn(self.clock(name)))
+            self.carry_out(name, self.members[name].on_timer(self.clock(name)))
 
-    def carry_out(self, name: str, actions: list[Any]) -> None:
+    def carry_out(self, name: str, actions: list[Action]) -> None:
         """Record and carry out a member's actions, then arm its timer."""
         member = self.members[name]
-        for what, about in member.changes:
-            self.record("event", name, f"{EVENT_LABELS.index(what)} {about}")
-        member.changes.clear()
+        for event in member.take_events():
+            self.record("event", name, f"{EVENT_KINDS.index(event.kind)} {event.member}")
         for action in actions:
-            if isinstance(action, gossip.Say):
-                data = self.encode(name, action.to, action.message, wire.MOST_DATAGRAM)
+            if isinstance(action, SendDatagram):
+                data = self.encode(name, action.to, action.message, wire.MAX_DATAGRAM_BYTES)
                 self.send(name, action.to, data)
-            elif isinstance(action, gossip.Knock):
+            elif isinstance(action, StreamPing):
                 self.record("stream ping", name, action.to)
                 self.stream_ping(name, action.to)
             else:
@@ -173,15 +174,17 @@
             self.armed[name] = due
             self.at(due, lambda: self.turn(name))
 
-    def encode(self, sender: str, to: str, body: Any, max_bytes: int = wire.MOST_FRAME) -> bytes:
+    def encode(self, sender: str, to: str, body: Any, max_bytes: int = wire.MAX_FRAME_BYTES) -> bytes:
         """Return the bytes that go on the wire."""
         self.counters[sender] = self.counters.get(sender, 0) + 1
-        envelope = wire.Envelope(sender, to, INCARNATION_OF_SESSION, self.counters[sender], body)
-        return wire.encode(SEALER, envelope, max_bytes)
+        envelope = wire.Envelope(sender, to, SESSION_ID, self.counters[sender], body)
+        return wire.encode(AUTHENTICATOR, envelope, max_bytes)
 
     def send(self, sender: str, to: str, data: bytes) -> None:
         """Send a datagram over a network that loses, doubles and delays."""
-        self.record(f"datagram {wire.decode(SEALER, data).body.__struct_config__.tag}", sender, data.hex())
+        self.record(
+            f"datagram {wire.decode(AUTHENTICATOR, data).body.__struct_config__.tag}", sender, data.hex()
+        )
         for _ in range(1 + (self.rng.random() < self.duplication)):
             if self.rng.random() >= self.loss:
                 when = self.now + self.rng.uniform(0.0005, self.max_delay_s)
@@ -194,8 +197,8 @@
         if to in self.suspended:
             self.suspended[to].append((sender, data))
             return
-        message = wire.decode(SEALER, data).body
-        self.carry_out(to, self.members[to].heard(self.clock(to), sender, message))
+        message = wire.decode(AUTHENTICATOR, data).body
+        self.carry_out(to, self.members[to].on_datagram(self.clock(to), sender, message))
 
     def reached(self, name: str, to: str) -> bool:
         """Whether a stream between two members comes about."""
@@ -207,7 +210,7 @@
 
         def answered() -> None:
             if self.reached(name, to):
-                self.members[name].knocked(self.clock(name), to)
+                self.members[name].stream_ping_answered(self.clock(name), to)
                 self.carry_out(name, [])
 
         self.at(self.now + 4.0 * self.rng.uniform(0.0005, self.max_delay_s), answered)
@@ -222,14 +225,15 @@
 
     def frame_of(self, name: str) -> Any:
         """Return the frame that carries a member's complete state."""
-        return wire.Whole(b"echo", self.members[name].state(self.clock(name)))
+        return wire.StreamState(b"echo", self.members[name].state(self.clock(name)))
 
     def merge(self, name: str, sender: str, data: bytes) -> None:
         """Give a member another's state."""
         self.record("frame", sender, data.hex())
         if name in self.members and name not in self.suspended:
-            state = wire.decode(SEALER, data, wire.MOST_FRAME).body.state
-            self.carry_out(name, self.members[name].merge(self.clock(name), state, sender))
+            state = wire.decode(AUTHENTICATOR, data, wire.MAX_FRAME_BYTES).body.state
+            self.members[name].merge(self.clock(name), state, sender)
+            self.carry_out(name, [])
 
     def record(self, kind: str, name: str, text: str) -> None:
         """Take one line into the digest."""
@@ -240,20 +244,20 @@
 def play_replay_protection(seed: int, steps: int = 2000) -> str:
     """Play datagrams of several incarnations, in disorder and repeated; return the digest of the verdicts."""
     rng, digest, now = random.Random(seed), hashlib.sha256(), 0.0
-    sessions = Sessions(seed, 4)
+    sessions = SenderSessions(seed, 4)
     challenges: dict[str, bytes] = {}
     for _ in range(steps):
         now += rng.expovariate(20.0)
         name, incarnation = f"m{rng.randrange(6)}", rng.randrange(1, 3)
         counter = max(1, int(now * 20.0) - rng.randrange(80))
-        verdict = sessions.judge(now, name, incarnation, counter)
+        verdict = sessions.check(now, name, incarnation, counter)
         digest.update(f"{name} {incarnation} {counter} {list(Verdict).index(verdict)}\n".encode())
         if verdict is Verdict.CHALLENGE and (number := sessions.challenge(now, name)) is not None:
             digest.update(number)
             challenges[name] = number
         if rng.random() < 0.2 and name in challenges:
-            proven = sessions.proven(now, name, incarnation, counter, challenges[name])
+            proven = sessions.verify(now, name, incarnation, counter, challenges[name])
             digest.update(f"proven {proven}\n".encode())
         elif rng.random() < 0.01:
-            sessions.accept(now, name, incarnation, counter)
+            sessions.establish(now, name, incarnation, counter)
     return digest.hexdigest()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Several processes that know each other: killed, frozen, restarted, spoken to by those without the key."""
+"""Peers as processes: killed, suspended, restarted, and sent garbage and replays by those without the key."""
 
 from __future__ import annotations
 
@@ -13,43 +13,66 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decisions.gossip.protocol import Ack, Ask, Nack, Ping, Rumour, State, Tell, Word
-from sedgepitch.decisions.gossip.replay_protection import CHALLENGE_EVERY, LATE, Sessions, Verdict
+from sedgepitch.decisions.gossip.messages import (
+    Ack,
+    ClusterState,
+    MembershipUpdate,
+    Nack,
+    Ping,
+    PingRequest,
+    StateEntry,
+    UpdateMessage,
+)
+from sedgepitch.decisions.gossip.replay_protection import (
+    CHALLENGE_INTERVAL_S,
+    REORDER_MAX_S,
+    SenderSessions,
+    Verdict,
+)
 from sedgepitch.peers import wire
-from sedgepitch.peers.keys import BadSeal, KeyFileError, Sealer, load_keys, new_key_file
-from sedgepitch.peers.wire import BadDatagram, Challenge, Envelope, Opened, Opening, Proof, Whole
+from sedgepitch.peers.keys import AuthenticationError, Authenticator, KeyFileError, load_keys, new_key_file
+from sedgepitch.peers.wire import (
+    Challenge,
+    ChallengeResponse,
+    Envelope,
+    InvalidMessageError,
+    StreamHello,
+    StreamHelloReply,
+    StreamState,
+)
 from sedgepitch.scenarios.network_links import Link
 from sedgepitch.scenarios.peer_processes import Peers, until
 from tests.support.platform import ROOT
 
 NAMES = st.text(max_size=64)
 NUMBERS = st.integers(0, 2**63 - 1)
-RUMOURS = st.lists(
-    st.builds(Rumour, NAMES, NAMES, st.integers(0, 65535), NUMBERS, st.integers(0, 3), NAMES), max_size=12
+UPDATES = st.lists(
+    st.builds(MembershipUpdate, NAMES, NAMES, st.integers(0, 65535), NUMBERS, st.integers(0, 3), NAMES),
+    max_size=12,
 ).map(tuple)
-WORDS = st.lists(
-    st.builds(Word, NAMES, NAMES, NUMBERS, st.floats(0, 1e6), st.binary(max_size=512)), max_size=6
+ENTRIES = st.lists(
+    st.builds(StateEntry, NAMES, NAMES, NUMBERS, st.floats(0, 1e6), st.binary(max_size=512)), max_size=6
 ).map(tuple)
-STATES = st.builds(State, RUMOURS, WORDS)
+STATES = st.builds(ClusterState, UPDATES, ENTRIES)
 BODIES = st.one_of(
-    st.builds(Ping, NUMBERS, RUMOURS, WORDS),
-    st.builds(Ask, NUMBERS, NAMES, RUMOURS, WORDS),
-    st.builds(Ack, NUMBERS, RUMOURS, WORDS),
+    st.builds(Ping, NUMBERS, UPDATES, ENTRIES),
+    st.builds(PingRequest, NUMBERS, NAMES, UPDATES, ENTRIES),
+    st.builds(Ack, NUMBERS, UPDATES, ENTRIES),
     st.builds(Nack, NUMBERS),
-    st.builds(Tell, RUMOURS, WORDS),
+    st.builds(UpdateMessage, UPDATES, ENTRIES),
     st.builds(Challenge, st.binary(max_size=32)),
-    st.builds(Proof, st.binary(max_size=32)),
-    st.builds(Opening, st.binary(max_size=32)),
-    st.builds(Opened, st.binary(max_size=32), st.binary(max_size=32)),
-    st.builds(Whole, st.binary(max_size=32), st.one_of(st.none(), STATES)),
+    st.builds(ChallengeResponse, st.binary(max_size=32)),
+    st.builds(StreamHello, st.binary(max_size=32)),
+    st.builds(StreamHelloReply, st.binary(max_size=32), st.binary(max_size=32)),
+    st.builds(StreamState, st.binary(max_size=32), st.one_of(st.none(), STATES)),
 )
 ENVELOPES = st.builds(Envelope, NAMES, NAMES, NUMBERS, NUMBERS, BODIES)
-SEALER = Sealer([b"k" * 32])
+AUTHENTICATOR = Authenticator([b"k" * 32])
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    held = Peers(tmp_path, 5, "--period", "0.5")  # slow, so that a busy machine is not taken for dead
+    held = Peers(tmp_path, 5, "--period", "0.5")  # slow, so that a busy machine is not accepted for dead
     until(lambda: held.agree(set(held.all)))
     yield held
     held.end()
@@ -64,21 +87,22 @@
     until(lambda: fleet.agree(left | {"d3"}))
 
 
-def test_frozen_ones_are_dead_to_the_others_accuse_nobody_and_come_back(fleet):
-    frozen, awake = {"d1", "d2"}, {"d0", "d3", "d4"}
-    for name in frozen:
+def test_suspended_peers_are_dead_to_the_others_accuse_nobody_and_recover(fleet):
+    suspended = {"d1", "d2"}
+    running = {"d0", "d3", "d4"}
+    for name in suspended:
         fleet.all[name].signal(signal.SIGSTOP)
-    until(lambda: fleet.agree(awake))
+    until(lambda: fleet.agree(running))
     time.sleep(2.0)
-    for name in frozen:
+    for name in suspended:
         fleet.all[name].signal(signal.SIGCONT)
-    until(lambda: fleet.agree(frozen | awake))
-    for name in frozen:
+    until(lambda: fleet.agree(suspended | running))
+    for name in suspended:
         held = fleet.all[name].status()  # it may have heard of the other's death, but found none itself
         assert held["deaths"] == 0 and held["sleeps"] >= 1
 
 
-def test_words_reach_all_and_outlive_a_restart_of_the_one_who_said_them(fleet):
+def test_state_entries_reach_all_and_a_restarted_peer_replaces_its_own(fleet):
     fleet.all["d2"].say("tell zones first")
     until(lambda: all("d2" in p.status("zones")["words"]["zones"] for p in fleet.all.values()))
     fleet.all["d2"].end()
@@ -90,7 +114,7 @@
     )
 
 
-def test_one_that_is_stopped_says_goodbye(fleet):
+def test_a_peer_that_is_stopped_announces_that_it_leaves(fleet):
     fleet.all["d4"].signal(signal.SIGTERM)
     assert fleet.all["d4"].process.wait(timeout=60) == 0
     left = {"d0", "d1", "d2", "d3"}
@@ -99,7 +123,7 @@
     assert any(fleet.all[n].heard("left", "d4") for n in left)
 
 
-def test_a_wrong_key_has_no_effect_at_all_and_is_said(fleet, tmp_path):
+def test_a_wrong_key_has_no_effect_and_is_logged(fleet, tmp_path):
     new_key_file(tmp_path / "other")
     before = fleet.all["d0"].status()
     stranger = fleet.start("d9", key=tmp_path / "other")
@@ -107,10 +131,14 @@
     after = fleet.all["d0"].status()
     assert {p["name"] for p in after["peers"]} == {p["name"] for p in before["peers"]}
     assert stranger.alive() == {"d9"}
-    assert [x for x in fleet.all["d0"].heard("line") if x["event"] == "peers.bad_frame" and "tag" in x["why"]]
+    assert [
+        x
+        for x in fleet.all["d0"].heard("line")
+        if x["event"] == "peers.invalid_frame" and "tag" in x["reason"]
+    ]
 
 
-def test_garbage_at_full_speed_changes_nothing_and_costs_a_line_a_second(fleet):
+def test_garbage_at_full_speed_changes_nothing_and_is_logged_once_a_second(fleet):
     host, _, port = fleet.all["d0"].address().rpartition(":")
     out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     began = time.monotonic()
@@ -125,13 +153,13 @@
         pass  # closed with what we sent unread
     stream.close()
     until(lambda: fleet.agree(set(fleet.all)))
-    lines = [x for x in fleet.all["d0"].heard("line") if x["event"] == "peers.bad"]
+    lines = [x for x in fleet.all["d0"].heard("line") if x["event"] == "peers.invalid_datagram"]
     assert lines and len(lines) <= time.monotonic() - began + 2
     assert fleet.all["d0"].status()["counts"]["bad"] > 100
     assert fleet.all["d0"].process.poll() is None
 
 
-def test_replayed_datagrams_have_no_effect_not_even_on_the_next_life(tmp_path):
+def test_replayed_datagrams_have_no_effect_not_even_on_the_next_session(tmp_path):
     held = Peers(tmp_path, 2)
     relay = Link(held.all["d0"].address())
     speaker = held.start("d2", "--route", f"d0={relay.address}")
@@ -144,7 +172,9 @@
         assert dropped > 0
         speaker.end()
         until(lambda: held.agree({"d0", "d1"}))
-        assert replay(relay, kept, held.all["d0"]) > 0  # of a life that has ended: nothing raises the dead
+        assert (
+            replay(relay, kept, held.all["d0"]) > 0
+        )  # of a session that has ended: nothing brings a dead member back
         assert held.agree({"d0", "d1"})
         assert "d2" not in held.all["d0"].status("zones")["words"]["zones"]
     finally:
@@ -185,11 +215,11 @@
 
 @given(ENVELOPES)
 def test_what_is_written_is_read_and_fits_its_datagram(envelope):
-    data = wire.encode(SEALER, envelope, wire.MOST_FRAME)
-    assert wire.decode(SEALER, data, wire.MOST_FRAME) == envelope
-    if not isinstance(envelope.body, Whole):
-        short = wire.decode(SEALER, wire.encode(SEALER, envelope))
-        assert len(wire.encode(SEALER, envelope)) <= wire.MOST_DATAGRAM
+    data = wire.encode(AUTHENTICATOR, envelope, wire.MAX_FRAME_BYTES)
+    assert wire.decode(AUTHENTICATOR, data, wire.MAX_FRAME_BYTES) == envelope
+    if not isinstance(envelope.body, StreamState):
+        short = wire.decode(AUTHENTICATOR, wire.encode(AUTHENTICATOR, envelope))
+        assert len(wire.encode(AUTHENTICATOR, envelope)) <= wire.MAX_DATAGRAM_BYTES
         assert (short.sender, short.counter, type(short.body)) == (
             envelope.sender,
             envelope.counter,
@@ -197,37 +227,37 @@
         )
 
 
-@given(st.one_of(st.binary(max_size=1500), st.binary(max_size=200).map(SEALER.seal)))
+@given(st.one_of(st.binary(max_size=1500), st.binary(max_size=200).map(AUTHENTICATOR.seal)))
 def test_bytes_that_are_no_envelope_are_one_kind_of_error(data):
-    with pytest.raises(BadDatagram) as caught:
-        wire.decode(SEALER, data)
+    with pytest.raises(InvalidMessageError) as caught:
+        wire.decode(AUTHENTICATOR, data)
     assert "\n" not in str(caught.value)
 
 
 @given(ENVELOPES, st.integers(0, 10**6), st.integers(1, 255))
 def test_one_changed_byte_has_no_effect(envelope, place, change):
-    data = bytearray(wire.encode(SEALER, envelope, wire.MOST_FRAME))
+    data = bytearray(wire.encode(AUTHENTICATOR, envelope, wire.MAX_FRAME_BYTES))
     data[place % len(data)] ^= change
-    with pytest.raises(BadDatagram):
-        wire.decode(SEALER, bytes(data), wire.MOST_FRAME)
+    with pytest.raises(InvalidMessageError):
+        wire.decode(AUTHENTICATOR, bytes(data), wire.MAX_FRAME_BYTES)
 
 
-def test_fields_of_a_later_text_are_ignored_and_its_version_is_not():
+def test_fields_of_a_later_version_are_ignored_and_its_version_byte_is_not():
     import msgspec
 
     plain = msgspec.msgpack.encode(["a", "b", 1, 2, [1, 7, [], [], "new"], {"newer": 1}])
-    assert wire.decode(SEALER, SEALER.seal(plain)).body == Ping(7)
-    later = bytearray(SEALER.seal(plain))
+    assert wire.decode(AUTHENTICATOR, AUTHENTICATOR.seal(plain)).body == Ping(7)
+    later = bytearray(AUTHENTICATOR.seal(plain))
     later[0] = 2
-    with pytest.raises(BadDatagram, match="version 2"):
-        wire.decode(SEALER, bytes(later))
+    with pytest.raises(InvalidMessageError, match="version 2"):
+        wire.decode(AUTHENTICATOR, bytes(later))
 
 
 def test_a_key_is_changed_in_three_steps(tmp_path):
-    old, new = Sealer([b"o" * 32]), Sealer([b"n" * 32])
-    both = Sealer([b"o" * 32, b"n" * 32])
+    old, new = Authenticator([b"o" * 32]), Authenticator([b"n" * 32])
+    both = Authenticator([b"o" * 32, b"n" * 32])
     assert old.open(both.seal(b"x")) == both.open(new.seal(b"x")) == both.open(old.seal(b"x")) == b"x"
-    with pytest.raises(BadSeal):
+    with pytest.raises(AuthenticationError):
         old.open(new.seal(b"x"))
 
 
@@ -242,7 +272,7 @@
         ("\n".join(["ab" * 32] * 5), 0o600, "5 keys"),
     ],
 )
-def test_a_key_file_that_cannot_be_used_is_one_line(tmp_path, text, mode, why):
+def test_a_key_file_that_cannot_be_used_is_reported_in_one_line(tmp_path, text, mode, why):
     path = tmp_path / "key"
     if text is not None:
         path.write_text(text)
@@ -267,37 +297,44 @@
 
 
 @given(st.lists(st.integers(1, 200), max_size=80))
-def test_each_datagram_of_a_life_is_taken_once_at_most(counters):
-    held, taken = Sessions(1), []
-    held.accept(0.0, "a", 7, 0)
+def test_each_datagram_of_a_session_is_accepted_once_at_most(counters):
+    sessions = SenderSessions(1)
+    accepted = []
+    sessions.establish(0.0, "a", 7, 0)
     for counter in counters:
-        if held.judge(0.0, "a", 7, counter) is Verdict.TAKE:
-            taken.append(counter)
-    assert len(taken) == len(set(taken))
+        if sessions.check(0.0, "a", 7, counter) is Verdict.ACCEPT:
+            accepted.append(counter)
+    assert len(accepted) == len(set(accepted))
     highest = 0
     for counter in counters:  # nothing is refused that came for the first time and not far behind
         if counter > highest - 64 and counter not in counters[: counters.index(counter)]:
-            assert counter in taken or counter <= highest - 64
+            assert counter in accepted or counter <= highest - 64
         highest = max(highest, counter)
 
 
-def test_a_life_is_believed_only_once_it_repeats_a_fresh_number():
-    held = Sessions(1)
-    assert held.judge(0.0, "a", 7, 1) is Verdict.CHALLENGE
-    number = held.challenge(0.0, "a")
-    assert number and held.challenge(CHALLENGE_EVERY / 2, "a") is None
-    assert not held.proven(0.1, "a", 7, 2, b"another") and not held.proven(0.1, "b", 7, 2, number)
-    assert held.proven(0.1, "a", 7, 2, number) and not held.proven(0.1, "a", 7, 2, number)
-    assert held.judge(0.2, "a", 7, 2) is Verdict.DROP and held.judge(0.2, "a", 7, 5) is Verdict.TAKE
-    assert held.judge(0.3, "a", 7, 4) is Verdict.TAKE and held.judge(0.3 + LATE, "a", 7, 3) is Verdict.DROP
-    assert held.judge(0.4, "a", 8, 9) is Verdict.CHALLENGE and held.judge(0.4, "a", 7, 6) is Verdict.TAKE
-    late = held.challenge(1.0, "a")
-    assert late and not held.proven(9.0, "a", 8, 1, late)
+def test_a_session_is_accepted_only_once_it_repeats_a_fresh_nonce():
+    sessions = SenderSessions(1)
+    assert sessions.check(0.0, "a", 7, 1) is Verdict.CHALLENGE
+    nonce = sessions.challenge(0.0, "a")
+    assert nonce and sessions.challenge(CHALLENGE_INTERVAL_S / 2, "a") is None
+    assert not sessions.verify(0.1, "a", 7, 2, b"another") and not sessions.verify(0.1, "b", 7, 2, nonce)
+    assert sessions.verify(0.1, "a", 7, 2, nonce) and not sessions.verify(0.1, "a", 7, 2, nonce)
+    assert sessions.check(0.2, "a", 7, 2) is Verdict.DROP and sessions.check(0.2, "a", 7, 5) is Verdict.ACCEPT
+    assert (
+        sessions.check(0.3, "a", 7, 4) is Verdict.ACCEPT
+        and sessions.check(0.3 + REORDER_MAX_S, "a", 7, 3) is Verdict.DROP
+    )
+    assert (
+        sessions.check(0.4, "a", 8, 9) is Verdict.CHALLENGE
+        and sessions.check(0.4, "a", 7, 6) is Verdict.ACCEPT
+    )
+    late = sessions.challenge(1.0, "a")
+    assert late and not sessions.verify(9.0, "a", 8, 1, late)
 
 
-def test_what_is_held_of_names_is_bounded():
-    held = Sessions(1, most=10)
+def test_sessions_and_challenges_are_bounded():
+    sessions = SenderSessions(1, max_senders=10)
     for number in range(100):
-        held.accept(0.0, f"x{number}", 1, 1)
-        held.challenge(0.0, f"y{number}")
-    assert len(held.held) == 10 and len(held.asked) == 10
+        sessions.establish(0.0, f"x{number}", 1, 1)
+        sessions.challenge(0.0, f"y{number}")
+    assert len(sessions.sessions) == 10 and len(sessions.challenges) == 10
