--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from sedgepitch.peers.service import PeerService
-    from sedgepitch.peers.zones import ZoneKeeper
+    from sedgepitch.peers.zones import ZoneService
 
 METRICS_BACKLOG = 50  # connections that may wait to be accepted
 MOST_ORDER = 4096  # bytes of an operator's order
@@ -73,17 +73,17 @@
 class _Zones(_Shown):
     """The same for zones; an order comes sealed by the peers' key, so who reaches the port may only look."""
 
-    def __init__(self, name: str, keeper: ZoneKeeper) -> None:
-        super().__init__(name, keeper.status)
-        self.keeper = keeper
+    def __init__(self, name: str, zones: ZoneService) -> None:
+        super().__init__(name, zones.status)
+        self.zones = zones
 
     def render_POST(self, request: Any) -> bytes:  # noqa: N802
-        """Carry out an order."""
-        from sedgepitch.peers.zones import BadOrder
+        """Carry out an operator command."""
+        from sedgepitch.decisions.zones.operator_commands import InvalidCommandError
 
         try:
-            answer = self.keeper.order(request.content.read(MOST_ORDER))
-        except BadOrder as error:
+            answer = self.zones.take_command(request.content.read(MOST_ORDER))
+        except InvalidCommandError as error:
             request.setResponseCode(400)
             answer = {"error": str(error)}
         return json.dumps(answer).encode()
@@ -174,22 +174,27 @@
         )
         return PeerService(self.reactor, self.clock, settings, load_keys(told.key_file), log=self._note)
 
-    def _make_zones(self, peers: PeerService) -> ZoneKeeper:
+    def _make_zones(self, peers: PeerService) -> ZoneService:
         """Leave zones, and come back to them, together with the peers."""
-        from sedgepitch.decisions.zones.weights import ZoneSettings
-        from sedgepitch.peers.zones import ZoneKeeper
+        from sedgepitch.decisions.zones.settings import ZoneSettings
+        from sedgepitch.peers.zones import ZoneService
 
         told, rules = self.settings.zones, self.settings.rules
         assert told is not None
-        paces = ZoneSettings(
-            start=rules.start_capacity,
-            warm=max(0.1, rules.warm_within),
-            **{n: getattr(told, n) for n in ("headroom", "watch", "steps", "wait", "wait_most", "triers")},
+        settings = ZoneSettings(
+            initial_capacity=rules.start_capacity,
+            slow_start_window=max(0.1, rules.warm_within),
+            headroom=told.headroom,
+            watch_share=told.watch,
+            ramp_steps=told.steps,
+            trial_delay=told.wait,
+            trial_delay_max=told.wait_most,
+            trial_instances=told.triers,
         )
         zone = self.settings.driver.zone
-        keeper = ZoneKeeper(self.engine, peers, self.clock, zone, paces, told.beat, self._note)
-        peers.on_event = keeper.changed
-        return keeper
+        service = ZoneService(self.engine, peers, self.clock, zone, settings, told.beat, self._note)
+        peers.on_event = service.on_peer_event
+        return service
 
     def _mark_age(self) -> float:
         """A mark serves until it is a quarter of the tightest bound old."""
--- a/sedgepitch/cli/main.py
+++ b/sedgepitch/cli/main.py
@@ -381,14 +381,14 @@
     from sedgepitch.peers.keys import KeyFileError, load_keys
 
     try:
-        sealer = load_keys(settings.peers.key_file)
+        authenticator = load_keys(settings.peers.key_file)
     except KeyFileError as error:
         raise click.ClickException(str(error)) from None
     order = {"zone": name, "what": what, "within": within, "number": number}
     host, port = settings.metrics
     try:
         request = urllib.request.Request(
-            f"http://{host}:{port}/zones", data=sealer.seal(json.dumps(order).encode()), method="POST"
+            f"http://{host}:{port}/zones", data=authenticator.seal(json.dumps(order).encode()), method="POST"
         )
         with urllib.request.urlopen(request, timeout=5.0) as answer:
             given = json.load(answer)
--- a/sedgepitch/decisions/zones/operator_commands.py
+++ b/sedgepitch/decisions/zones/operator_commands.py
@@ -1,99 +1,119 @@
-"""What operators have ordered of zones, merged so that the newest wins everywhere. Pure.
+"""Operator commands on zones, merged so that the newest wins at all instances.
 
-An order stands in the word of every instance that knows it, so it reaches whoever can be reached, and comes
-over a cut when it heals. Of two for one zone the higher number counts; of equal ones the later name, so that
-two operators at once end with the same order everywhere. A `return` stays known: it is what makes an older
-`leave` that comes round again count for nothing.
+Each instance publishes the commands that it knows, so they reach whoever can be reached, and cross a
+partition when it heals. Of two commands for a zone the one with the higher number counts, and of equal
+numbers the one with the later issuer's name, so that two operators at once end with the same command
+everywhere. A `return` stays known, since it is what overrides an older `leave` that comes round again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from enum import StrEnum
 
 import msgspec
 from msgspec import Struct
 
-from sedgepitch.decisions.zones.digests import MOST_BODY, MOST_NAME, MOST_ZONES
+from sedgepitch.decisions.zones.digests import MAX_DIGEST_BYTES, MAX_ZONE_NAME_LENGTH, MAX_ZONES
+from sedgepitch.errors import ConfigurationError
 
-LEAVE, RETURN = "leave", "return"
-MOST_NUMBER = 1 << 53
-MOST_WITHIN = 3600.0  # s
+MAX_NUMBER = 1 << 53
+MAX_DURATION_S = 3600.0
+MAX_ISSUER_LENGTH = 64  # characters
 
 
-class Order(Struct, frozen=True, array_like=True):
-    """Leave a zone over `within` seconds, or give it back to the evidence. `by` is who was told."""
+class CommandAction(StrEnum):
+    """What a command asks for; values are the wire's."""
+
+    LEAVE = "leave"
+    RETURN = "return"
+
+
+class InvalidCommandError(ConfigurationError, ValueError):
+    """A command that is not carried out; the text says why."""
+
+
+class ZoneCommand(Struct, frozen=True, array_like=True):
+    """Leave a zone over `duration` seconds, or give it back to the evidence.
+
+    The order of the fields is the wire format. `issuer` is the instance that took the command. `action` is a
+    string, so that a command of a later version makes only itself unusable.
+    """
 
     zone: str
     number: int
-    by: str
-    what: str
-    within: float = 0.0
+    issuer: str
+    action: str
+    duration: float = 0.0
 
-    def beats(self, other: Order | None) -> bool:
-        """Whether this one counts beside the other."""
-        return other is None or (self.number, self.by, self.what) > (other.number, other.by, other.what)
+    def overrides(self, other: ZoneCommand | None) -> bool:
+        """Whether this command counts rather than the other."""
+        if other is None:
+            return True
+        return (self.number, self.issuer, self.action) > (other.number, other.issuer, other.action)
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(tuple[Order, ...])
+_decoder = msgspec.msgpack.Decoder(tuple[ZoneCommand, ...])
 
 
-class Orders:
-    """The newest order of each zone."""
+class ZoneCommands:
+    """The newest command of each zone."""
 
     def __init__(self) -> None:
-        self.held: dict[str, Order] = {}
-
-    def give(self, zone: str, what: str, within: float, by: str) -> Order:
-        """Take an operator's order given here. Raises ValueError where it is none."""
-        if what not in (LEAVE, RETURN):
-            raise ValueError(f"an order is '{LEAVE}' or '{RETURN}', not '{what}'")
-        if not 0 < len(zone) <= MOST_NAME:
-            raise ValueError(f"a zone's name has 1 to {MOST_NAME} characters")
-        if not 0.0 <= within <= MOST_WITHIN:
-            raise ValueError(f"within: 0 to {MOST_WITHIN:g} s")
-        if zone not in self.held and len(self.held) >= MOST_ZONES:
-            raise ValueError(f"orders for {MOST_ZONES} zones are held already")
-        number = 1 + max((o.number for o in self.held.values()), default=0)
-        order = self.held[zone] = Order(zone, number, by[:64], what, within)
-        return order
-
-    def merge(self, told: Iterable[Order]) -> bool:
-        """Take what another holds; true where something was new."""
-        new = False
-        for order in told:
-            known = order.zone in self.held or len(self.held) < MOST_ZONES
-            if known and _possible(order) and order.beats(self.held.get(order.zone)):
-                self.held[order.zone] = order
-                new = True
-        return new
-
-    def leaves(self) -> dict[str, Order]:
-        """The zones to be left."""
-        return {z: o for z, o in self.held.items() if o.what == LEAVE}
-
-
-def _possible(order: Order) -> bool:
+        self.by_zone: dict[str, ZoneCommand] = {}
+
+    def issue(self, zone: str, action: str, duration: float, issuer: str) -> ZoneCommand:
+        """Take an operator's command, which overrides all that are known. Raises InvalidCommandError."""
+        if action not in (CommandAction.LEAVE, CommandAction.RETURN):
+            raise InvalidCommandError(f"an order is 'leave' or 'return', not '{action}'")
+        if not 0 < len(zone) <= MAX_ZONE_NAME_LENGTH:
+            raise InvalidCommandError(f"a zone's name has 1 to {MAX_ZONE_NAME_LENGTH} characters")
+        if not 0.0 <= duration <= MAX_DURATION_S:
+            raise InvalidCommandError(f"within: 0 to {MAX_DURATION_S:g} s")
+        if zone not in self.by_zone and len(self.by_zone) >= MAX_ZONES:
+            raise InvalidCommandError(f"orders for {MAX_ZONES} zones are held already")
+        number = 1 + max((command.number for command in self.by_zone.values()), default=0)
+        command = ZoneCommand(zone, number, issuer[:MAX_ISSUER_LENGTH], action, duration)
+        self.by_zone[zone] = command
+        return command
+
+    def merge(self, received: Iterable[ZoneCommand]) -> bool:
+        """Take the commands that another instance knows; returns whether any was new."""
+        changed = False
+        for command in received:
+            room = command.zone in self.by_zone or len(self.by_zone) < MAX_ZONES
+            if room and _plausible(command) and command.overrides(self.by_zone.get(command.zone)):
+                self.by_zone[command.zone] = command
+                changed = True
+        return changed
+
+    def leave_commands(self) -> dict[str, ZoneCommand]:
+        """Return the commands to leave, by zone."""
+        return {z: command for z, command in self.by_zone.items() if command.action == CommandAction.LEAVE}
+
+
+def _plausible(command: ZoneCommand) -> bool:
     return (
-        order.what in (LEAVE, RETURN)
-        and 0 < order.number <= MOST_NUMBER
-        and 0 < len(order.zone) <= MOST_NAME
-        and len(order.by) <= 64
-        and 0.0 <= order.within <= MOST_WITHIN
+        command.action in (CommandAction.LEAVE, CommandAction.RETURN)
+        and 0 < command.number <= MAX_NUMBER
+        and 0 < len(command.zone) <= MAX_ZONE_NAME_LENGTH
+        and len(command.issuer) <= MAX_ISSUER_LENGTH
+        and 0.0 <= command.duration <= MAX_DURATION_S
     )
 
 
-def encode(orders: Orders) -> bytes:
-    """Return them as a word's body; the newest stay where not all would fit."""
-    kept = sorted(orders.held.values(), key=lambda o: (-o.number, o.zone))
-    while len(body := _encoder.encode(tuple(kept))) > MOST_BODY:
+def encode(commands: ZoneCommands) -> bytes:
+    """Return commands as the body of a state entry; the newest stay if not all would fit."""
+    kept = sorted(commands.by_zone.values(), key=lambda command: (-command.number, command.zone))
+    while len(body := _encoder.encode(tuple(kept))) > MAX_DIGEST_BYTES:
         kept.pop()
     return body
 
 
-def decode(body: bytes) -> tuple[Order, ...]:
-    """Return the orders of a word; none where it is none."""
+def decode(body: bytes) -> tuple[ZoneCommand, ...]:
+    """Return the commands of a state entry; none for bytes that are none."""
     try:
-        return _decoder.decode(body)[:MOST_ZONES]
+        return _decoder.decode(body)[:MAX_ZONES]
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, UnicodeDecodeError):
         return ()
--- /dev/null
+++ b/sedgepitch/peers/zone_observer.py
@@ -0,0 +1,92 @@
+"""What this instance observes of zones: the engine reports attempts, the router knows the endpoints."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable, Iterator
+
+from sedgepitch.core.engine import Engine
+from sedgepitch.core.types import Clock
+from sedgepitch.decisions.zones.digests import MAX_ZONE_NAME_LENGTH, MAX_ZONES, ZoneObservation
+from sedgepitch.decisions.zones.observations import ZoneObservations
+from sedgepitch.routing.messages import AttemptResult, EndpointState
+
+ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.OVERLOADED, AttemptResult.NOT_ELIGIBLE)
+BROKEN = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
+UNREACHABLE = ("silent", "down")  # the router's names for endpoints that do not answer
+
+
+class ZoneObserver:
+    """Counts attempts by endpoint. The engine calls `arrived`, `sent` and `ended`."""
+
+    def __init__(self, engine: Engine, clock: Clock) -> None:
+        self.observations = ZoneObservations()
+        self._engine = engine
+        self._clock = clock
+
+    def attach(self) -> None:
+        """Begin to hear of attempts."""
+        self._engine.looks_on = self
+
+    def detach(self) -> None:
+        """Hear of attempts no more."""
+        self._engine.looks_on = None
+
+    def arrived(self) -> None:
+        """Count a request of a client."""
+        self.observations.request_received(self._clock.now())
+
+    def sent(self, endpoint: int) -> None:
+        """Count an attempt that was sent."""
+        zone = self._zone_of(endpoint)
+        if zone is not None:
+            self.observations.attempt_sent(self._clock.now(), endpoint, zone)
+
+    def ended(self, endpoint: int, result: AttemptResult, share_of_aim: float) -> None:
+        """Count an outcome, with the latency over the latency objective.
+
+        An attempt that was cancelled, or never left, says nothing of the endpoint.
+        """
+        zone = self._zone_of(endpoint)
+        if zone is None:
+            return
+        now = self._clock.now()
+        if result in ANSWERED:
+            self.observations.succeeded(now, endpoint, zone, share_of_aim)
+        elif result is AttemptResult.TIMEOUT:
+            self.observations.timed_out(now, endpoint, zone)
+        elif result in BROKEN:
+            self.observations.failed(now, endpoint, zone)
+
+    def rows(self, now: float, partly_used: Iterable[str]) -> tuple[ZoneObservation, ...]:
+        """Return one row for each zone that has endpoints in the list."""
+        up = Counter(zone[:MAX_ZONE_NAME_LENGTH] for _, zone, _ in self._endpoints_up())
+        endpoints_up = {zone: up[zone] for zone in self.zone_sizes()}
+        return self.observations.rows(now, self._unreachable(), endpoints_up, partly_used)
+
+    def zone_sizes(self) -> dict[str, float]:
+        """Return the capacity of each zone's endpoints that are up, for as many zones as a digest holds."""
+        sizes: dict[str, float] = {}
+        for _, name, size in self._endpoints_up():
+            zone = name[:MAX_ZONE_NAME_LENGTH]
+            sizes[zone] = sizes.get(zone, 0.0) + size
+        return dict(sorted(sizes.items())[:MAX_ZONES])
+
+    def _endpoints_up(self) -> Iterator[tuple[int, str, float]]:
+        """Yield number, zone and capacity of endpoints that are up and have a zone."""
+        for endpoint in self._engine.router.endpoints.values():
+            if endpoint.zone and endpoint.state is EndpointState.UP:
+                yield endpoint.id, endpoint.zone, endpoint.size
+
+    def _unreachable(self) -> dict[int, str]:
+        """Return the zones of endpoints that do not answer and are not tried again just now."""
+        endpoints = self._engine.router.endpoints
+        return {
+            number: zone
+            for number, zone, _ in self._endpoints_up()
+            if endpoints[number].suspect in UNREACHABLE and endpoints[number].trial is None
+        }
+
+    def _zone_of(self, endpoint: int) -> str | None:
+        known = self._engine.router.endpoints.get(endpoint)
+        return known.zone if known is not None and known.zone else None
--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -379,8 +379,8 @@
         result["zones"] = self._zones(directory, events)
         result["cores"] = round(self.cores, 5)  # of a core, the mean of drivers that lived through the day
         result["events"] = [
-            {k: e[k] for k in ("driver", "zone", "state", "share", "why")}
-            | {"at": round(e["at"] - self.began, 3), "of": self.zone_of[e["driver"]]}
+            {k: e[k] for k in ("driver", "zone", "state", "share")}
+            | {"why": e["reason"], "at": round(e["at"] - self.began, 3), "of": self.zone_of[e["driver"]]}
             for e in events
         ]
         return result
@@ -446,7 +446,7 @@
     return out
 
 
-ZONE_LINE = re.compile(r'"event": "zone"')
+ZONE_LINE = re.compile(r'"event": "zone\.state_changed"')
 
 
 def zone_events(directory: Path) -> list[dict[str, Any]]:
--- a/tests/support/byzantine_peer.py
+++ b/tests/support/byzantine_peer.py
@@ -2,8 +2,8 @@
 
 Run as `python -m tests.support.byzantine_peer NAME KEY ZONE SAYS SEED [NAME=ROUTE ...]`.
 
-It joins the drivers' gossip and tells, over and over, that every zone but its own is lost, or that all are
-well, with a demand beyond all others'. It says `ready` once it listens.
+It joins the instances' gossip and publishes, over and over, that every zone but its own is lost, or that all
+are healthy (`well`), with a request rate beyond all others'. It prints `ready` once it listens.
 """
 
 from __future__ import annotations
@@ -12,38 +12,45 @@
 
 from sedgepitch.cli.reactors import install
 
+PUBLISH_INTERVAL_S = 0.3
+ZONES = ("north", "middle", "south")
+
 
 def main() -> None:
-    """Join and lie until killed."""
+    """Join and publish false digests until killed."""
     name, key, zone, says, seed, *routes = sys.argv[1:]
     reactor = install("uvloop")
     from sedgepitch.config.units import address
     from sedgepitch.core.clock import ReactorClock
     from sedgepitch.decisions.gossip.settings import GossipSettings
-    from sedgepitch.decisions.zones.digests import Digest, Row, Stance, encode
+    from sedgepitch.decisions.zones.digests import ZoneDigest, ZoneObservation, ZoneStatus, encode
+    from sedgepitch.decisions.zones.states import ZoneState
     from sedgepitch.peers.keys import load_keys
     from sedgepitch.peers.service import PeerService, PeerSettings
 
     clock = ReactorClock(reactor)
-    ways = {r.partition("=")[0]: address(r.partition("=")[2]) for r in routes}
-    place = PeerSettings(name, ("127.0.0.1", 0), (address(seed),), ways, GossipSettings())
-    peers = PeerService(reactor, clock, place, load_keys(key))
+    by_name = {r.partition("=")[0]: address(r.partition("=")[2]) for r in routes}
+    settings = PeerSettings(name, ("127.0.0.1", 0), (address(seed),), by_name, GossipSettings())
+    peers = PeerService(reactor, clock, settings, load_keys(key))
     host, port = peers.start()
 
-    def lie() -> None:
-        def row(z: str) -> Row:
-            good = z == zone or says == "well"
-            return Row(z, 50, 50, 0, 0, 40, 3) if good else Row(z, 50, 0, 50, 0, 0, 3, 3)
+    def observation(of: str) -> ZoneObservation:
+        if of == zone or says == "well":
+            return ZoneObservation(of, 50, 50, 0, 0, 40, 3)
+        return ZoneObservation(of, 50, 0, 50, 0, 0, 3, 3)
+
+    def status(of: str) -> ZoneStatus:
+        if of == zone or says == "well":
+            return ZoneStatus(of, int(ZoneState.NORMAL), 1000, 100)
+        return ZoneStatus(of, int(ZoneState.LEFT), 0, 100)
 
-        zones = ("north", "middle", "south")
-        state, share = (0, 1000) if says == "well" else (3, 0)
-        stances = tuple(
-            Stance(z, state if z != zone else 0, share if z != zone else 1000, 100) for z in zones
-        )
-        peers.publish("zones", encode(Digest(zone, 1e6, True, tuple(row(z) for z in zones), stances)))
-        clock.call_later(0.3, lie)
+    def publish() -> None:
+        rows = tuple(observation(of) for of in ZONES)
+        statuses = tuple(status(of) for of in ZONES)
+        peers.publish("zones", encode(ZoneDigest(zone, 1e6, True, rows, statuses)))
+        clock.call_later(PUBLISH_INTERVAL_S, publish)
 
-    lie()
+    publish()
     print(f"ready {host}:{port}", flush=True)
     reactor.run()
 
--- a/tests/support/golden_zones.py
+++ b/tests/support/golden_zones.py
@@ -13,8 +13,14 @@
 
 import msgspec
 
-from sedgepitch.decisions.zones import digests as observations
-from sedgepitch.decisions.zones import operator_commands, weights
+from sedgepitch.decisions.zones import digests, operator_commands
+from sedgepitch.decisions.zones.controller import ZoneController
+from sedgepitch.decisions.zones.digests import ZoneDigest, ZoneObservation, ZoneStatus
+from sedgepitch.decisions.zones.evidence import FleetEvidence, ReceivedDigest, ZoneView
+from sedgepitch.decisions.zones.observations import ZoneObservations
+from sedgepitch.decisions.zones.operator_commands import ZoneCommands
+from sedgepitch.decisions.zones.settings import ZoneSettings
+from sedgepitch.decisions.zones.votes import partial_outages, votes
 
 START_S = 500.0
 STEP_S = 0.1
@@ -45,10 +51,10 @@
         self.home = {name: self.zones[place % len(self.zones)] for place, name in enumerate(self.names)}
         self.rate = {name: rng.uniform(0.5, 40.0) for name in self.names}
         self.byzantine = set(rng.sample(self.names, rng.choice((0, 0, 1, len(self.names) // 3))))
-        settings = weights.ZoneSettings(warm=5.0, wait=rng.choice((1.0, 2.0)))
-        self.weights = {name: weights.Zones(name, settings) for name in self.names}
-        self.observed = {name: observations.Evidence() for name in self.names}
-        self.commands = {name: operator_commands.Orders() for name in self.names}
+        settings = ZoneSettings(slow_start_window=5.0, trial_delay=rng.choice((1.0, 2.0)))
+        self.controllers = {name: ZoneController(name, settings) for name in self.names}
+        self.observed = {name: ZoneObservations() for name in self.names}
+        self.commands = {name: ZoneCommands() for name in self.names}
         self.suspects: dict[str, dict[int, str]] = {name: {} for name in self.names}
         self.faults: list[tuple[int, int, str, str]] = []
         self.past: list[dict[str, bytes]] = []
@@ -84,15 +90,15 @@
     def traffic(self, step: int, name: str) -> None:
         """Send this step's requests where the zone weights let them go."""
         rng, observed = self.rng, self.observed[name]
-        held = self.weights[name].zones
+        held = self.controllers[name].zones
         arrived = int(self.rate[name] * STEP_S + rng.random())
         for _ in range(arrived):
-            observed.arrived(self.now)
+            observed.request_received(self.now)
             endpoint = rng.choice(self.numbers)
             zone = self.endpoints[endpoint]
             if zone in held and rng.random() >= held[zone].share:
                 continue
-            observed.sent(self.now, endpoint, zone)
+            observed.attempt_sent(self.now, endpoint, zone)
             self.finish(name, endpoint, zone, self.fault_of(step, name, zone))
         if rng.random() < 0.002:
             observed.forget(self.now)
@@ -105,43 +111,43 @@
         if fault in ("lost", "cut off") or (fault == "partly lost" and endpoint % 3 == 0):
             suspects[endpoint] = zone
             if rng.random() < 0.7:
-                observed.silent(self.now, endpoint, zone)
+                observed.timed_out(self.now, endpoint, zone)
             return
         suspects.pop(endpoint, None)
         if fault == "failing" and rng.random() < 0.5:
-            observed.refused(self.now, endpoint, zone)
+            observed.failed(self.now, endpoint, zone)
             return
         ratio = rng.uniform(0.02, 0.3)
         if fault in ("slow", "overload"):
             ratio += LATENCY_RATIO_SLOW * rng.random()
-        observed.good(self.now, endpoint, zone, ratio)
+        observed.succeeded(self.now, endpoint, zone, ratio)
 
     # What is told
 
     def digest(self, name: str) -> Any:
         """Return an instance's digest; a Byzantine one makes its rows up."""
-        rng, held = self.rng, self.weights[name]
+        rng, held = self.rng, self.controllers[name]
         if name in self.byzantine:
             rows = tuple(
-                observations.Row(zone, *(rng.randrange(40) for _ in range(9)), there=rng.randrange(9))
+                ZoneObservation(zone, *(rng.randrange(40) for _ in range(9)), endpoints_up=rng.randrange(9))
                 for zone in self.zones
             )
-            stances = tuple(observations.Stance(zone, 3, rng.randrange(1001), 5) for zone in self.zones)
-            return observations.Digest(self.home[name], rng.choice((0.0, 1e6)), True, rows, stances)
+            stances = tuple(ZoneStatus(zone, 3, rng.randrange(1001), 5) for zone in self.zones)
+            return ZoneDigest(self.home[name], rng.choice((0.0, 1e6)), True, rows, stances)
         in_part = [zone.name for zone in held.zones.values() if zone.share < 1.0]
         up = dict.fromkeys(self.zones, self.endpoints_a_zone)
         rows = self.observed[name].rows(self.now, self.suspects[name], up, in_part)
         fit = rng.random() >= 0.01
-        demand = round(self.observed[name].demand, 2)
-        return observations.Digest(self.home[name], demand, fit, rows, held.stances(self.now))
+        demand = round(self.observed[name].request_rate, 2)
+        return ZoneDigest(self.home[name], demand, fit, rows, held.statuses(self.now))
 
     def tell(self, name: str) -> bytes:
         """Return the encoded digest of this step, and record what it says."""
         digest = self.digest(name)
-        body = observations.encode(digest)
+        body = digests.encode(digest)
         self.record("digest", name, body.hex())
-        self.record("votes", name, repr({zone: int(v) for zone, v in observations.votes(digest).items()}))
-        self.record("partial", name, repr(sorted(observations.parts(digest))))
+        self.record("votes", name, repr({zone: int(v) for zone, v in votes(digest).items()}))
+        self.record("partial", name, repr(sorted(partial_outages(digest))))
         return body
 
     def command(self, step: int) -> None:
@@ -150,7 +156,7 @@
         if rng.random() < 0.01:
             name, zone = rng.choice(self.names), rng.choice(self.zones)
             what = rng.choice(("leave", "return"))
-            self.commands[name].give(zone, what, rng.choice((0.0, 3.0)), name)
+            self.commands[name].issue(zone, what, rng.choice((0.0, 3.0)), name)
         if step % 5 == 0:
             for name in self.names:
                 other = rng.choice(self.names)
@@ -166,37 +172,43 @@
         told = self.past[-DIGEST_DELAY_STEPS] if len(self.past) >= DIGEST_DELAY_STEPS else {}
         heard = {}
         for other, body in told.items():
-            if other != name and rng.random() >= 0.02 and (digest := observations.decode(body)) is not None:
-                heard[other] = (rng.choice((0.3, 0.3, 0.3, 11.0)) if step % 7 == 0 else 0.3, digest)
-        own = observations.decode(self.past[-1][name]) or self.digest(name)
+            if other != name and rng.random() >= 0.02 and (digest := digests.decode(body)) is not None:
+                age = rng.choice((0.3, 0.3, 0.3, 11.0)) if step % 7 == 0 else 0.3
+                heard[other] = ReceivedDigest(age, digest)
+        own = digests.decode(self.past[-1][name]) or self.digest(name)
         sizes = {zone: float(self.endpoints_a_zone) for zone in self.zones}
         late = rng.random() < 0.01
-        leaves = self.commands[name].leaves()
-        view = weights.View(self.now, own, heard, sizes, leaves, late, len(self.names))
-        zones = self.weights[name]
-        shares = zones.turn(view)
+        leaves = self.commands[name].leave_commands()
+        view = ZoneView(self.now, own, heard, sizes, leaves, late, len(self.names))
+        zones = self.controllers[name]
+        shares = zones.step(view)
         self.record("shares", name, repr(shares))
-        for what in zones.changes:
-            self.seen.add(what[1])
-            self.record("change", name, " ".join(what))
-        zones.changes.clear()
-        self.record("proven", name, repr(zones.proven))
+        for transition in zones.take_transitions():
+            state_name = transition.state.name.lower()
+            self.seen.add(state_name)
+            self.record("change", name, f"{transition.zone} {state_name}")
+        self.record("proven", name, repr(zones.capacity.rate))
         for zone in zones.zones.values():
-            state = (int(zone.state), zone.since, zone.share, int(zone.cause), zone.step, zone.wait)
-            self.record("state", name, f"{zone.name} {state!r} {zone.relapses} {zone.load!r}")
+            state = (int(zone.state), zone.state_since, zone.share, int(zone.cause))
+            state += (zone.ramp_step, zone.trial_delay)
+            self.record("state", name, f"{zone.name} {state!r} {zone.relapses} {zone.load_before!r}")
         if step % 4 == 0:
-            self.record_council(name, view)
+            self.record_evidence(name, view)
 
-    def record_council(self, name: str, view: Any) -> None:
+    def record_evidence(self, name: str, view: Any) -> None:
         """Record what the digests that an instance has heard amount to."""
-        council = weights.Council(name, view)
+        evidence = FleetEvidence(name, view)
         for zone in self.zones:
-            verdict = int(council.verdict(zone))
+            verdict = int(evidence.verdict(zone))
             self.seen.add(f"verdict {verdict}")
-            self.record("verdict", name, f"{verdict} {council.doubted(zone)!r} {council.rate(zone)!r}")
             self.record(
-                "served", name, f"{council.served(zone)} {council.back(zone)} {council.middle(zone)!r}"
+                "verdict",
+                name,
+                f"{verdict} {evidence.weight_against(zone)!r} {evidence.success_rate(zone)!r}",
             )
+            use = evidence.peer_use(zone)
+            peers = f"{evidence.served(zone)} {evidence.returned(zone)}"
+            self.record("served", name, f"{peers} {(use.quorum_left, use.median_share)!r}")
 
     def record(self, kind: str, name: str, text: str) -> None:
         """Take one line into the digest."""
@@ -210,13 +222,13 @@
     for _ in range(200):
         zones = [f"{number:02}" + "z" * rng.randrange(23) for number in range(rng.randrange(13))]
         rows = tuple(
-            observations.Row(
+            ZoneObservation(
                 zone, *(rng.choice((0, 9, 9999, -1 if rng.random() < 0.02 else 1)) for _ in range(12))
             )
             for zone in zones
         )
-        stances = tuple(observations.Stance(zone, rng.randrange(5), rng.randrange(1002), 7) for zone in zones)
-        told = observations.Digest("home", rng.uniform(0, 1e4), True, rows, stances)
-        digest.update(observations.encode(told))
-        digest.update(repr(observations.decode(msgspec.msgpack.encode(told)) is None).encode())
+        stances = tuple(ZoneStatus(zone, rng.randrange(5), rng.randrange(1002), 7) for zone in zones)
+        told = ZoneDigest("home", rng.uniform(0, 1e4), True, rows, stances)
+        digest.update(digests.encode(told))
+        digest.update(repr(digests.decode(msgspec.msgpack.encode(told)) is None).encode())
     return digest.hexdigest()
