--- a/sedgepitch/__init__.py
+++ b/sedgepitch/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from sedgepitch.routing.router import Router
@@ -10,8 +10,8 @@
 __all__ = ["Router"]
 
 
-def __getattr__(name: str) -> Any:
-    """Load the module when it is asked for: a program that begins minds its signals first."""
+def __getattr__(name: str) -> object:
+    """Load the router when it is asked for: a program handles signals before it loads the rest."""
     if name == "Router":
         from sedgepitch.routing.router import Router
 
--- a/sedgepitch/node/config.py
+++ b/sedgepitch/node/config.py
@@ -10,7 +10,7 @@
 from sedgepitch.decisions.discovery.list_versions import Address, Version
 from sedgepitch.discovery.client import BadVersion, read_address, read_version
 from sedgepitch.routing import messages as api
-from sedgepitch.settings import BadSettings, number, translate_settings
+from sedgepitch.settings import InvalidInputError, read_number, translate_settings
 
 MOST_BYTES = 16 * 1024 * 1024
 CONNECT_WITHIN, IDLE_FOR = 1.0, 60.0  # s, where the settings state none, or 0
@@ -72,11 +72,11 @@
         known = None if raw.get("known") is None else read_version(raw["known"], wall, "known")
         translated = translate_settings(settings)
         stated = settings.get("limits", {})
-        connect_within = number(stated, "connectTimeoutS", 0.0, "limits") or CONNECT_WITHIN
-        idle = number(stated, "idleCloseS", 0.0, "limits") or IDLE_FOR
+        connect_within = read_number(stated, "connectTimeoutS", 0.0, "limits") or CONNECT_WITHIN
+        idle = read_number(stated, "idleCloseS", 0.0, "limits") or IDLE_FOR
     except BadVersion as error:
         raise BadConfig(str(error)) from None
-    except BadSettings as error:
+    except InvalidInputError as error:
         raise BadConfig(f"settings: {error}") from None
     except (TypeError, ValueError, AttributeError, KeyError, OverflowError) as error:
         raise BadConfig(f"a value of the wrong type: {error}") from None
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -22,7 +22,7 @@
 from sedgepitch.protocols.postgresql import codec
 from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
 from sedgepitch.routing.messages import AttemptResult, EndpointEntry, EndpointState, LoadReport
-from sedgepitch.settings import report as read_report
+from sedgepitch.settings import translate_load_report
 
 MISSES = ("25006", "72000")  # no primary, or too far behind: no effect
 FULL = "53300"
@@ -439,4 +439,4 @@
         if not fields:
             self.unread_reports += 1
             return None
-        return read_report(fields, -self.wall)
+        return translate_load_report(fields, -self.wall)
--- a/sedgepitch/settings.py
+++ b/sedgepitch/settings.py
@@ -1,16 +1,20 @@
-"""The stated settings, as the platform and the simulator give them, to the module's own types.
+"""Translates the stated settings, as the platform and the simulator give them, to the router's own types.
 
-One translation for every way in. Standard library only: the bench's adapter uses it.
+One translation for every way in: behind it the words of the wire are not used. Standard library only, as the
+simulator's adapter loads it.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from typing import Any, TypeVar
 
+from sedgepitch.errors import ConfigurationError
 from sedgepitch.routing import messages as api
 
+T = TypeVar("T")
 Wire = dict[str, Any]
+"""An object of the wire or of a settings file, as JSON gives it."""
 
 FRESHNESS = {
     "mutate": api.Freshness.WRITE,
@@ -19,160 +23,195 @@
     "lag_bound": api.Freshness.BOUNDED,
     "eventual": api.Freshness.ANY,
 }
-EFFECT = {
+IDEMPOTENCY = {
     "idempotent": api.Idempotency.IDEMPOTENT,
     "deduplicated": api.Idempotency.KEYED,
     "at_most_once": api.Idempotency.NONE,
 }
-SCOPE = {"all": api.DeduplicationScope.ALL, "cell": api.DeduplicationScope.CELL}
-CHECKS = {
+DEDUPLICATION_SCOPE = {"all": api.DeduplicationScope.ALL, "cell": api.DeduplicationScope.CELL}
+STALE_READ_HANDLING = {
     "silent": api.StaleReadHandling.SERVE,
     "bounce": api.StaleReadHandling.REJECT,
     "await": api.StaleReadHandling.WAIT,
 }
-MARKS = {"brought": api.SessionTracking.BY_CLIENT, "kept": api.SessionTracking.BY_PROXY}
+SESSION_TRACKING = {"brought": api.SessionTracking.BY_CLIENT, "kept": api.SessionTracking.BY_PROXY}
+PRIMARY_ROLE_MIN = 0.5  # a reported role is a number: 1 for a primary, 0 for a replica
 
-NUMBER = (int, float)
 
+class InvalidInputError(ConfigurationError):
+    """Settings or a line of the wire cannot be used; the message says where and why."""
 
-class BadSettings(Exception):
-    """The input cannot be used; the text says where and why."""
 
-
-def take(source: Wire, name: str, kind: type | tuple[type, ...], where: str) -> Any:
-    """Return a required field; raises BadSettings, which says plainly what is wrong with it."""
+def read_required(source: Wire, name: str, kind: type[T], where: str) -> T:
+    """Return a field that must be there and of that type; raises InvalidInputError."""
     if name not in source:
-        raise BadSettings(f"{where}: field '{name}' is missing")
+        raise InvalidInputError(f"{where}: field '{name}' is missing")
     value = source[name]
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise BadSettings(f"{where}: field '{name}' has the wrong type")
+        raise InvalidInputError(f"{where}: field '{name}' has the wrong type")
     return value
 
 
-def number(source: Wire, name: str, default: float, where: str, least: float = 0.0) -> float:
-    """Return a field that may be missing: a finite number of at least so much; raises BadSettings."""
+def read_required_number(source: Wire, name: str, where: str) -> float:
+    """Return a number that must be there, integral or not; raises InvalidInputError."""
+    value = source.get(name)
+    return read_required(source, name, int if isinstance(value, int) else float, where)
+
+
+def read_number(source: Wire, name: str, default: float, where: str, least: float = 0.0) -> float:
+    """Return a number that may be missing, finite and not below `least`; raises InvalidInputError."""
     value = source.get(name)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, NUMBER) or not math.isfinite(value):
-        raise BadSettings(f"{where}: field '{name}' is not a number")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+        raise InvalidInputError(f"{where}: field '{name}' is not a number")
     if value < least:
-        raise BadSettings(f"{where}: field '{name}' is below {least:g}")
+        raise InvalidInputError(f"{where}: field '{name}' is below {least:g}")
     return float(value)
 
 
-def flag(source: Wire, name: str, where: str) -> bool:
-    """Return a field that may be missing and is true or false; raises BadSettings."""
+def read_flag(source: Wire, name: str, where: str) -> bool:
+    """Return a truth value, false where it is missing; raises InvalidInputError."""
     value = source.get(name)
     if value is not None and not isinstance(value, bool):
-        raise BadSettings(f"{where}: field '{name}' is neither true nor false")
+        raise InvalidInputError(f"{where}: field '{name}' is neither true nor false")
     return bool(value)
 
 
-def part(source: Wire, name: str) -> Wire:
-    """Return a part of the settings, empty where it is missing; raises BadSettings."""
+def read_object(source: Wire, name: str) -> Wire:
+    """Return a part of the settings, empty where it is missing; raises InvalidInputError."""
     value = source.get(name)
     if value is not None and not isinstance(value, dict):
-        raise BadSettings(f"setup.{name}: not an object")
+        raise InvalidInputError(f"setup.{name}: not an object")
     return value or {}
 
 
-def known(table: dict[str, Any], value: Any, where: str, other: Any = None) -> Any:
-    """Return what a word means, `other` for one that is not known; raises BadSettings where there is none."""
+def read_word(table: dict[str, T], value: object, where: str, default: T | None = None) -> T:
+    """Return what a word of the wire stands for, `default` for an unknown one; raises InvalidInputError."""
     if not isinstance(value, str):
-        raise BadSettings(f"{where} is not a word")
-    if value not in table and other is not None:
-        return other
-    if value not in table:
-        raise BadSettings(f"{where} has an unknown value")
-    return table[value]
+        raise InvalidInputError(f"{where} is not a word")
+    if value in table:
+        return table[value]
+    if default is None:
+        raise InvalidInputError(f"{where} has an unknown value")
+    return default
 
 
-def translate_class(raw: Wire, freshness: str, max_staleness: float, where: str) -> api.RequestClass:
-    """Turn one stated class into the policy's type; raises BadSettings."""
+def translate_class(raw: object, freshness: object, max_staleness: float, where: str) -> api.RequestClass:
+    """Translate one stated class; raises InvalidInputError."""
     if not isinstance(raw, dict):
-        raise BadSettings(f"{where}: not an object")
-    latency_objective, deadline = (take(raw, name, NUMBER, where) for name in ("objectiveS", "deadlineS"))
+        raise InvalidInputError(f"{where}: not an object")
+    latency_objective = read_required_number(raw, "objectiveS", where)
+    deadline = read_required_number(raw, "deadlineS", where)
     for name, value in (("objectiveS", latency_objective), ("deadlineS", deadline)):
         if not 0.0 < value < math.inf:
-            raise BadSettings(f"{where}: field '{name}' must be a number above 0")
+            raise InvalidInputError(f"{where}: field '{name}' must be a number above 0")
     return api.RequestClass(
-        name=take(raw, "name", str, where),
+        name=read_required(raw, "name", str, where),
         latency_objective=latency_objective,
         deadline=deadline,
-        priority_weight=number(raw, "importance", 1.0, where),
-        late_priority_weight=number(raw, "lateWorth", 0.0, where),
-        idempotency=known(EFFECT, take(raw, "effect", str, where), f"{where}: field 'effect'"),
-        deduplication_scope=known(
-            SCOPE, raw.get("keyScope") or "cell", f"{where}: field 'keyScope'", api.DeduplicationScope.CELL
+        priority_weight=read_number(raw, "importance", 1.0, where),
+        late_priority_weight=read_number(raw, "lateWorth", 0.0, where),
+        idempotency=read_word(
+            IDEMPOTENCY, read_required(raw, "effect", str, where), f"{where}: field 'effect'"
+        ),
+        deduplication_scope=read_word(
+            DEDUPLICATION_SCOPE,
+            raw.get("keyScope") or "cell",
+            f"{where}: field 'keyScope'",
+            api.DeduplicationScope.CELL,
         ),
-        deduplication_window=number(raw, "windowS", 0.0, where),
-        freshness=known(FRESHNESS, freshness, "setup.specifics: field 'freshness'"),
+        deduplication_window=read_number(raw, "windowS", 0.0, where),
+        freshness=read_word(FRESHNESS, freshness, "setup.specifics: field 'freshness'"),
         max_staleness=max_staleness,
     )
 
 
-def translate_settings(raw: Wire) -> api.Settings:
-    """Turn the set-up message into the policy's settings; raises BadSettings, which names the field."""
-    specifics, limits = part(raw, "specifics"), part(raw, "limits")
-    rules, stats = part(raw, "rules"), part(raw, "stats")
-    classes = take(raw, "classes", list, "setup")
+def translate_classes(raw: Wire, specifics: Wire) -> tuple[api.RequestClass, ...]:
+    """Translate all stated classes; their freshness stands in lists beside them. Raises InvalidInputError."""
+    classes = read_required(raw, "classes", list, "setup")
     kinds = specifics.get("freshness", ["mutate"] * len(classes))
     ages = specifics.get("maxAgeS", [0.0] * len(classes))
     if not isinstance(kinds, list) or not isinstance(ages, list):
-        raise BadSettings("setup.specifics: 'freshness' and 'maxAgeS' must be lists")
+        raise InvalidInputError("setup.specifics: 'freshness' and 'maxAgeS' must be lists")
     if len(kinds) != len(classes) or len(ages) != len(classes):
-        raise BadSettings("setup.specifics: 'freshness' and 'maxAgeS' must match the classes")
+        raise InvalidInputError("setup.specifics: 'freshness' and 'maxAgeS' must match the classes")
     translated = []
     for index, (stated, kind, age) in enumerate(zip(classes, kinds, ages, strict=True)):
-        bound = number({"maxAgeS": age}, "maxAgeS", 0.0, "setup.specifics")
-        translated.append(translate_class(stated, kind, bound, f"setup.classes[{index}]"))
+        max_staleness = read_number({"maxAgeS": age}, "maxAgeS", 0.0, "setup.specifics")
+        translated.append(translate_class(stated, kind, max_staleness, f"setup.classes[{index}]"))
     if len({c.name for c in translated}) != len(translated):
-        raise BadSettings("setup.classes: two classes of one name")
-    fields = stats.get("fields") or ()
-    if not isinstance(fields, (list, tuple)):
-        raise BadSettings("setup.stats: field 'fields' is not a list")
-    behind, session_tracking = specifics.get("behind") or "silent", specifics.get("sessionMarks") or "brought"
-    where, ours = "setup.rules", "setup.specifics: field"
+        raise InvalidInputError("setup.classes: two classes of one name")
+    return tuple(translated)
+
+
+def translate_rules(rules: Wire) -> api.RuleLimits:
+    """Translate the figures of the rules; raises InvalidInputError."""
+    where = "setup.rules"
+    return api.RuleLimits(
+        answer_slack=read_number(rules, "answerSlackS", 0.0, where),
+        drain_grace=read_number(rules, "drainGraceS", 0.0, where),
+        overload_factor=read_number(rules, "overloadFactor", 1.0, where),
+        overload_duration=read_number(rules, "fallS", 1.0, where),
+        initial_capacity=read_number(rules, "startCapacity", 1.0, where),
+        slow_start_window=read_number(rules, "warmWithinS", 0.0, where),
+        max_poll_interval=read_number(rules, "askWithinS", 0.0, where),
+    )
+
+
+def translate_settings(raw: Wire) -> api.Settings:
+    """Translate the settings of a start; raises InvalidInputError, which names the field.
+
+    Unknown fields are ignored; an unknown word means the strictest that its field may mean.
+    """
+    specifics, limits = read_object(raw, "specifics"), read_object(raw, "limits")
+    rules, stats = read_object(raw, "rules"), read_object(raw, "stats")
+    classes = translate_classes(raw, specifics)
+    report_fields = stats.get("fields") or ()
+    if not isinstance(report_fields, list | tuple):
+        raise InvalidInputError("setup.stats: field 'fields' is not a list")
     return api.Settings(
-        classes=tuple(translated),
+        classes=classes,
         zone=str(raw.get("az", "")),
-        tick=number(raw, "tickS", 0.001, "setup"),
-        proxy_instances=int(number(raw, "groupSize", 1, "setup")),
-        rules=api.RuleLimits(
-            answer_slack=number(rules, "answerSlackS", 0.0, where),
-            drain_grace=number(rules, "drainGraceS", 0.0, where),
-            overload_factor=number(rules, "overloadFactor", 1.0, where),
-            overload_duration=number(rules, "fallS", 1.0, where),
-            initial_capacity=number(rules, "startCapacity", 1.0, where),
-            slow_start_window=number(rules, "warmWithinS", 0.0, where),
-            max_poll_interval=number(rules, "askWithinS", 0.0, where),
+        tick=read_number(raw, "tickS", 0.001, "setup"),
+        proxy_instances=int(read_number(raw, "groupSize", 1, "setup")),
+        rules=translate_rules(rules),
+        stale_read_handling=read_word(
+            STALE_READ_HANDLING,
+            specifics.get("behind") or "silent",
+            "setup.specifics: field 'behind'",
+            api.StaleReadHandling.SERVE,
         ),
-        stale_read_handling=known(CHECKS, behind, f"{ours} 'behind'", api.StaleReadHandling.SERVE),
-        session_tracking=known(
-            MARKS, session_tracking, f"{ours} 'sessionMarks'", api.SessionTracking.BY_CLIENT
+        session_tracking=read_word(
+            SESSION_TRACKING,
+            specifics.get("sessionMarks") or "brought",
+            "setup.specifics: field 'sessionMarks'",
+            api.SessionTracking.BY_CLIENT,
         ),
-        stale_read_wait=number(specifics, "patienceS", 0.0, "setup.specifics"),
+        stale_read_wait=read_number(specifics, "patienceS", 0.0, "setup.specifics"),
         subscription_required=raw.get("registryMode") == "subscribe",
-        health_checks=flag(limits, "probes", "setup.limits"),
+        health_checks=read_flag(limits, "probes", "setup.limits"),
         load_reports_in_answers=stats.get("how") == "piggyback",
-        reports_position=stats.get("how") != "silent" and "x0" in fields,
+        reports_position=stats.get("how") != "silent" and "x0" in report_fields,
         list_reports_primary=specifics.get("roleInList", "silent") != "silent",
-        max_attempts=int(number(limits, "mostTries", 1, "setup.limits", 1)),
-        hedging=flag(limits, "secondCopies", "setup.limits"),
-        cancel=flag(limits, "cancel", "setup.limits"),
-        retry_after=flag(limits, "retryAfter", "setup.limits"),
-        max_retry_after=number(limits, "maxRetryAfterS", 0.0, "setup.limits"),
+        max_attempts=int(read_number(limits, "mostTries", 1, "setup.limits", 1)),
+        hedging=read_flag(limits, "secondCopies", "setup.limits"),
+        cancel=read_flag(limits, "cancel", "setup.limits"),
+        retry_after=read_flag(limits, "retryAfter", "setup.limits"),
+        max_retry_after=read_number(limits, "maxRetryAfterS", 0.0, "setup.limits"),
     )
 
 
-def report(raw: Any, zero: float = 0.0) -> api.LoadReport | None:
-    """Turn a load report into the module's type; `zero` is what its position counts from, in seconds."""
+def translate_load_report(raw: object, counted_from: float = 0.0) -> api.LoadReport | None:
+    """Translate a load report, None where there is none.
+
+    `counted_from` is the time in seconds on the proxy's clock that its position counts from.
+    """
     if not isinstance(raw, dict) or not raw:
         return None
     position, primary = raw.get("x0"), raw.get("x1")
     return api.LoadReport(
-        position=None if position is None else zero + position,
-        primary=None if primary is None else primary >= 0.5,
+        position=None if position is None else counted_from + position,
+        primary=None if primary is None else primary >= PRIMARY_ROLE_MIN,
         load=raw.get("inflight", raw.get("queue")),
     )
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -1,4 +1,4 @@
-"""Speak the wire on standard input and output for many routers; decide nothing.
+"""Speaks the line protocol on standard input and output for many routers; decides nothing.
 
 Run as ``python -m sedgepitch.wirehost``. One line holds a batch of events, one line answers it. Unknown
 events, fields and settings are skipped; a line that cannot be understood ends the run with a message.
@@ -9,14 +9,20 @@
 import json
 import sys
 from collections.abc import Callable
-from typing import TextIO
+from typing import TextIO, assert_never
 
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
-from sedgepitch.settings import NUMBER, Wire, report, take, translate_settings
-from sedgepitch.settings import BadSettings as WireError
-
-STATE = {"U": api.EndpointState.UP, "L": api.EndpointState.DRAINING, "D": api.EndpointState.GONE}
+from sedgepitch.settings import (
+    InvalidInputError,
+    Wire,
+    read_required,
+    read_required_number,
+    translate_load_report,
+    translate_settings,
+)
+
+ENDPOINT_STATE = {"U": api.EndpointState.UP, "L": api.EndpointState.DRAINING, "D": api.EndpointState.GONE}
 RESULT = {
     "delivered": api.AttemptResult.OK,
     "app_error": api.AttemptResult.ERROR,
@@ -28,18 +34,20 @@
     "unused": api.AttemptResult.NOT_SENT,
     "empty": api.AttemptResult.NOT_ELIGIBLE,
 }
+STAMP_ROLES = 4  # a stamp is this many times the position in milliseconds, plus the role
+STAMP_PRIMARY = {1: True, 2: False}  # whether a stamp's role is a primary's
 
 
 def translate_entry(raw: Wire) -> api.EndpointEntry:
-    """Turn one line of a member list into the policy's type."""
+    """Translate one entry of an endpoint list; raises InvalidInputError."""
     where = "manifest.lines"
-    state = take(raw, "state", str, where)
-    if state not in STATE:
-        raise WireError(f"{where}: field 'state' has an unknown value")
+    state = read_required(raw, "state", str, where)
+    if state not in ENDPOINT_STATE:
+        raise InvalidInputError(f"{where}: field 'state' has an unknown value")
     return api.EndpointEntry(
-        endpoint=take(raw, "member", int, where),
+        endpoint=read_required(raw, "member", int, where),
         group=raw.get("cluster", 0),
-        state=STATE[state],
+        state=ENDPOINT_STATE[state],
         zone=str(raw.get("locality", "")),
         primary=bool(raw.get("leader", 0)),
         size=raw.get("powerHint", 1.0) or 1.0,
@@ -48,75 +56,76 @@
 
 
 class Instance:
-    """One router, its name on the wire, and the zero that its positions count from."""
+    """One router, its name on the wire, and the time that its positions count from."""
 
-    __slots__ = ("name", "router", "zero")
+    __slots__ = ("name", "positions_counted_from", "router")
 
     def __init__(self, name: str, event: Wire) -> None:
-        setup = take(event, "setup", dict, "hello")
+        """Start the router by its event; raises InvalidInputError."""
+        setup = read_required(event, "setup", dict, "hello")
         self.name = name
-        self.zero = setup.get("specifics", {}).get("countedFromS", 0.0)
+        self.positions_counted_from = setup.get("specifics", {}).get("countedFromS", 0.0)
         try:
-            self.router = Router(translate_settings(setup), take(event, "entropy", int, "hello"))
+            self.router = Router(translate_settings(setup), read_required(event, "entropy", int, "hello"))
         except ValueError as error:
-            raise WireError(f"hello: {error}") from None
+            raise InvalidInputError(f"hello: {error}") from None
         except (TypeError, AttributeError, KeyError):
-            raise WireError("hello: field 'setup' holds a value of the wrong type") from None
+            raise InvalidInputError("hello: field 'setup' holds a value of the wrong type") from None
 
 
-def on_query(_: Instance, event: Wire) -> api.Event:
+def translate_query(_: Instance, event: Wire) -> api.Event:
     """Translate a client's request."""
     return api.RequestReceived(
-        request=take(event, "job", int, "query"),
-        class_name=take(event, "qos", str, "query"),
+        request=read_required(event, "job", int, "query"),
+        class_name=read_required(event, "qos", str, "query"),
         group=event.get("shard", 0),
-        time_left=take(event, "ttlS", NUMBER, "query"),
+        time_left=read_required_number(event, "ttlS", "query"),
         session=str(event.get("sess", "")),
         session_age=event.get("tokenAgeMs", 0.0) / 1000.0,
     )
 
 
-def on_finished(instance: Instance, event: Wire) -> api.Event:
-    """Translate the end of an attempt; a note carries role and position."""
+def translate_finished(instance: Instance, event: Wire) -> api.Event:
+    """Translate the end of an attempt; its stamp carries role and position."""
     stamp = event.get("stamp", 0)
-    role, millis = stamp % 4, stamp // 4
+    millis, role = divmod(stamp, STAMP_ROLES)
     return api.AttemptFinished(
-        request=take(event, "job", int, "finished"),
-        attempt=take(event, "hop", int, "finished"),
-        endpoint=take(event, "member", int, "finished"),
-        result=RESULT.get(take(event, "outcome", str, "finished"), api.AttemptResult.ERROR),
+        request=read_required(event, "job", int, "finished"),
+        attempt=read_required(event, "hop", int, "finished"),
+        endpoint=read_required(event, "member", int, "finished"),
+        result=RESULT.get(read_required(event, "outcome", str, "finished"), api.AttemptResult.ERROR),
         elapsed=event.get("durationS", 0.0),
         final=bool(event.get("doneFlag", False)),
-        primary={1: True, 2: False}.get(role),
-        position=instance.zero + millis / 1000.0 if millis else None,
-        report=report(event.get("feedback"), instance.zero),
+        primary=STAMP_PRIMARY.get(role),
+        position=instance.positions_counted_from + millis / 1000.0 if millis else None,
+        report=translate_load_report(event.get("feedback"), instance.positions_counted_from),
     )
 
 
-def on_status(instance: Instance, event: Wire) -> api.Event:
-    """Translate what a probe found."""
+def translate_health_check(instance: Instance, event: Wire) -> api.Event:
+    """Translate what a health check found."""
     return api.HealthCheckFinished(
-        endpoint=take(event, "member", int, "statusBack"),
-        result=RESULT.get(take(event, "outcome", str, "statusBack"), api.AttemptResult.ERROR),
+        endpoint=read_required(event, "member", int, "statusBack"),
+        result=RESULT.get(read_required(event, "outcome", str, "statusBack"), api.AttemptResult.ERROR),
         elapsed=event.get("durationS", 0.0),
-        report=report(event.get("feedback"), instance.zero),
+        report=translate_load_report(event.get("feedback"), instance.positions_counted_from),
     )
 
 
 EVENTS: dict[str, Callable[[Instance, Wire], api.Event]] = {
-    "query": on_query,
-    "finished": on_finished,
-    "statusBack": on_status,
-    "tickDue": lambda _, e: api.TimerExpired(take(e, "nonce", int, "tickDue")),
-    "left": lambda _, e: api.ClientDisconnected(take(e, "job", int, "left")),
+    "query": translate_query,
+    "finished": translate_finished,
+    "statusBack": translate_health_check,
+    "tickDue": lambda _, e: api.TimerExpired(read_required(e, "nonce", int, "tickDue")),
+    "left": lambda _, e: api.ClientDisconnected(read_required(e, "job", int, "left")),
 }
 
 
 def to_wire(name: str, action: api.Action) -> Wire:
-    """Turn one action into its wire form."""
+    """Return the wire form of one action of the instance of that name."""
     match action:
         case api.SendAttempt(request, endpoint, timeout):
-            return {
+            wire = {
                 "type": "attempt",
                 "driver": name,
                 "job": request,
@@ -124,70 +133,77 @@
                 "maxWaitS": timeout,
             }
         case api.Reject(request, retry_after):
-            return {"type": "refuse", "driver": name, "job": request, "holdOffS": retry_after}
+            wire = {"type": "refuse", "driver": name, "job": request, "holdOffS": retry_after}
         case api.Fail(request):
-            return {"type": "dropRequest", "driver": name, "job": request}
+            wire = {"type": "dropRequest", "driver": name, "job": request}
         case api.CancelAttempt(request, attempt):
-            return {"type": "recall", "driver": name, "job": request, "hop": attempt}
+            wire = {"type": "recall", "driver": name, "job": request, "hop": attempt}
         case api.CheckHealth(endpoint):
-            return {"type": "probe", "driver": name, "member": endpoint}
+            wire = {"type": "probe", "driver": name, "member": endpoint}
         case api.CloseIdleConnections(endpoint):
-            return {"type": "shutIdle", "driver": name, "member": endpoint}
+            wire = {"type": "shutIdle", "driver": name, "member": endpoint}
         case api.WatchEndpointList():
-            return {"type": "keepInformed", "driver": name, "active": True}
+            wire = {"type": "keepInformed", "driver": name, "active": True}
         case api.SetTimer(after, nonce):
-            return {"type": "remind", "driver": name, "afterS": after, "nonce": nonce}
+            wire = {"type": "remind", "driver": name, "afterS": after, "nonce": nonce}
         case api.LogMessage(text):
-            return {"type": "noteDown", "driver": name, "what": text}
-    raise AssertionError(f"no wire form for {action!r}")
+            wire = {"type": "noteDown", "driver": name, "what": text}
+        case _:
+            assert_never(action)
+    return wire
 
 
 class Host:
-    """The routers of this process and the member lists that the wire numbers."""
+    """The routers of this process and the endpoint lists that the wire numbers."""
 
     def __init__(self) -> None:
+        """Begin without instances."""
         self.instances: dict[str, Instance] = {}
-        self.known: set[str] = set()
-        self.rosters: dict[int, tuple[api.EndpointEntry, ...]] = {}
+        self.known_names: set[str] = set()
+        self.endpoint_lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
     def answer(self, line: str) -> str:
-        """Answer one batch."""
+        """Return the answer to one batch; raises InvalidInputError."""
         try:
             batch = json.loads(line)
         except (ValueError, RecursionError):
-            raise WireError("the line is not JSON") from None
+            raise InvalidInputError("the line is not JSON") from None
         if not isinstance(batch, dict):
-            raise WireError("the line is not a JSON object")
-        now = take(batch, "wallS", NUMBER, "batch")
-        items = take(batch, "items", list, "batch")
+            raise InvalidInputError("the line is not a JSON object")
+        now = read_required_number(batch, "wallS", "batch")
+        items = read_required(batch, "items", list, "batch")
         events: dict[str, list[api.Event]] = {}
         for item in items:
             if not isinstance(item, dict):
-                raise WireError("items: an event is not an object")
+                raise InvalidInputError("items: an event is not an object")
             try:
-                self.sort(item, events)
+                self.sort_event(item, events)
             except (TypeError, AttributeError, ValueError):
-                raise WireError(f"{item.get('type')}: a field has the wrong type") from None
+                raise InvalidInputError(f"{item.get('type')}: a field has the wrong type") from None
         cmds = [
             to_wire(name, action)
             for name, batch_events in events.items()
             for action in self.instances[name].router.handle(now, batch_events)
         ]
-        return json.dumps({"batch": take(batch, "batch", int, "batch"), "cmds": cmds}, separators=(",", ":"))
+        return json.dumps(
+            {"batch": read_required(batch, "batch", int, "batch"), "cmds": cmds}, separators=(",", ":")
+        )
 
-    def sort(self, item: Wire, events: dict[str, list[api.Event]]) -> None:
-        """Put one wire event with the instance it is for."""
-        kind = take(item, "type", str, "items")
+    def sort_event(self, item: Wire, events: dict[str, list[api.Event]]) -> None:
+        """Put one event with those of the instance that it is for; raises InvalidInputError."""
+        kind = read_required(item, "type", str, "items")
         if kind == "manifest":
-            lines = take(item, "lines", list, "manifest")
-            self.rosters[take(item, "rosterId", int, "manifest")] = tuple(translate_entry(e) for e in lines)
+            lines = read_required(item, "lines", list, "manifest")
+            self.endpoint_lists[read_required(item, "rosterId", int, "manifest")] = tuple(
+                translate_entry(e) for e in lines
+            )
             return
         if kind not in EVENTS and kind not in ("hello", "sync", "killed"):
             return
-        name = take(item, "driver", str, kind)
+        name = read_required(item, "driver", str, kind)
         if kind == "hello":
             self.instances[name] = Instance(name, item)
-            self.known.add(name)
+            self.known_names.add(name)
             events[name] = []
             return
         if kind == "killed":
@@ -196,23 +212,23 @@
             return
         instance = self.instances.get(name)
         if instance is None:
-            if name in self.known:
+            if name in self.known_names:
                 return
-            raise WireError(f"{kind}: unknown instance '{name}'")
+            raise InvalidInputError(f"{kind}: unknown instance '{name}'")
         events.setdefault(name, []).append(
-            self.sync(item) if kind == "sync" else EVENTS[kind](instance, item)
+            self.translate_list(item) if kind == "sync" else EVENTS[kind](instance, item)
         )
 
-    def sync(self, item: Wire) -> api.Event:
-        """Translate a report of the member list."""
-        how = take(item, "how", str, "sync")
+    def translate_list(self, item: Wire) -> api.Event:
+        """Translate an update of the endpoint list; raises InvalidInputError."""
+        how = read_required(item, "how", str, "sync")
         if how == "Error":
             return api.EndpointListFailed()
-        number = take(item, "rosterId", int, "sync")
-        if number not in self.rosters:
-            raise WireError(f"sync: no manifest has the number {number}")
+        number = read_required(item, "rosterId", int, "sync")
+        if number not in self.endpoint_lists:
+            raise InvalidInputError(f"sync: no manifest has the number {number}")
         return api.EndpointListUpdate(
-            self.rosters[number], complete=how != "Partial", remembered=how == "Persisted"
+            self.endpoint_lists[number], complete=how != "Partial", remembered=how == "Persisted"
         )
 
 
@@ -229,7 +245,7 @@
     """Serve standard input; a broken line ends the run with one line on standard error."""
     try:
         serve(sys.stdin, sys.stdout)
-    except (WireError, UnicodeDecodeError) as error:
+    except (InvalidInputError, UnicodeDecodeError) as error:
         print(f"sedgepitch: {error}", file=sys.stderr)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 
 from sedgepitch.node.config import BadConfig, parse
 from sedgepitch.routing import messages as api
-from sedgepitch.settings import BadSettings, translate_settings
+from sedgepitch.settings import InvalidInputError, translate_settings
 from tests.support.platform import SETUP
 
 BAD = [
@@ -77,5 +77,5 @@
 
 
 def test_settings_without_classes_are_refused():
-    with pytest.raises((BadSettings, ValueError), match="class"):
+    with pytest.raises((InvalidInputError, ValueError), match="class"):
         translate_settings({"classes": []})
