--- a/sedgepitch/routing/attempt_results.py
+++ b/sedgepitch/routing/attempt_results.py
@@ -12,7 +12,6 @@
     NEVER_RAN,
     AttemptFinished,
     AttemptResult,
-    Freshness,
 )
 from sedgepitch.routing.outlier_detection import NOT_RUNNING, OutlierDetection
 from sedgepitch.routing.records import AttemptKey, Endpoint, InFlightAttempt, RoutedRequest
@@ -59,7 +58,7 @@
         request, group = attempt.request, self.state.groups[endpoint.group_id]
         self.attempts.freshness.write_finished(request, event)
         self._learn(endpoint, attempt, event)
-        request.in_flight.pop(event.attempt)
+        self.attempts.closed(request, event.attempt)
         if group.waiting:
             self.wait_queue.place_waiting(group)
         if request.done or event.final:
@@ -93,8 +92,7 @@
             self._learn_from_broken_connection(endpoint, key, event.result)
         elif event.result is AttemptResult.TIMEOUT:
             self.outlier_detection.timed_out(endpoint, key)
-        if endpoint.trial == key:
-            endpoint.trial = None
+        self.outlier_detection.trial_ended(endpoint, key)
         if event.result in TIMED and not self.state.event_loop_blocked:
             self._learn_from_latency(endpoint, attempt, event, weight)
 
@@ -103,12 +101,12 @@
     ) -> None:
         now = self.state.now
         endpoint.last_answer_at = now
-        endpoint.connection_failures = 0
+        self.outlier_detection.answered(endpoint)
         self.state.last_answer_at = now
         if event.result is not AttemptResult.ERROR:
             self.outlier_detection.answered_well(endpoint, (event.request, event.attempt), weight)
-        elif request.request_class.freshness is not Freshness.WRITE:
-            request.errors.append(endpoint)
+        else:
+            self.outlier_detection.answered_with_error(endpoint, request)
         request.served = request.served or event.result is AttemptResult.OK
         self.outlier_detection.attribute_errors(request)
 
--- a/sedgepitch/routing/attempts.py
+++ b/sedgepitch/routing/attempts.py
@@ -9,7 +9,7 @@
 from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.messages import AttemptFinished, SendAttempt
 from sedgepitch.routing.outlier_detection import OutlierDetection
-from sedgepitch.routing.records import Endpoint, InFlightAttempt, RoutedRequest
+from sedgepitch.routing.records import AttemptKey, Endpoint, InFlightAttempt, RoutedRequest
 from sedgepitch.routing.response_deadlines import overdue_after, silence_deadline
 from sedgepitch.routing.state import RouterState
 
@@ -57,3 +57,11 @@
         if not endpoint.in_flight:
             self.state.endpoints_in_use.pop(endpoint.id, None)
         return attempt
+
+    def closed(self, request: RoutedRequest, number: int) -> None:
+        """Take an attempt that has ended, and from which all was learnt, off its request."""
+        del request.in_flight[number]
+
+    def take_for_lost(self, endpoint: Endpoint, key: AttemptKey) -> None:
+        """Later attempts overtook this one: its answer is not owed any more."""
+        endpoint.overtaken.add(key)
--- a/sedgepitch/routing/endpoint_list.py
+++ b/sedgepitch/routing/endpoint_list.py
@@ -7,7 +7,7 @@
 from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
 from sedgepitch.routing.messages import EndpointEntry, EndpointListUpdate, EndpointState, WatchEndpointList
 from sedgepitch.routing.outlier_detection import OutlierDetection
-from sedgepitch.routing.primary_discovery import role_listed
+from sedgepitch.routing.primary_discovery import role_forgotten, role_listed
 from sedgepitch.routing.records import NEVER, Endpoint, ReplicaGroup
 from sedgepitch.routing.slow_start import SlowStart
 from sedgepitch.routing.state import RouterState
@@ -55,7 +55,7 @@
             endpoint = self._add(entry, group)
         elif entry.started > endpoint.started:
             endpoint.started = entry.started
-            endpoint.warming_since = entry.started
+            self.slow_start.started(endpoint, entry.started)
             self.outlier_detection.restarted(endpoint)
         endpoint.state = entry.state
         endpoint.size = entry.size
@@ -120,7 +120,6 @@
     def _forget(self, endpoint: Endpoint) -> None:
         group = self.state.groups[endpoint.group_id]
         group.endpoints.remove(endpoint)
-        group.ejected.pop(endpoint.id, None)
-        if group.primary is endpoint:
-            group.primary = None
+        self.outlier_detection.forgotten(endpoint)
+        role_forgotten(group, endpoint)
         del self.state.endpoints[endpoint.id]
--- a/sedgepitch/routing/freshness.py
+++ b/sedgepitch/routing/freshness.py
@@ -64,6 +64,11 @@
 
     # Sessions
 
+    def session_age_stated(self, request: RoutedRequest, age: float) -> None:
+        """The client brings the age of its session's last commit in seconds; 0 stands for none."""
+        if not self.remembers_sessions and age > 0:
+            request.required_position = self.state.now - age
+
     def write_started(self, request: RoutedRequest) -> None:
         """A write attempt is sent: its session's reads need the present until it ends."""
         if self._is_remembered(request):
--- a/sedgepitch/routing/health_checks.py
+++ b/sedgepitch/routing/health_checks.py
@@ -38,6 +38,10 @@
             endpoint.health_checked_at = self.state.now
             self.state.actions.append(CheckHealth(endpoint.id))
 
+    def finished(self, endpoint: Endpoint) -> None:
+        """The endpoint's check has ended, whatever it found."""
+        endpoint.health_check_pending = False
+
     def position_check_due(self, endpoint: Endpoint) -> bool:
         """Return whether the endpoint may be asked for its position; one far behind is asked more rarely."""
         if endpoint.health_check_pending:
--- a/sedgepitch/routing/outlier_detection.py
+++ b/sedgepitch/routing/outlier_detection.py
@@ -9,8 +9,9 @@
 from dataclasses import dataclass
 
 from sedgepitch.routing.health_checks import HealthChecks
-from sedgepitch.routing.messages import AttemptResult, HealthCheckFinished
+from sedgepitch.routing.messages import AttemptResult, Freshness, HealthCheckFinished
 from sedgepitch.routing.records import AttemptKey, EjectionReason, Endpoint, RoutedRequest
+from sedgepitch.routing.slow_start import SlowStart
 from sedgepitch.routing.state import RouterState
 
 EJECTION_TIME_MIN_S = 0.5
@@ -32,6 +33,7 @@
 
     state: RouterState
     health_checks: HealthChecks
+    slow_start: SlowStart
 
     def eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
         """Keep traffic away for the ejection time; a further ejection without a return doubles it."""
@@ -73,8 +75,21 @@
         if endpoint.ejection_reason is EjectionReason.UNREACHABLE:
             endpoint.ejected_until = self.state.now + EJECTION_TIME_MIN_S * self.state.random.random()
 
+    def forgotten(self, endpoint: Endpoint) -> None:
+        """The endpoint is long gone."""
+        self.state.groups[endpoint.group_id].ejected.pop(endpoint.id, None)
+
     # What attempts show
 
+    def answered(self, endpoint: Endpoint) -> None:
+        """Any answer shows that the endpoint takes connections."""
+        endpoint.connection_failures = 0
+
+    def answered_with_error(self, endpoint: Endpoint, request: RoutedRequest) -> None:
+        """Note an error that may be the endpoint's own; one to a write is not judged."""
+        if request.request_class.freshness is not Freshness.WRITE:
+            request.errors.append(endpoint)
+
     def answered_well(self, endpoint: Endpoint, key: AttemptKey, weight: float) -> None:
         """Take an answer that is no error, with its weight in the error rate.
 
@@ -133,6 +148,11 @@
         if endpoint.trial == key:
             self.eject(endpoint, EjectionReason.SILENT)
 
+    def trial_ended(self, endpoint: Endpoint, key: AttemptKey) -> None:
+        """An attempt has ended: if it was the endpoint's trial, another one may start."""
+        if endpoint.trial == key:
+            endpoint.trial = None
+
     # What health checks show
 
     def health_check_finished(self, endpoint: Endpoint, event: HealthCheckFinished) -> None:
@@ -156,6 +176,6 @@
             endpoint.failed_health_check = True
             return
         if endpoint.failed_health_check:  # it did not run, so it has restarted
-            endpoint.warming_since = max(endpoint.warming_since, self.state.now)
+            self.slow_start.started(endpoint, max(endpoint.warming_since, self.state.now))
         endpoint.ejection_reason = EjectionReason.SILENT
         endpoint.ejected_until = self.state.now
--- a/sedgepitch/routing/primary_discovery.py
+++ b/sedgepitch/routing/primary_discovery.py
@@ -54,6 +54,12 @@
     endpoint.role_unconfirmed = contradicts
 
 
+def role_forgotten(group: ReplicaGroup, endpoint: Endpoint) -> None:
+    """The endpoint is long gone: it is not the primary any more."""
+    if group.primary is endpoint:
+        group.primary = None
+
+
 @dataclass(slots=True, eq=False)
 class PrimaryDiscovery:
     """Looks for a primary with the writes that wait for it, and with health checks."""
--- a/sedgepitch/routing/records.py
+++ b/sedgepitch/routing/records.py
@@ -1,7 +1,7 @@
 """What the router knows of endpoints, replica groups and the requests that await an answer.
 
-All times are seconds on the proxy's clock, all durations seconds. Each field is written by the one module
-that its section names; every other module only reads it.
+All times are seconds on the proxy's clock, all durations seconds. Each field is changed by the one module
+that the comment above it names; every other module only reads it.
 """
 
 from __future__ import annotations
@@ -85,6 +85,8 @@
     last_sent_at: float = -NEVER
     idle_before_send: float = 0.0
     """How long its connections had been unused before the last send."""
+    overtaken: set[AttemptKey] = field(default_factory=set)
+    """Of the attempts in flight, those whose answer is taken for lost on its way."""
 
     # attempt_results
     last_answer_at: float = -NEVER
@@ -96,8 +98,6 @@
     """Mean latency over the latency objective."""
 
     # silence_detection
-    overtaken: set[AttemptKey] = field(default_factory=set)
-    """Of the attempts in flight, those whose answer is taken for lost on its way."""
     silence_excused_at: float = -NEVER
 
     # outlier_detection
@@ -197,6 +197,8 @@
     may_have_run: list[tuple[Endpoint, float]] = field(default_factory=list)
     """Attempts that ended without proof that they never ran, and when they were sent."""
     served: bool = False
+
+    # outlier_detection
     errors: list[Endpoint] = field(default_factory=list)
     """Endpoints that answered with an error which is not yet attributed to them."""
 
--- a/sedgepitch/routing/request_intake.py
+++ b/sedgepitch/routing/request_intake.py
@@ -45,8 +45,7 @@
         request = self._make_request(event, request_class, group)
         state.requests[event.request] = request
         self.retries.request_received()
-        if not self.freshness.remembers_sessions and event.session_age > 0:
-            request.required_position = state.now - event.session_age
+        self.freshness.session_age_stated(request, event.session_age)
         self._count(group, request)
         request.limit_share = self.limits.limit_share(request_class)
         self.wait_queue.place(request)
--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -56,7 +56,7 @@
         self.freshness = FreshnessRules(state)
         self.idle_connections = IdleConnections(self.latencies)
         self.limits = ConcurrencyLimits(state, self.latencies)
-        self.outlier_detection = OutlierDetection(state, self.health_checks)
+        self.outlier_detection = OutlierDetection(state, self.health_checks, self.slow_start)
         self.endpoint_list = EndpointList(state, self.limits, self.outlier_detection, self.slow_start)
         self.eligibility = Eligibility(
             state, self.slow_start, self.outlier_detection, self.latencies, self.limits
@@ -74,7 +74,7 @@
         self.reports = LoadReports(state, self.wait_queue)
         self.hedging = Hedging(self.selection, self.eligibility, self.freshness, self.retries, self.attempts)
         self.silence_detection = SilenceDetection(
-            state, latencies, outliers, self.idle_connections, self.hedging
+            state, latencies, outliers, self.idle_connections, self.attempts, self.hedging
         )
         self.trials = HalfOpenTrials(
             state, outliers, self.slow_start, self.freshness, self.health_checks, self.retries, self.attempts
@@ -134,7 +134,7 @@
         if endpoint is None:
             return
         group = self.groups[endpoint.group_id]
-        endpoint.health_check_pending = False
+        self.health_checks.finished(endpoint)
         self.reports.take(endpoint, event.report)
         self.outlier_detection.health_check_finished(endpoint, event)
         if group.waiting:
--- a/sedgepitch/routing/silence_detection.py
+++ b/sedgepitch/routing/silence_detection.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 
+from sedgepitch.routing.attempts import Attempts
 from sedgepitch.routing.hedging import Hedging
 from sedgepitch.routing.idle_connections import IdleConnections
 from sedgepitch.routing.latency_estimates import LatencyEstimates
@@ -21,6 +22,7 @@
     latencies: LatencyEstimates
     outlier_detection: OutlierDetection
     idle_connections: IdleConnections
+    attempts: Attempts
     hedging: Hedging
 
     def check(self, endpoint: Endpoint) -> None:
@@ -53,5 +55,5 @@
                 state.set_timer(attempt.sent_at + after)
                 break
             if endpoint.answers >= attempt.overtaken_from:
-                endpoint.overtaken.add(key)
+                self.attempts.take_for_lost(endpoint, key)
                 self.hedging.hedge(attempt.request, endpoint)
--- a/sedgepitch/routing/slow_start.py
+++ b/sedgepitch/routing/slow_start.py
@@ -28,6 +28,10 @@
         self.zone_weights = weights
         return {zone for zone, weight in held.items() if weight <= 0.0 < weights.get(zone, 1.0)}
 
+    def started(self, endpoint: Endpoint, at: float) -> None:
+        """The endpoint's process started at that time, so it warms up from then on."""
+        endpoint.warming_since = at
+
     def zone_is_left(self, endpoint: Endpoint) -> bool:
         """Return whether no reads go to the endpoint's zone."""
         return self.zone_weights.get(endpoint.zone, 1.0) <= 0.0
