--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -23,13 +23,13 @@
 
 
 def lose_requests() -> None:
-    """Rule 1: a refusal never leaves, and the last guard is gone."""
+    """Rule 1: a rejection never leaves, and the last guard is gone."""
     engine.Engine._last_guard = lambda self, account: None
     engine.Engine._refuse = lambda self, action: None
 
 
-def resend_anything() -> None:
-    """Rule 2: what may have run is sent again, whatever the class says."""
+def retry_anything() -> None:
+    """Rule 2: what may have run is retried, whatever the class says."""
 
     def may_attempt(self, request, endpoint):
         return not request.done and not request.in_flight and len(request.attempts) < 3
@@ -39,8 +39,8 @@
     Retries.deduplication_window_over = lambda self, request: False
 
 
-def ignore_drains() -> None:
-    """Rule 3: what the list says of draining members is not heard."""
+def ignore_draining() -> None:
+    """Rule 3: what the list says of draining endpoints is ignored."""
     told = engine.Engine.list_changed
 
     def list_changed(self, event):
@@ -50,8 +50,8 @@
     engine.Engine.list_changed = list_changed
 
 
-def trust_the_cold() -> None:
-    """Rule 4: a member that has just started is sent as much as any other; silence is not felt."""
+def skip_slow_start() -> None:
+    """Rule 4: an endpoint that has just started is sent as much as any other, and none is ejected."""
     OutlierDetection.eject = lambda self, endpoint, reason: None
     SlowStart.accepts = lambda self, endpoint, request: endpoint.state is EndpointState.UP
     SlowStart.capacity_share = lambda self, endpoint: 1.0
@@ -65,7 +65,7 @@
 
 
 def answer_late() -> None:
-    """Rule 1: answers wait in a queue of the driver's own, and nothing takes that from what is promised."""
+    """Rule 1: answers wait in a queue of the proxy's own, and no deadline accounts for it."""
 
     def answered(self, request):
         tell = true_answered(self, request)
@@ -89,7 +89,7 @@
 
 
 def forget_own_delay() -> None:
-    """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the driver."""
+    """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the proxy."""
 
     def fresh_enough(self, endpoint, request):
         now, self.state.now = self.state.now, self.state.now - 0.8
@@ -102,7 +102,7 @@
     FreshnessRules.fresh_enough = fresh_enough
 
 
-GUARDS = (lose_requests, resend_anything, ignore_drains, trust_the_cold, read_anywhere)
+GUARDS = (lose_requests, retry_anything, ignore_draining, skip_slow_start, read_anywhere)
 MORE = (answer_late, send_after_the_answer, forget_own_delay)
 
 if __name__ == "__main__":
--- a/tests/support/router_harness.py
+++ b/tests/support/router_harness.py
@@ -82,7 +82,7 @@
 
 
 class Rig:
-    """One router, three members (1 is listed as primary), and the clock."""
+    """One router, three endpoints (1 is listed as primary), and the clock."""
 
     def __init__(self, settings: api.Settings = SETTINGS, endpoints=None, seed: int = 7) -> None:
         self.router, self.now, self.ids = Router(settings, seed), 100.0, 0
@@ -109,20 +109,20 @@
         self.now = end
         return self.log[start:]
 
-    def ask(self, name: str, ttl: float = 0.9, **fields) -> tuple[int, list[api.Action]]:
+    def receive(self, name: str, ttl: float = 0.9, **fields) -> tuple[int, list[api.Action]]:
         """A client's request; returns its id and what was done."""
         self.ids += 1
         return self.ids, self.feed(api.RequestReceived(self.ids, name, 1, ttl, **fields))
 
-    def end(
+    def finish(
         self, request: int, attempt: int, endpoint: int, result: AttemptResult, **fields
     ) -> list[api.Action]:
         """The end of an attempt."""
         final = fields.pop("final", result is AttemptResult.OK)
         return self.feed(api.AttemptFinished(request, attempt, endpoint, result, 0.02, final, **fields))
 
-    def heard(self, endpoint: int, age: float, primary: bool = False) -> None:
-        """A report that a probe brought: the position the member had some time ago."""
+    def report(self, endpoint: int, age: float, primary: bool = False) -> None:
+        """A report that a health check brought: the position that the endpoint had some seconds ago."""
         self.feed(
             api.HealthCheckFinished(
                 endpoint, AttemptResult.OK, 0.001, api.LoadReport(self.now - age, primary)
@@ -131,7 +131,7 @@
 
 
 def sends(actions, request: int | None = None) -> list[int]:
-    """The members sent to."""
+    """The endpoints sent to."""
     return [a.endpoint for a in actions if isinstance(a, api.SendAttempt) and request in (None, a.request)]
 
 
@@ -142,6 +142,6 @@
 
 def placed(rig: Rig, name: str, **fields) -> tuple[int, list[int]]:
     """Ask, let it wait for a position in vain, and return who was sent to."""
-    request, _ = rig.ask(name, **fields)
+    request, _ = rig.receive(name, **fields)
     rig.run(0.04)
     return request, sends(rig.log, request)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -36,7 +36,7 @@
     names = ("any", "session", "bounded", "write", "fresh")
     marks = []
     for number in range(100_000):
-        rig.ask(names[number % 5], session=f"s{number}", session_age=0.3)
+        rig.receive(names[number % 5], session=f"s{number}", session_age=0.3)
         while rig.log:  # also what an answer or a probe sets free is answered
             done, rig.log = rig.log, []
             for action in done:
@@ -44,7 +44,7 @@
                     report = api.LoadReport(rig.now - 0.01, action.endpoint == 1, 0.0)
                     rig.feed(api.HealthCheckFinished(action.endpoint, AttemptResult.OK, 0.001, report))
                 elif isinstance(action, api.SendAttempt):
-                    rig.end(
+                    rig.finish(
                         action.request, 0, action.endpoint, AttemptResult.OK, primary=action.endpoint == 1
                     )
         rig.now += 0.02
@@ -65,9 +65,9 @@
         entries = [entry(fresh, primary=False)]
         entries += [entry(old, state=EndpointState.GONE)] if number > 1 else []
         rig.feed(api.EndpointListUpdate(tuple(entries), complete=False))
-        request, actions = rig.ask("any")
+        request, actions = rig.receive("any")
         for endpoint in sends(actions, request):
-            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
+            rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
         rig.now += 1.0
         rig.timers, rig.log = [], []
         if number in (500, 1_999):
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -1,4 +1,4 @@
-"""The mechanism, and one test for each class of trouble the router answers."""
+"""The paper's mechanism, and one test for each class of fault that the router answers."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 def serve(
     rig: Rig, name: str, count: int, elapsed: dict[int, float], result: AttemptResult = AttemptResult.OK
 ) -> list[int]:
-    """Ask, answer each after its member's own time, and return who was sent to."""
+    """Ask, answer each after its endpoint's own time, and return who was sent to."""
     used = []
     for _ in range(count):
-        request, actions = rig.ask(name)
+        request, actions = rig.receive(name)
         rig.run(0.02)
         for endpoint in sends(actions, request):
             used.append(endpoint)
@@ -57,28 +57,28 @@
     assert rig.router.groups[1].read_preference is ReadPreference.SECONDARY
 
 
-def test_silent_member_is_rested_and_its_safe_reads_are_copied():
+def test_a_silent_endpoint_is_ejected_and_its_idempotent_reads_are_hedged():
     rig = Rig()
     serve(rig, "any", 200, {1: 0.02, 2: 0.02, 3: 0.02})
     stuck = []
     for _ in range(100):
-        request, actions = rig.ask("any")
+        request, actions = rig.receive("any")
         rig.run(0.01)
         for endpoint in sends(actions, request):
             if endpoint == 2:
                 stuck.append(request)
             else:
-                rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
+                rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
     assert 0 < len(stuck) < 25
     assert any(len(sends(rig.log, request)) == 2 for request in stuck)
 
 
 def answer(rig: Rig, request: int, bad: int = 0) -> None:
-    """Answer every attempt of a request, with errors from one member."""
+    """Answer every attempt of a request, with errors from one endpoint."""
     attempt = 0
     while attempt < len(sends(rig.log, request)):
         endpoint = sends(rig.log, request)[attempt]
-        rig.end(
+        rig.finish(
             request,
             attempt,
             endpoint,
@@ -88,49 +88,49 @@
         attempt += 1
 
 
-def test_failing_member_is_rested_and_comes_back_by_trials():
+def test_a_failing_endpoint_is_ejected_and_returns_by_trials():
     rig = Rig()
     for _ in range(200):
-        answer(rig, rig.ask("any")[0], bad=3)
+        answer(rig, rig.receive("any")[0], bad=3)
         rig.run(0.01)
     assert rig.router.endpoints[3].ejection_reason is EjectionReason.FAILING
     for _ in range(500):
-        answer(rig, rig.ask("any")[0])
+        answer(rig, rig.receive("any")[0])
         rig.run(0.02)
     assert rig.router.endpoints[3].ejection_reason is None
 
 
-def test_requests_that_fail_everywhere_are_no_members_fault():
-    # bad_requests: four in ten fail at once at any member; members stay trusted, two tries are enough.
+def test_requests_that_fail_everywhere_eject_no_endpoint():
+    # bad_requests: four in ten fail at once at any endpoint; none is ejected, two attempts are enough.
     rig = Rig()
     for number in range(300):
-        request, _ = rig.ask("any")
+        request, _ = rig.receive("any")
         attempt = 0
         while attempt < len(sends(rig.log, request)):
             endpoint = sends(rig.log, request)[attempt]
             result = AttemptResult.ERROR if number % 5 < 2 else AttemptResult.OK
-            rig.end(request, attempt, endpoint, result, primary=endpoint == 1)
+            rig.finish(request, attempt, endpoint, result, primary=endpoint == 1)
             attempt += 1
         assert attempt <= 2
         rig.run(0.02)
     assert not rig.router.groups[1].ejected
 
 
-def test_lost_connection_rests_a_member_until_a_probe_and_a_trial():
+def test_a_lost_connection_ejects_an_endpoint_until_a_health_check_and_a_trial():
     rig = Rig()
     request = 0
     while 3 not in sends(rig.log, request):
-        request, _ = rig.ask("any")
-    rig.end(request, 0, 3, AttemptResult.RESET)
+        request, _ = rig.receive("any")
+    rig.finish(request, 0, 3, AttemptResult.RESET)
     for _ in range(2):  # it is asked, and its process does not run
         rig.feed(api.HealthCheckFinished(3, AttemptResult.CONNECT_FAILED, 0.001))
     start = len(rig.log)
     rig.run(0.7)
-    rig.ask("any")
+    rig.receive("any")
     assert api.CheckHealth(3) in rig.log[start:] and 3 not in sends(rig.log[start:])
     rig.feed(api.HealthCheckFinished(3, AttemptResult.OK, 0.001))
     for _ in range(20):
-        rig.ask("any")
+        rig.receive("any")
     assert sends(rig.log[start:]).count(3) == 1
 
 
@@ -138,16 +138,16 @@
     rig = Rig()
     rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.run(0.7)
-    request, actions = rig.ask("any")
+    request, actions = rig.receive("any")
     assert sorted(sends(actions, request))[-1] == 3 and len(sends(actions, request)) == 2
 
 
-def test_probes_that_always_fail_do_not_keep_a_member_out():
+def test_health_checks_that_always_fail_do_not_keep_an_endpoint_ejected():
     rig = Rig()
     rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.UNREACHABLE)
     start = len(rig.log)
     for _ in range(800):
-        request, actions = rig.ask("any", ttl=0.3)
+        request, actions = rig.receive("any", ttl=0.3)
         for action in actions + rig.run(0.02):
             if isinstance(action, api.CheckHealth):
                 rig.feed(api.HealthCheckFinished(action.endpoint, AttemptResult.TIMEOUT, 0.25))
@@ -155,12 +155,12 @@
     assert 3 in sends(rig.log[start:])
 
 
-def test_slow_member_gets_less():
+def test_a_slow_endpoint_gets_less():
     rig = Rig()
     used = []
     waiting: list[tuple[float, int, int]] = []
     for _ in range(400):
-        request, actions = rig.ask("any")
+        request, actions = rig.receive("any")
         for endpoint in sends(actions, request):
             used.append(endpoint)
             waiting.append((rig.now + (0.25 if endpoint == 3 else 0.02), request, endpoint))
@@ -176,20 +176,20 @@
 
 def test_writes_find_the_new_primary_after_a_switch():
     rig = Rig()
-    request, _ = rig.ask("write", ttl=1.9)
-    rig.end(request, 0, 1, AttemptResult.NOT_ELIGIBLE, primary=False)
+    request, _ = rig.receive("write", ttl=1.9)
+    rig.finish(request, 0, 1, AttemptResult.NOT_ELIGIBLE, primary=False)
     rig.run(0.05)
     assert sends(rig.log, request)[:2] == [1, 2]
-    rig.end(request, 1, 2, AttemptResult.NOT_ELIGIBLE, primary=False)
+    rig.finish(request, 1, 2, AttemptResult.NOT_ELIGIBLE, primary=False)
     assert sends(rig.log, request)[2] == 3
-    rig.end(request, 2, 3, AttemptResult.OK, primary=True)
-    later, actions = rig.ask("write")
+    rig.finish(request, 2, 3, AttemptResult.OK, primary=True)
+    later, actions = rig.receive("write")
     assert sends(actions, later) == [3]
 
 
-def test_fresh_reads_without_a_primary_get_a_timely_refusal():
+def test_fresh_reads_without_a_primary_are_rejected_in_time():
     rig = Rig(endpoints=(entry(1), entry(2)))
-    request, actions = rig.ask("fresh")
+    request, actions = rig.receive("fresh")
     assert sends(actions, request) == []
     rig.run(0.3)
     answer = finals(rig.log, request)[0]
@@ -199,62 +199,62 @@
 @pytest.mark.parametrize("first", [True, False])
 def test_a_late_list_does_not_overrule_an_answer(first):
     rig = Rig(endpoints=(entry(1, primary=first), entry(2)))
-    rig.heard(2, 0.0, primary=True)
+    rig.report(2, 0.0, primary=True)
     rig.feed(api.EndpointListUpdate((entry(1, primary=True),), complete=False))
-    request, actions = rig.ask("write")
+    request, actions = rig.receive("write")
     assert sends(actions, request) == [2]
 
 
 def test_everything_failing_stays_within_the_budget():
     rig = Rig()
     for _ in range(300):
-        request, _ = rig.ask("any")
+        request, _ = rig.receive("any")
         attempt = 0
         while attempt < len(sends(rig.log, request)) and not finals(rig.log, request):
-            rig.end(request, attempt, sends(rig.log, request)[attempt], AttemptResult.ERROR)
+            rig.finish(request, attempt, sends(rig.log, request)[attempt], AttemptResult.ERROR)
             attempt += 1
         rig.run(0.01)
     assert len(sends(rig.log)) <= 300 * 1.2 + 10
 
 
-def test_overload_refuses_the_least_worth_first():
+def test_overload_rejects_the_lowest_priority_first():
     priority_weight = {"any": 0.2, "bounded": 6.0}
     classes = tuple(
         replace(c, priority_weight=priority_weight.get(c.name, c.priority_weight)) for c in SETTINGS.classes
     )
     rig = Rig(replace(SETTINGS, classes=classes))
     for endpoint in (1, 2, 3):
-        rig.heard(endpoint, 0.01, primary=endpoint == 1)
+        rig.report(endpoint, 0.01, primary=endpoint == 1)
     for _ in range(200):
-        rig.ask("any")
-        rig.ask("bounded")
+        rig.receive("any")
+        rig.receive("bounded")
     sent = {a.request for a in rig.log if isinstance(a, api.SendAttempt)}
     assert sum(r % 2 == 0 for r in sent) > sum(r % 2 == 1 for r in sent)
 
 
-def test_a_read_asks_a_likely_replica_before_the_primary_bears_it():
+def test_a_likely_replica_is_checked_before_the_primary_serves_a_read():
     rig = Rig()
-    rig.heard(2, 0.3)
+    rig.report(2, 0.3)
     rig.run(0.3)
     rig.router.endpoints[3].health_checked_at = rig.now
-    request, actions = rig.ask("bounded")
+    request, actions = rig.receive("bounded")
     if 1 not in sends(actions, request):
         assert api.CheckHealth(2) in actions and sends(actions, request) == []
-        rig.heard(2, 0.2)
+        rig.report(2, 0.2)
         assert sends(rig.log, request) == [2]
 
 
 def test_full_table_is_not_a_dead_process():
     rig = Rig()
-    held = [rig.ask("any")[0] for _ in range(8)]
-    by_member = {m: [r for r in held if sends(rig.log, r) == [m]] for m in (2, 3)}
-    endpoint = max(by_member, key=lambda m: len(by_member[m]))
-    rig.end(by_member[endpoint][0], 0, endpoint, AttemptResult.OK, primary=False)
-    rig.end(by_member[endpoint][1], 0, endpoint, AttemptResult.CONNECT_FAILED)
+    held = [rig.receive("any")[0] for _ in range(8)]
+    by_endpoint = {m: [r for r in held if sends(rig.log, r) == [m]] for m in (2, 3)}
+    endpoint = max(by_endpoint, key=lambda number: len(by_endpoint[number]))
+    rig.finish(by_endpoint[endpoint][0], 0, endpoint, AttemptResult.OK, primary=False)
+    rig.finish(by_endpoint[endpoint][1], 0, endpoint, AttemptResult.CONNECT_FAILED)
     assert rig.router.endpoints[endpoint].ejection_reason is None
 
 
-def test_subscription_is_asked_for_and_retried_with_back_off():
+def test_the_list_is_watched_and_a_failed_watch_is_retried_with_backoff():
     rig = Rig(replace(SETTINGS, subscription_required=True))
     assert rig.log.count(api.WatchEndpointList()) == 1
     times = []
@@ -269,9 +269,9 @@
 
 def test_late_events_about_what_is_over_change_nothing():
     rig = Rig()
-    request, actions = rig.ask("any")
+    request, actions = rig.receive("any")
     endpoint = sends(actions, request)[0]
-    rig.end(request, 0, endpoint, AttemptResult.OK, primary=False)
+    rig.finish(request, 0, endpoint, AttemptResult.OK, primary=False)
     for event in (
         api.AttemptFinished(request, 0, endpoint, AttemptResult.ERROR, 0.1, False),
         api.AttemptFinished(999, 0, 77, AttemptResult.OK, 0.1, True),
@@ -282,7 +282,7 @@
         assert rig.feed(event) == []
 
 
-def test_a_restarted_member_is_taken_back_as_cold():
+def test_a_restarted_endpoint_warms_up():
     rig = Rig()
     rig.router.outlier_detection.eject(rig.router.endpoints[2], EjectionReason.UNREACHABLE)
     rig.run(1.0)
@@ -299,14 +299,14 @@
     assert logs[0] == logs[1]
 
 
-def test_all_members_drained_means_a_timely_answer():
+def test_all_endpoints_draining_means_a_timely_answer():
     rig = Rig()
     rig.feed(
         api.EndpointListUpdate(
             tuple(entry(m, state=EndpointState.DRAINING) for m in (1, 2, 3)), complete=True
         )
     )
-    request, _ = rig.ask("any")
+    request, _ = rig.receive("any")
     assert len(finals(rig.run(0.5), request)) == 1 and sends(rig.log, request) == []
 
 
@@ -324,45 +324,45 @@
         Router(replace(SETTINGS, **changes), 1)
 
 
-# What is new where hundreds of drivers have little traffic each
+# Proxy instances with little traffic each
 
 
 def test_an_idle_router_sets_no_timer():
     rig = Rig()
-    request, actions = rig.ask("any")
-    rig.end(request, 0, sends(actions, request)[0], AttemptResult.OK, primary=False)
+    request, actions = rig.receive("any")
+    rig.finish(request, 0, sends(actions, request)[0], AttemptResult.OK, primary=False)
     rig.run(5.0)
     assert rig.timers == []
 
 
 def test_connections_lost_while_idle_are_closed_before_the_next_send():
-    # idle_reap: the first send after idleness goes silent; the member itself is well.
+    # idle_reap: the first send after idleness goes silent; the endpoint itself is well.
     rig = Rig()
     serve(rig, "any", 60, {1: 0.02, 2: 0.02, 3: 0.02})
     rig.run(3.0)
-    request, actions = rig.ask("any")
+    request, actions = rig.receive("any")
     first = sends(actions, request)[0]
     rig.run(0.5)
     assert len(sends(rig.log, request)) == 2 and not rig.router.groups[1].ejected
-    rig.end(request, 1, sends(rig.log, request)[1], AttemptResult.OK, primary=False)
-    rig.end(request, 0, first, AttemptResult.TIMEOUT, final=True)
+    rig.finish(request, 1, sends(rig.log, request)[1], AttemptResult.OK, primary=False)
+    rig.finish(request, 0, first, AttemptResult.TIMEOUT, final=True)
     rig.run(3.0)
-    request, actions = rig.ask("any")
+    request, actions = rig.receive("any")
     assert api.CloseIdleConnections(sends(actions, request)[0]) in actions
 
 
-def test_silence_everywhere_is_not_blamed_on_members():
+def test_silence_everywhere_ejects_no_endpoint():
     rig = Rig()
     for _ in range(4):
-        rig.ask("any", ttl=5.0)
+        rig.receive("any", ttl=5.0)
     rig.run(2.0)
     assert not rig.router.groups[1].ejected
 
 
-def test_after_a_standstill_of_the_driver_latency_teaches_nothing():
+def test_after_the_event_loop_was_blocked_latency_teaches_nothing():
     rig = Rig()
     serve(rig, "any", 60, {1: 0.02, 2: 0.02, 3: 0.02})
-    request, actions = rig.ask("any")
+    request, actions = rig.receive("any")
     endpoint = rig.router.endpoints[sends(actions, request)[0]]
     before = endpoint.latency_ratio
     rig.now += 1.0  # timers were due meanwhile; all comes at once
@@ -372,54 +372,54 @@
     assert endpoint.latency_ratio == before and not endpoint.ejection_reason
 
 
-def test_a_limit_below_one_is_a_chance():
+def test_a_limit_below_one_admits_by_chance():
     rig = Rig()
     for endpoint in rig.router.endpoints.values():
         endpoint.concurrency_limit = 0.3
-    sent = [len(sends(rig.ask("any", ttl=0.3)[1])) for _ in range(1)]
+    sent = [len(sends(rig.receive("any", ttl=0.3)[1])) for _ in range(1)]
     for seed in range(200):
         other = Rig(seed=seed)
         for endpoint in other.router.endpoints.values():
             endpoint.concurrency_limit = 0.3
-        sent.append(len(sends(other.ask("any", ttl=0.3)[1])))
+        sent.append(len(sends(other.receive("any", ttl=0.3)[1])))
     assert 0 < sum(sent) < 0.6 * len(sent)
 
 
 @pytest.mark.parametrize("name", ["any", "fresh", "session", "write"])
-def test_a_driver_of_a_large_fleet_turns_no_class_away_from_an_idle_member(name):
-    for seed in range(40):  # one request of each class by itself, whatever its luck and worth
+def test_an_instance_of_a_large_deployment_rejects_no_class_at_an_idle_endpoint(name):
+    for seed in range(40):  # one request of each class by itself, whatever its draw and priority
         rig = Rig(replace(SETTINGS, proxy_instances=200), seed=seed)
         for _ in range(3):
-            request, _ = rig.ask(name)
+            request, _ = rig.receive(name)
             (endpoint,) = sends(rig.log, request)
-            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
+            rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
             rig.run(1.0)
 
 
 def test_a_client_with_too_little_time_is_answered_at_once():
     rig = Rig()
-    request, actions = rig.ask("any", ttl=0.01)
+    request, actions = rig.receive("any", ttl=0.01)
     assert len(finals(actions, request)) == 1 and sends(actions) == []
 
 
 def test_a_slow_zone_loses_the_ties():
-    # slow_link, false_reports: latency by zone tells what few answers of one member cannot.
+    # slow_link, false_reports: latency by zone tells what few answers of one endpoint cannot.
     rig = Rig(endpoints=(entry(1, primary=True), entry(2), entry(3, zone="b")))
     used = serve(rig, "any", 300, {1: 0.02, 2: 0.02, 3: 0.19})
     assert used[100:].count(3) < used[100:].count(2) / 2
 
 
-def test_a_write_turned_away_twice_waits_before_the_next_try():
+def test_a_write_rejected_as_overloaded_twice_backs_off():
     rig = Rig()
-    request, _ = rig.ask("write", ttl=1.9)
+    request, _ = rig.receive("write", ttl=1.9)
     for attempt in range(2):
-        rig.end(request, attempt, 1, AttemptResult.OVERLOADED, primary=True)
+        rig.finish(request, attempt, 1, AttemptResult.OVERLOADED, primary=True)
     assert len(sends(rig.log, request)) == 2
     rig.run(0.3)
     assert len(sends(rig.log, request)) == 3
 
 
-def test_a_strained_primary_keeps_its_room_for_writes():
+def test_a_loaded_primary_keeps_its_headroom_for_writes():
     rig = Rig()
     rig.router.endpoints[1].latency_ratio = 0.9
     rig.feed(
@@ -429,7 +429,7 @@
     )
     request, used = placed(rig, "any")
     assert used == [] and len(finals(rig.log, request)) == 1
-    assert sends(rig.ask("write")[1]) == [1]
+    assert sends(rig.receive("write")[1]) == [1]
 
 
 def primary_alone(rig: Rig, limit: float) -> object:
@@ -449,29 +449,29 @@
         while len(rig.router.endpoints[1].in_flight) < 2 and rig.ids < 30:
             placed(rig, "any", ttl=0.9)
         held.append(len(rig.router.endpoints[1].in_flight))
-        assert sends(rig.ask(name)[1]) == [1], seed
+        assert sends(rig.receive(name)[1]) == [1], seed
     assert max(held) == 2
 
 
-def test_a_primary_whose_limit_is_below_one_bears_no_reads():
+def test_a_primary_whose_limit_is_below_one_takes_no_reads():
     rig = Rig()
     primary_alone(rig, 0.9)
     for _ in range(20):
         assert placed(rig, "any")[1] == []
 
 
-@pytest.mark.parametrize(("drivers", "first"), [(20, 1.0), (40, 0.6), (200, 0.12), (4000, 0.1)])
-def test_reads_come_to_a_primary_by_a_chance_that_its_answers_raise(drivers, first):
+@pytest.mark.parametrize(("instances", "first"), [(20, 1.0), (40, 0.6), (200, 0.12), (4000, 0.1)])
+def test_a_primary_s_share_of_reads_grows_with_its_answers(instances, first):
     """Else the reads of a whole fleet that has just started fill a primary before anybody hears of it."""
 
     def share(before: int, took: float, alone: bool = False) -> float:
         used = 0
         for seed in range(300):
-            rig = Rig(replace(SETTINGS, proxy_instances=drivers, health_checks=False), seed=seed)
+            rig = Rig(replace(SETTINGS, proxy_instances=instances, health_checks=False), seed=seed)
             primary = primary_alone(rig, 8.0) if alone else rig.router.endpoints[1]
             for _ in range(before):
                 primary.concurrency_limit = 1.5
-                request, _ = rig.ask("write")
+                request, _ = rig.receive("write")
                 rig.run(took)
                 rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.OK, took, True, primary=True))
             primary.concurrency_limit, primary.latency_ratio = 8.0, 0.0
@@ -486,42 +486,42 @@
 
 
 def test_a_limit_below_one_is_a_share_of_the_time_for_what_only_the_primary_serves():
-    """A driver with few writes: a chance by its luck alone would hold one until its time is up."""
+    """An instance with few writes: by its draw alone a write would wait until its deadline."""
     for seed in range(40):
         rig = Rig(seed=seed)
         primary = primary_alone(rig, 0.3)
-        request, _ = rig.ask("write", ttl=1.9)
+        request, _ = rig.receive("write", ttl=1.9)
         rig.run(rig.router.latencies.typical / 0.3 + 0.06)
         assert sends(rig.log, request) == [1], "it had not been used for long"
-        later, actions = rig.ask("write", ttl=1.9)
+        later, actions = rig.receive("write", ttl=1.9)
         assert sends(actions, later) == [], "one is under way already"
         assert primary.concurrency_limit == 0.3
 
 
-def test_a_write_that_is_safe_is_not_copied_to_a_replica():
-    """A replica that turns away what it does not hold would get the copy."""
+def test_an_idempotent_write_is_not_hedged_to_a_replica():
+    """A replica that rejects what it does not hold would get the hedged request."""
     safe = tuple(
         replace(c, idempotency=Idempotency.IDEMPOTENT) if c.name == "write" else c for c in SETTINGS.classes
     )
     rig = Rig(replace(SETTINGS, classes=safe, stale_read_handling=StaleReadHandling.REJECT))
-    request, _ = rig.ask("write", ttl=1.9)
+    request, _ = rig.receive("write", ttl=1.9)
     rig.run(1.8)
     assert set(sends(rig.log, request)) == {1}
 
 
 @pytest.mark.parametrize("most", [1, 2, 4, 6])
-def test_a_primary_is_found_in_a_group_of_more_members_than_a_request_has_attempts(most):
-    """Neither the list nor probes tell roles."""
+def test_a_primary_is_found_in_a_group_of_more_endpoints_than_a_request_has_attempts(most):
+    """Neither the list nor health checks state roles."""
     settings = replace(SETTINGS, health_checks=False, list_reports_primary=False, max_attempts=most)
     rig = Rig(settings, endpoints=[entry(m) for m in range(1, 13)])
     for _ in range(20):
-        request, actions = rig.ask("write", ttl=0.9)
+        request, actions = rig.receive("write", ttl=0.9)
         for attempt in range(most):
             tried = sends(actions, request)
             if not tried or finals(actions, request):
                 break
             found = tried[-1] == 12
-            actions = rig.end(
+            actions = rig.finish(
                 request,
                 attempt,
                 tried[-1],
@@ -532,7 +532,7 @@
     assert rig.router.groups[1].primary is rig.router.endpoints[12]
 
 
-def test_a_grown_fleet_without_a_warm_member_is_used():
+def test_a_grown_fleet_without_a_warm_endpoint_is_used():
     rig = Rig(endpoints=(entry(1, primary=True),))
     rig.feed(api.EndpointListUpdate(tuple(entry(m, started=rig.now) for m in (2, 3, 4)), complete=False))
     rig.run(5.0)
@@ -540,14 +540,14 @@
     assert {2, 3, 4} <= set(used)
 
 
-def test_a_lost_primary_is_sought_only_as_far_as_writes_wait():
-    # 400 drivers with one write waiting each must not ask every member at every look.
+def test_roles_are_checked_only_as_far_as_writes_wait():
+    # 400 instances with one write waiting each must not check every endpoint each time.
     asked = 0
     for seed in range(50):
         rig = Rig(endpoints=tuple(entry(m) for m in range(1, 9)), seed=seed)
-        rig.ask("write", ttl=1.0)
+        rig.receive("write", ttl=1.0)
         for attempt in range(4):
-            rig.end(1, attempt, sends(rig.log, 1)[attempt], AttemptResult.NOT_ELIGIBLE, primary=False)
+            rig.finish(1, attempt, sends(rig.log, 1)[attempt], AttemptResult.NOT_ELIGIBLE, primary=False)
         rig.run(1.0)
         asked += sum(isinstance(a, api.CheckHealth) for a in rig.log)
     assert 0 < asked <= 50 * 5
@@ -564,7 +564,7 @@
     assert answered + len(sends(rig.log)) >= 2000
     empty = Rig()
     empty.feed(api.EndpointListUpdate((), complete=True))
-    request, _ = empty.ask("any")
+    request, _ = empty.receive("any")
     empty.run(0.5)
     assert len(finals(empty.log, request)) == 1
     unknown = empty.feed(api.RequestReceived(77, "any", 9, 0.5))
@@ -575,7 +575,7 @@
     rig = Rig()
     for endpoint, load in ((2, 2.0), (3, 40.0)):
         for _ in range(20):
-            request, actions = rig.ask("any")
+            request, actions = rig.receive("any")
             used = sends(actions, request)[0]
             report = api.LoadReport(rig.now, used == 1, load if used == endpoint else 2.0)
             took = 0.02 + 0.01 * report.load
@@ -588,53 +588,53 @@
     rig.feed(api.HealthCheckFinished(3, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 60.0)))
     rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 1.0)))
     assert rig.router.latencies.queueing_delay(rig.router.endpoints[3]) > 0.2
-    assert all(sends(rig.ask("any")[1]) != [3] for _ in range(3))
+    assert all(sends(rig.receive("any")[1]) != [3] for _ in range(3))
     rig.run(2.0)  # a report is a hint while it is recent
     assert rig.router.latencies.queueing_delay(rig.router.endpoints[3]) == 0.0
 
 
-def test_a_strained_zone_eases_off_the_limits_of_members_not_heard_of_lately():
-    # Incident ie07cc6: 330 drivers with room for two each flooded seven members from the start.
+def test_a_loaded_zone_eases_off_the_limits_of_endpoints_without_recent_answers():
+    # Incident ie07cc6: 330 instances with headroom for two each flooded seven endpoints from the start.
     sent = {}
-    for strain in (0.2, 1.0):
-        sent[strain] = 0
+    for ratio in (0.2, 1.0):
+        sent[ratio] = 0
         for seed in range(100):
             rig = Rig(replace(SETTINGS, proxy_instances=400), seed=seed)
-            rig.router.latencies.zone_ratio["a"] = strain
-            sent[strain] += len(sends(rig.ask("any", ttl=0.3)[1]))
+            rig.router.latencies.zone_ratio["a"] = ratio
+            sent[ratio] += len(sends(rig.receive("any", ttl=0.3)[1]))
     assert sent[1.0] < 0.5 * sent[0.2]
 
 
-def test_a_suspect_gets_what_no_trusted_member_takes():
-    # cut and healed: all but one were found down while a zone was cut off; probes are answered again.
+def test_an_ejected_endpoint_is_tried_with_what_no_healthy_one_takes():
+    # cut and healed: all but one were ejected while a zone was cut off; health checks are answered again.
     rig = Rig()
     for endpoint in (2, 3):
         rig.router.outlier_detection.eject(rig.router.endpoints[endpoint], EjectionReason.SILENT)
-    rig.router.endpoints[1].concurrency_limit = 0.1  # and the one that is trusted is full
+    rig.router.endpoints[1].concurrency_limit = 0.1  # and the healthy one has no headroom
     rig.run(5.0)
     used = set()
     for _ in range(4):
-        request, actions = rig.ask("any")
+        request, actions = rig.receive("any")
         used |= set(sends(actions, request))
         for endpoint in sends(actions, request):
-            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
+            rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
     assert used & {2, 3}
     assert any(not rig.router.endpoints[m].ejection_reason for m in (2, 3))
 
 
-def test_a_probe_in_vain_keeps_reads_from_a_member_while_others_answer():
+def test_a_health_check_without_an_answer_ejects_while_others_answer():
     rig = Rig()
-    rig.heard(3, 0.3)
+    rig.report(3, 0.3)
     rig.run(1.0)
-    request, _ = rig.ask("any")
+    request, _ = rig.receive("any")
     (served,) = sends(rig.log, request)
     other = 5 - served if served != 1 else 2
-    rig.end(request, 0, served, AttemptResult.OK, primary=served == 1)
+    rig.finish(request, 0, served, AttemptResult.OK, primary=served == 1)
     rig.feed(api.HealthCheckFinished(other, AttemptResult.TIMEOUT, 0.25))
     assert rig.router.endpoints[other].ejection_reason is EjectionReason.SILENT
 
 
-def test_a_probe_in_vain_while_nobody_answers_blames_no_member():
+def test_a_health_check_without_an_answer_ejects_nobody_while_nobody_answers():
     rig = Rig()
     rig.run(1.0)
     rig.feed(api.HealthCheckFinished(2, AttemptResult.TIMEOUT, 0.25))
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -1,4 +1,4 @@
-"""Requests that a member takes and never answers, while it answers others: losses, not load."""
+"""Requests that an endpoint takes and never answers, while it answers others: losses, not load."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 def hang(rig: Rig, name: str) -> int:
     """Ask for what is never answered."""
-    request, actions = rig.ask(name, ttl=0.6)
+    request, actions = rig.receive(name, ttl=0.6)
     assert sends(actions, request) == [1]
     return request
 
@@ -42,7 +42,7 @@
     assert sends(rig.log, request) == [1]
 
 
-def test_no_second_copy_of_what_may_not_be_repeated_or_where_none_is_allowed():
+def test_no_hedged_request_of_what_is_not_idempotent_or_where_hedging_is_off():
     for settings, name in ((SETTINGS, "unsafe"), (replace(SETTINGS, hedging=False), "write")):
         rig = Rig(settings)
         answered_after(rig, "write", 60)
@@ -55,7 +55,7 @@
     """The primary's limit after every fourth request went without an answer."""
     answered_after(rig, "write", 60)
     for _ in range(30):
-        request, actions = rig.ask("unsafe", ttl=0.6)
+        request, actions = rig.receive("unsafe", ttl=0.6)
         if not sends(actions, request):
             break  # there is no room any more
         if overtaken:
@@ -95,10 +95,10 @@
     assert not any(m.in_flight for m in front.engine.router.endpoints.values())
 
 
-def test_a_member_long_gone_is_forgotten_and_sessions_are_kept_only_where_they_are_needed():
+def test_an_endpoint_long_gone_is_forgotten_and_sessions_are_kept_only_where_they_are_needed():
     rig = Rig()
     answered_after(rig, "write", 60)
-    rig.end(rig.ask("write", session="s")[0], 0, 1, AttemptResult.OK, position=rig.now)
+    rig.finish(rig.receive("write", session="s")[0], 0, 1, AttemptResult.OK, position=rig.now)
     assert not rig.router.groups[1].session_commits
     rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(2)), complete=True))
     for _ in range(10):
@@ -112,12 +112,17 @@
     answered_after(rig, "any", 20)
 
 
-def test_sessions_are_bounded_where_a_member_never_tells_and_those_let_go_still_see_their_writes():
+def test_sessions_are_bounded_where_an_endpoint_reports_no_position_and_forgotten_ones_see_their_writes():
     rig = Rig(replace(SETTINGS, session_tracking=api.SessionTracking.BY_PROXY, health_checks=False))
     begun = rig.now
     for number in range(3 * SESSIONS_MAX):
-        rig.end(
-            rig.ask("write", session=f"s{number}")[0], 0, 1, AttemptResult.OK, primary=True, position=rig.now
+        rig.finish(
+            rig.receive("write", session=f"s{number}")[0],
+            0,
+            1,
+            AttemptResult.OK,
+            primary=True,
+            position=rig.now,
         )
         rig.run(0.002)
     rig.run(6.0)
@@ -127,7 +132,7 @@
     assert f"s{number}" in group.session_commits
     rig.router.endpoints[1].concurrency_limit = 0.5  # no room for reads
     rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(begun, False)))
-    read, actions = rig.ask("session", session="s0")
+    read, actions = rig.receive("session", session="s0")
     assert not sends(actions, read)
     assert sends(
         rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(rig.now - 0.1, False))),
@@ -135,15 +140,15 @@
     ) == [2]
 
 
-def test_one_broken_connection_asks_the_member_and_three_in_a_row_show_it_down():
+def test_one_broken_connection_checks_the_endpoint_and_three_in_a_row_eject_it():
     rig = Rig()
     answered_after(rig, "write", 60)
-    first = rig.ask("write")[0]
-    actions = rig.end(first, 0, 1, AttemptResult.RESET)
+    first = rig.receive("write")[0]
+    actions = rig.finish(first, 0, 1, AttemptResult.RESET)
     assert api.CheckHealth(1) in actions and not rig.router.endpoints[1].ejection_reason
-    assert sends(rig.log, first) == [1, 1], "it may be repeated, and the member is there"
-    rig.end(first, 1, 1, AttemptResult.RESET)
-    rig.end(first, 2, 1, AttemptResult.RESET)
+    assert sends(rig.log, first) == [1, 1], "it may be repeated, and the endpoint is there"
+    rig.finish(first, 1, 1, AttemptResult.RESET)
+    rig.finish(first, 2, 1, AttemptResult.RESET)
     assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE
 
 
@@ -151,34 +156,34 @@
     rig = Rig()
     answered_after(rig, "write", 60)
     for _ in range(6):
-        rig.end(rig.ask("write")[0], 0, 1, AttemptResult.CONNECT_FAILED)
+        rig.finish(rig.receive("write")[0], 0, 1, AttemptResult.CONNECT_FAILED)
         answered_after(rig, "write", 12)
         assert not rig.router.endpoints[1].ejection_reason
 
 
-def test_a_process_that_does_not_run_is_known_by_its_probes():
+def test_a_process_that_does_not_run_is_known_by_its_health_checks():
     rig = Rig()
     answered_after(rig, "write", 60)
-    rig.end(rig.ask("unsafe")[0], 0, 1, AttemptResult.RESET)
-    probes = 0
-    while not rig.router.endpoints[1].ejection_reason and probes < 5:
-        probes += 1
+    rig.finish(rig.receive("unsafe")[0], 0, 1, AttemptResult.RESET)
+    checks = 0
+    while not rig.router.endpoints[1].ejection_reason and checks < 5:
+        checks += 1
         rig.feed(api.HealthCheckFinished(1, AttemptResult.CONNECT_FAILED, 0.001))
-    assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE and probes == 2
+    assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE and checks == 2
 
 
 def test_one_connection_that_does_not_come_about_is_no_full_table_and_several_are():
     rig = Rig()
     answered_after(rig, "write", 60)
-    held = [rig.ask("unsafe")[0] for _ in range(4)]
+    held = [rig.receive("unsafe")[0] for _ in range(4)]
     before = rig.router.endpoints[1].concurrency_limit
-    rig.end(held[0], 0, 1, AttemptResult.CONNECT_FAILED)
+    rig.finish(held[0], 0, 1, AttemptResult.CONNECT_FAILED)
     assert rig.router.endpoints[1].concurrency_limit == before
-    rig.end(held[1], 0, 1, AttemptResult.CONNECT_FAILED)
+    rig.finish(held[1], 0, 1, AttemptResult.CONNECT_FAILED)
     assert rig.router.endpoints[1].concurrency_limit < before / 2
 
 
-def test_requests_that_were_overtaken_do_not_make_their_member_silent():
+def test_requests_that_were_overtaken_do_not_make_their_endpoint_silent():
     rig = Rig(endpoints=(entry(1, primary=True), entry(2), entry(3)))
     answered_after(rig, "write", 60)
     for _ in range(5):
@@ -192,13 +197,13 @@
     assert len(rig.router.endpoints[1].overtaken) == 5
 
 
-def test_a_lost_read_is_sent_again_to_its_member_where_no_other_may_serve_it():
+def test_a_lost_read_is_sent_again_to_its_endpoint_where_no_other_may_serve_it():
     rig = Rig(endpoints=(entry(1, primary=True), entry(2)))
     rig.router.outlier_detection.eject(rig.router.endpoints[1], EjectionReason.UNREACHABLE)
     rig.router.endpoints[1].ejected_until = rig.now + 1e6
     rig.router.state.random.random = lambda: 0.5  # no exploration
     answered_after(rig, "any", 60)
-    request, actions = rig.ask("any", ttl=0.6)
+    request, actions = rig.receive("any", ttl=0.6)
     assert sends(actions, request) == [2]
     answered_after(rig, "any", 12)
     assert sends(rig.log, request) == [2, 2]
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -18,33 +18,33 @@
 
 def test_deadline_with_an_attempt_out_is_answered_at_once():
     rig = Rig()
-    request, actions = rig.ask("write", ttl=0.5)
+    request, actions = rig.receive("write", ttl=0.5)
     assert sends(actions) == [1]
     rig.run(0.5)
     assert finals(rig.log, request) == []
-    assert finals(rig.end(request, 0, 1, AttemptResult.TIMEOUT), request) == [api.Fail(request)]
+    assert finals(rig.finish(request, 0, 1, AttemptResult.TIMEOUT), request) == [api.Fail(request)]
 
 
-def test_held_request_is_answered_before_its_deadline():
+def test_a_waiting_request_is_answered_before_its_deadline():
     rig = Rig(endpoints=(entry(2, state=EndpointState.DRAINING),))
-    request, actions = rig.ask("write", ttl=0.5)
+    request, actions = rig.receive("write", ttl=0.5)
     assert sends(actions) == []
     actions = rig.run(0.5)
     assert len(finals(actions, request)) == 1
 
 
-def test_client_with_less_time_than_a_beat_is_answered_on_arrival():
+def test_a_client_with_less_time_than_a_tick_is_answered_on_arrival():
     rig = Rig(endpoints=(entry(2, state=EndpointState.DRAINING),))
-    request, actions = rig.ask("bounded", ttl=0.004)
+    request, actions = rig.receive("bounded", ttl=0.004)
     assert len(finals(actions, request)) == 1
 
 
 def test_nothing_follows_a_final_answer():
     rig = Rig()
-    request, _ = rig.ask("any")
+    request, _ = rig.receive("any")
     endpoint = sends(rig.log, request)[0]
     rig.feed(api.ClientDisconnected(request))
-    actions = rig.end(request, 0, endpoint, AttemptResult.ERROR, final=True) + rig.run(2.0)
+    actions = rig.finish(request, 0, endpoint, AttemptResult.ERROR, final=True) + rig.run(2.0)
     assert sends(actions, request) == [] and finals(actions, request) == []
 
 
@@ -60,15 +60,15 @@
         AttemptResult.NOT_ELIGIBLE,
     ],
 )
-def test_unsafe_request_may_be_refused_when_it_never_ran(result):
+def test_a_request_that_is_not_idempotent_may_be_rejected_when_it_never_ran(result):
     rig = Rig()
-    request, _ = rig.ask("unsafe", ttl=1.5)
+    request, _ = rig.receive("unsafe", ttl=1.5)
     rig.feed(
         api.EndpointListUpdate(
             tuple(entry(m, state=EndpointState.DRAINING) for m in (1, 2, 3)), complete=True
         )
     )
-    rig.end(request, 0, 1, result)
+    rig.finish(request, 0, 1, result)
     rig.run(1.5)
     answers = finals(rig.log, request)
     assert answers and isinstance(answers[0], api.Reject)
@@ -77,38 +77,38 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 )
-def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(result):
+def test_a_request_that_is_not_idempotent_and_may_have_run_fails_and_is_not_retried(result):
     rig = Rig()
-    request, _ = rig.ask("unsafe", ttl=1.5)
-    rig.end(request, 0, 1, result)
+    request, _ = rig.receive("unsafe", ttl=1.5)
+    rig.finish(request, 0, 1, result)
     rig.run(1.6)
     assert sends(rig.log, request) == [1]
     assert [type(a) for a in finals(rig.log, request)] == [api.Fail]
 
 
-def test_keyed_request_is_repeated_within_its_window_only():
+def test_a_keyed_request_is_retried_within_its_deduplication_window_only():
     for wait, again in ((0.9, [1, 1]), (1.05, [1])):
         rig = Rig()
-        request, _ = rig.ask("write", ttl=1.9)
+        request, _ = rig.receive("write", ttl=1.9)
         rig.run(wait)
-        rig.end(request, 0, 1, AttemptResult.ERROR)
+        rig.finish(request, 0, 1, AttemptResult.ERROR)
         assert sends(rig.log, request) == again
         rig.run(1.5)
         if again == [1]:
             assert finals(rig.log, request) == [api.Fail(request)]
 
 
-def test_keyed_request_that_may_have_run_is_refused_only_where_every_member_drops_repeats():
+def test_a_keyed_request_that_may_have_run_is_rejected_only_where_every_endpoint_drops_repeats():
     for name, kind in (("write", api.Fail), ("wide", api.Reject)):
         rig = Rig()
-        request, _ = rig.ask(name, ttl=0.5)
+        request, _ = rig.receive(name, ttl=0.5)
         rig.run(0.5)
-        assert [type(a) for a in finals(rig.end(request, 0, 1, AttemptResult.TIMEOUT), request)] == [kind]
+        assert [type(a) for a in finals(rig.finish(request, 0, 1, AttemptResult.TIMEOUT), request)] == [kind]
 
 
-def test_no_second_copy_where_the_site_forbids_it():
+def test_no_hedged_request_where_the_site_forbids_it():
     rig = Rig(replace(SETTINGS, hedging=False))
-    request, _ = rig.ask("any", ttl=0.9)
+    request, _ = rig.receive("any", ttl=0.9)
     rig.run(0.8)
     assert len(sends(rig.log, request)) == 1
 
@@ -117,60 +117,60 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_nothing_new_goes_to_a_member_told_draining_or_gone(state):
+def test_nothing_new_goes_to_an_endpoint_listed_as_draining_or_gone(state):
     rig = Rig()
     rig.feed(api.EndpointListUpdate((entry(2, state=state),), complete=False))
     for _ in range(60):
-        rig.ask("any")
+        rig.receive("any")
         rig.run(0.02)
     assert 2 not in sends(rig.log)
 
 
-def test_a_complete_list_that_omits_a_member_removes_it():
+def test_a_complete_list_that_omits_an_endpoint_removes_it():
     rig = Rig()
     rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(3)), complete=True))
     for _ in range(40):
-        rig.ask("any")
+        rig.receive("any")
         rig.run(0.02)
     assert 2 not in sends(rig.log)
 
 
 @pytest.mark.parametrize("how", ["trial", "stuck write"])
-def test_no_way_of_sending_passes_a_drain(how):
-    # Incident ie07cc6: a trial by copy went to a suspect that the list had removed meanwhile.
+def test_no_way_of_sending_goes_to_a_draining_endpoint(how):
+    # Incident ie07cc6: a trial went to an ejected endpoint that the list had removed meanwhile.
     rig = Rig()
-    request, _ = rig.ask("write", ttl=1.9)
+    request, _ = rig.receive("write", ttl=1.9)
     rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.feed(api.EndpointListUpdate((entry(3, state=EndpointState.GONE),), complete=False))
     rig.run(0.8)
     if how == "stuck write":
-        rig.heard(3, 0.0, primary=True)
+        rig.report(3, 0.0, primary=True)
     for _ in range(10):
-        rig.ask("any")
+        rig.receive("any")
     assert 3 not in sends(rig.log)
 
 
-# Rule 4: cold members
+# Rule 4: warming endpoints
 
 
 def steady(rig: Rig, seconds: float, rate: int = 100) -> None:
     """Answered reads and writes at an even rate."""
     for _ in range(int(seconds * rate)):
-        request, actions = rig.ask("write" if rig.ids % 5 == 0 else "any")
+        request, actions = rig.receive("write" if rig.ids % 5 == 0 else "any")
         for endpoint in sends(actions, request):
-            rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
+            rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
         rig.run(1.0 / rate)
 
 
 def share_in(rig: Rig, endpoint: int, seconds: float) -> float:
-    """The share of the sends of the next seconds that one member gets."""
+    """The share of the sends of the next seconds that one endpoint gets."""
     start = len(rig.log)
     steady(rig, seconds)
     got = sends(rig.log[start:])
     return got.count(endpoint) / len(got)
 
 
-def test_a_cold_member_is_ramped_against_its_warm_peers():
+def test_a_warming_endpoint_is_ramped_against_its_warm_peers():
     rig = Rig()
     steady(rig, 5.0)
     rig.feed(api.EndpointListUpdate((entry(3, started=rig.now),), complete=False))
@@ -180,19 +180,19 @@
     assert 0 < first < 0.15 < share_in(rig, 3, 2.0)
 
 
-def test_many_drivers_together_leave_a_cold_group_room():
-    # Each driver's floor would be multiplied by the drivers: 400 of them must send a share, not one each.
+def test_many_instances_together_leave_a_warming_group_headroom():
+    # A minimum for each instance would be multiplied: 400 of them must send a share, not one each.
     sent = 0
     for seed in range(400):
         started = tuple(entry(m, started=99.9, primary=m == 1) for m in (1, 2, 3))
         rig = Rig(endpoints=started, seed=seed)
-        rig.ask("any", ttl=0.3)
+        rig.receive("any", ttl=0.3)
         sent += len(sends(rig.log))
     assert 0 < sent < 0.5 * 400
 
 
-def test_many_drivers_together_do_not_push_a_cold_primary_over():
-    # A cold new primary has a fifth of its capacity; writes take at most all of a warm one's.
+def test_many_instances_together_do_not_overload_a_warming_primary():
+    # A warming new primary has a fifth of its capacity; writes take at most all of a warm one's.
     sent = 0
     for seed in range(400):
         rig = Rig(seed=seed)
@@ -201,8 +201,8 @@
                 (entry(1, state=EndpointState.GONE), entry(2, started=rig.now)), complete=False
             )
         )
-        rig.heard(2, 0.0, primary=True)
-        rig.ask("write", ttl=0.3)
+        rig.report(2, 0.0, primary=True)
+        rig.receive("write", ttl=0.3)
         rig.run(0.2)
         sent += sends(rig.log).count(2)
     factor = SETTINGS.rules.overload_factor * SETTINGS.rules.initial_capacity
@@ -216,98 +216,98 @@
     for age, allowed in ((0.498, {2, 3}), (0.5001, {1})):
         rig = Rig()
         for _ in range(30):
-            rig.heard(2, age)
-            rig.heard(3, age)
-            request, actions = rig.ask("bounded")
+            rig.report(2, age)
+            rig.report(3, age)
+            request, actions = rig.receive("bounded")
             assert set(sends(actions, request)) <= allowed | {1}
         assert set(sends(rig.log)) & allowed
 
 
 def test_position_neither_regresses_nor_runs_ahead_of_now():
     rig = Rig()
-    rig.heard(2, 0.1)
-    rig.heard(2, 0.9)
-    rig.heard(3, -5.0)
+    rig.report(2, 0.1)
+    rig.report(2, 0.9)
+    rig.report(3, -5.0)
     for _ in range(20):
-        rig.ask("bounded")
+        rig.receive("bounded")
     assert 2 in sends(rig.log) and 3 not in sends(rig.log)
 
 
-def test_session_read_carried_needs_its_write():
+def test_a_session_read_whose_client_brings_the_age_needs_its_write():
     rig = Rig()
-    rig.heard(2, 0.2)
+    rig.report(2, 0.2)
     for age, endpoint in ((0.3, 2), (0.1, 1), (0.2, 1)):
         rig.router.endpoints[3].health_check_pending = True
         request, used = placed(rig, "session", session_age=age)
         assert used == [endpoint]
-        rig.end(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
+        rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
 
 
-def test_session_read_remembered_needs_the_writes_seen_here():
+def test_a_session_read_remembered_here_needs_the_writes_seen_here():
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
-    request, _ = rig.ask("write", session="s")
-    rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
+    request, _ = rig.receive("write", session="s")
+    rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     read, used = placed(rig, "session", session="s")
     assert used == [1]
     rig.run(0.1)
-    rig.heard(2, 0.0)
-    read, actions = rig.ask("session", session="s")
+    rig.report(2, 0.0)
+    read, actions = rig.receive("session", session="s")
     assert sends(actions, read) == [2]
-    read, actions = rig.ask("session", session="other")
+    read, actions = rig.receive("session", session="other")
     assert set(sends(actions, read)) <= {2, 3}
 
 
-def test_a_former_primary_serves_fresh_reads_until_an_answer_tells():
+def test_a_former_primary_serves_fresh_reads_until_an_answer_says_otherwise():
     rig = Rig()
-    request, actions = rig.ask("fresh")
+    request, actions = rig.receive("fresh")
     assert sends(actions) == [1]
-    rig.end(request, 0, 1, AttemptResult.OK, primary=False)
-    request, actions = rig.ask("fresh")
+    rig.finish(request, 0, 1, AttemptResult.OK, primary=False)
+    request, actions = rig.receive("fresh")
     assert sends(actions, request) == []
 
 
 @pytest.mark.parametrize("checks", [StaleReadHandling.REJECT, StaleReadHandling.WAIT])
-def test_where_members_check_the_most_advanced_is_tried(checks):
+def test_where_endpoints_check_freshness_the_most_advanced_is_tried(checks):
     rig = Rig(replace(SETTINGS, stale_read_handling=checks))
-    rig.heard(2, 2.0)
-    rig.heard(3, 0.9)
-    request, actions = rig.ask("session", session_age=0.1)
+    rig.report(2, 2.0)
+    rig.report(3, 0.9)
+    request, actions = rig.receive("session", session_age=0.1)
     assert sends(actions, request) == [3]
-    assert sends(rig.end(request, 0, 3, AttemptResult.NOT_ELIGIBLE, primary=False), request) == [2]
+    assert sends(rig.finish(request, 0, 3, AttemptResult.NOT_ELIGIBLE, primary=False), request) == [2]
 
 
 def test_a_commit_and_a_position_in_the_same_millisecond_do_not_count_as_reached():
     # Incident i85c1e8: both are rounded to milliseconds, so equal figures do not prove the order.
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
-    request, _ = rig.ask("write", session="s")
-    rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
-    rig.heard(2, 0.0)
+    request, _ = rig.receive("write", session="s")
+    rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
+    rig.report(2, 0.0)
     read, used = placed(rig, "session", session="s")
     assert used == [1]
 
 
 def test_a_write_that_commits_after_its_client_left_still_binds_its_session():
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
-    rig.heard(2, 0.1)
-    request, _ = rig.ask("write", session="s")
+    rig.report(2, 0.1)
+    request, _ = rig.receive("write", session="s")
     rig.feed(api.ClientDisconnected(request))
-    rig.end(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
+    rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     read, used = placed(rig, "session", session="s")
     assert used == [1]
 
 
-def test_a_late_list_is_no_reason_to_read_from_a_member_that_said_it_is_a_replica():
+def test_a_late_list_is_no_reason_to_read_from_an_endpoint_that_said_it_is_a_replica():
     # Incident ie80671: a demoted primary answered as a replica; the late list then named it primary.
     rig = Rig(endpoints=(entry(1), entry(2), entry(3)))
-    rig.heard(2, 0.0, primary=False)
+    rig.report(2, 0.0, primary=False)
     rig.feed(api.EndpointListUpdate((entry(2, primary=True),), complete=False))
     rig.run(3.0)
-    request, actions = rig.ask("fresh")
+    request, actions = rig.receive("fresh")
     assert sends(actions, request) == []
-    write, actions = rig.ask("write")
+    write, actions = rig.receive("write")
     assert sends(actions, write) == [2]
-    rig.end(write, 0, 2, AttemptResult.OK, primary=True)
-    request, actions = rig.ask("fresh")
+    rig.finish(write, 0, 2, AttemptResult.OK, primary=True)
+    request, actions = rig.receive("fresh")
     assert sends(actions, request) == [2]
 
 
@@ -322,23 +322,23 @@
 
 @pytest.mark.parametrize("result", [*LOST, *NEVER])
 def test_what_a_session_wrote_binds_its_reads_though_the_answer_was_lost(result):
-    """Marks are remembered here: until now while it is out, until its end where it may have run, else not."""
+    """Remembered here: until now while in flight, until its end where it may have run, else not."""
     rig = Rig(
         replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, health_checks=False, max_attempts=1)
     )
     for endpoint in (2, 3):
-        rig.heard(endpoint, 0.0)
-    write, actions = rig.ask("write", session="s")
+        rig.report(endpoint, 0.0)
+    write, actions = rig.receive("write", session="s")
     assert sends(actions, write) == [1]
     rig.router.endpoints[1].concurrency_limit = 0.5  # for what no replica may serve
     rig.run(0.05)
-    early, actions = rig.ask("session", session="s")
+    early, actions = rig.receive("session", session="s")
     assert sends(actions, early) == []
-    other, actions = rig.ask("session", session="another")
+    other, actions = rig.receive("session", session="another")
     assert set(sends(actions, other)) < {2, 3}
-    actions = rig.end(write, 0, 1, result, primary=True, final=False)
+    actions = rig.finish(write, 0, 1, result, primary=True, final=False)
     assert bool(sends(actions, early)) is (result in NEVER)
-    late, actions = rig.ask("session", session="s")
+    late, actions = rig.receive("session", session="s")
     assert bool(sends(actions, late)) is (result in NEVER)
     if result in LOST:
         ended = rig.now
@@ -348,7 +348,7 @@
 
 
 def report_of(endpoint: int, position: float) -> api.HealthCheckFinished:
-    """A probe's answer that tells how far a replica is."""
+    """A health check's answer with a replica's position."""
     return api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, api.LoadReport(position, False))
 
 
@@ -358,7 +358,7 @@
 
 @given(SESSION_STEPS, st.integers(0, 2**16))
 def test_in_every_order_a_replica_that_a_session_s_read_is_sent_to_holds_all_that_it_wrote(steps, seed):
-    """Commits fall anywhere between a write's send and its end, told or lost; positions only from reports."""
+    """Commits fall anywhere between a write's send and end, stated or lost; positions only from reports."""
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, hedging=bool(seed % 2)), seed=seed)
     names, attempts, out, committed = {}, {}, [], {"s": -1.0, "t": -1.0}
     held = {endpoint: rig.now for endpoint in (1, 2, 3)}  # where each is in truth; the primary at the present
@@ -379,7 +379,7 @@
         if what in ("write", "read"):
             kind, session = "write" if what == "write" else "session", "st"[which % 2]
             names[rig.ids + 1] = (kind, session)
-            take(rig.ask(kind, session=session)[1])
+            take(rig.receive(kind, session=session)[1])
         elif what == "commits" and picked and names[picked[0]][0] == "write" and picked[2] == 1:
             if not picked[3]:
                 picked[3] = committed[names[picked[0]][1]] = rig.now
@@ -396,7 +396,7 @@
             fields = {"primary": picked[2] == 1} if result is AttemptResult.OK else {}
             position = picked[3] or held[picked[2]]
             told = {"position": position} if result is AttemptResult.OK else {}
-            take(rig.end(picked[0], picked[1], picked[2], result, **fields, **told))
+            take(rig.finish(picked[0], picked[1], picked[2], result, **fields, **told))
         elif what == "report":
             endpoint = 2 + which % 2
             held[endpoint] = max(held[endpoint], rig.now - 0.02 * (which // 2))
@@ -407,25 +407,25 @@
             take(rig.feed(api.EndpointListUpdate((entry(2 + which % 2),), complete=False)))
 
 
-@pytest.mark.parametrize("how", ["tried again", "waiting", "copied"])
+@pytest.mark.parametrize("how", ["tried again", "waiting", "hedged"])
 def test_a_session_read_sees_what_its_session_wrote_before_each_send(how):
-    """Marks are remembered here: a write of the session is answered before the read is sent."""
+    """Sessions are remembered here: a write of the session is answered before the read is sent."""
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, health_checks=False, hedging=True))
     for endpoint in (2, 3):
-        rig.heard(endpoint, 0.0)
-    write, _ = rig.ask("write", session="s", ttl=1.9)
+        rig.report(endpoint, 0.0)
+    write, _ = rig.receive("write", session="s", ttl=1.9)
     if how == "waiting":
         for endpoint in rig.router.endpoints.values():
             endpoint.concurrency_limit = 0.0
-    read, actions = rig.ask("session", session="s")
+    read, actions = rig.receive("session", session="s")
     assert bool(sends(actions, read)) is (how != "waiting")
     rig.now += 0.01
     for endpoint in (2, 3):
         rig.router.endpoints[endpoint].concurrency_limit = 4.0
-    rig.end(write, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
+    rig.finish(write, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     if how == "tried again":
-        rig.end(read, 0, sends(actions, read)[0], AttemptResult.CONNECT_FAILED)
-    elif how == "copied":
+        rig.finish(read, 0, sends(actions, read)[0], AttemptResult.CONNECT_FAILED)
+    elif how == "hedged":
         rig.router.hedging.hedge(rig.router.requests[read])
     rig.run(0.02)
     later = sends(rig.log, read)[len(sends(actions, read)) :]
--- a/tests/test_router_zone_weights.py
+++ b/tests/test_router_zone_weights.py
@@ -1,4 +1,4 @@
-"""The module's part of zones: a share takes reads away, never anything that a rule asks for."""
+"""Zone weights in the router: a weight takes reads away, never anything that a rule asks for."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sedgepitch.routing.messages import AttemptResult
 from tests.support.router_harness import Rig, entry, placed, sends
 
-MEMBERS = (
+ENDPOINTS = (
     entry(1, primary=True, zone="a"),
     entry(2, zone="a"),
     entry(3, zone="b"),
@@ -16,12 +16,12 @@
 )
 
 
-def rig(**shares: float) -> Rig:
-    held = Rig(endpoints=MEMBERS)
+def rig(**weights: float) -> Rig:
+    held = Rig(endpoints=ENDPOINTS)
     for endpoint in (1, 2, 3, 4):
-        held.heard(endpoint, 0.0, primary=endpoint == 1)
-    if shares:
-        held.feed(api.ZoneWeights(tuple(sorted(shares.items()))))
+        held.report(endpoint, 0.0, primary=endpoint == 1)
+    if weights:
+        held.feed(api.ZoneWeights(tuple(sorted(weights.items()))))
     return held
 
 
@@ -30,20 +30,20 @@
     got: dict[int, int] = {}
     for _ in range(count):
         for endpoint in (1, 2, 3, 4):
-            held.heard(endpoint, 0.0, primary=endpoint == 1)
+            held.report(endpoint, 0.0, primary=endpoint == 1)
         request, endpoints = placed(held, name, **fields)
         for attempt, endpoint in enumerate(endpoints):
             got[endpoint] = got.get(endpoint, 0) + 1
-            held.end(request, attempt, endpoint, AttemptResult.OK, position=held.now)
+            held.finish(request, attempt, endpoint, AttemptResult.OK, position=held.now)
     return got
 
 
-def test_without_the_event_or_with_full_shares_actions_are_the_same():
-    plain, told = rig(), rig(a=1.0, b=1.0)
-    for held in (plain, told):
+def test_without_the_event_or_with_full_weights_actions_are_the_same():
+    plain, weighted = rig(), rig(a=1.0, b=1.0)
+    for held in (plain, weighted):
         for name in ("bounded", "any", "session", "fresh", "write"):
             read(held, name, 20)
-    assert plain.log == told.log and len(plain.log) > 100
+    assert plain.log == weighted.log and len(plain.log) > 100
 
 
 @pytest.mark.parametrize("name", ["bounded", "any", "session"])
@@ -59,35 +59,35 @@
 
 def test_a_session_read_may_go_to_a_primary_in_a_zone_that_is_left():
     held = rig(a=0.0, b=0.0)
-    held.feed(api.EndpointListUpdate(MEMBERS[:1], complete=True))
+    held.feed(api.EndpointListUpdate(ENDPOINTS[:1], complete=True))
     assert set(read(held, "session", 20, session="s", session_age=0.1)) <= {1}
 
 
-def test_a_zone_s_share_is_the_share_of_requests_that_may_go_there():
+def test_a_zone_s_weight_is_the_share_of_requests_that_may_go_there():
     held = rig(b=0.3)
     got = read(held, "any", 600)
     there = got.get(3, 0) + got.get(4, 0)
     assert 0.05 < there / sum(got.values()) < 0.35
 
 
-def test_a_share_makes_no_suspect_trusted_and_no_trial_goes_to_a_zone_that_is_left():
+def test_a_weight_takes_no_ejected_endpoint_back_and_no_trial_goes_to_a_zone_that_is_left():
     held = rig()
     for _ in range(120):
         request, endpoints = placed(held, "any")
         for at, endpoint in enumerate(endpoints):
             if endpoint in (3, 4):
-                held.end(request, at, endpoint, AttemptResult.RESET)
+                held.finish(request, at, endpoint, AttemptResult.RESET)
             else:
-                held.end(request, at, endpoint, AttemptResult.OK, position=held.now)
+                held.finish(request, at, endpoint, AttemptResult.OK, position=held.now)
     held.run(1.0)
-    suspects = {m.id for m in held.router.endpoints.values() if m.ejection_reason}
-    assert suspects == {3, 4}
+    ejected = {m.id for m in held.router.endpoints.values() if m.ejection_reason}
+    assert ejected == {3, 4}
     held.feed(api.ZoneWeights((("b", 0.0),)))
     mark = len(held.log)
     for _ in range(100):
         request, endpoints = placed(held, "any")
         for at, endpoint in enumerate(endpoints):
-            held.end(request, at, endpoint, AttemptResult.OK, position=held.now)
+            held.finish(request, at, endpoint, AttemptResult.OK, position=held.now)
         held.run(0.05)
     later = held.log[mark:]
     assert not {3, 4} & set(sends(later))
