--- a/tests/support/router_harness.py
+++ b/tests/support/router_harness.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from random import Random
 
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import (
@@ -12,7 +13,9 @@
     Freshness,
     Idempotency,
 )
+from sedgepitch.routing.records import Endpoint, ReplicaGroup, RoutedRequest
 from sedgepitch.routing.router import Router
+from sedgepitch.routing.state import RouterState
 
 
 def make_class(name: str, freshness: Freshness, **changes) -> api.RequestClass:
@@ -145,3 +148,33 @@
     request, _ = rig.receive(name, **fields)
     rig.run(0.04)
     return request, sends(rig.log, request)
+
+
+def make_state(settings: api.Settings = SETTINGS, now: float = 100.0, seed: int = 7) -> RouterState:
+    """The shared state of a router, for tests of one part alone."""
+    return RouterState(settings, Random(seed), now)
+
+
+def make_endpoint(router_state: RouterState, number: int = 1, **fields) -> Endpoint:
+    """An endpoint of group 1 that is up and warm, in the state's records."""
+    group = router_state.groups.setdefault(1, ReplicaGroup())
+    stated = {"zone": "a", "size": 1.0, "state": EndpointState.UP, "started": 0.0, "preference_weight": 0.5}
+    endpoint = Endpoint(id=number, group_id=1, **(stated | fields))
+    group.endpoints.append(endpoint)
+    router_state.endpoints[number] = endpoint
+    return endpoint
+
+
+def make_request(state: RouterState, name: str = "any", number: int = 1, **fields) -> RoutedRequest:
+    """A request of that class for group 1, with the class's whole deadline left."""
+    request_class = next(c for c in CLASSES if c.name == name)
+    stated = {
+        "session": "",
+        "deadline": state.now + request_class.deadline,
+        "useful_until": state.now + request_class.latency_objective,
+        "wait_until": state.now + request_class.latency_objective,
+        "primary_only": request_class.freshness in (Freshness.WRITE, Freshness.FRESH),
+        "sampling_draw": 0.5,
+    }
+    group = state.groups.setdefault(1, ReplicaGroup())
+    return RoutedRequest(id=number, request_class=request_class, group=group, **(stated | fields))
--- /dev/null
+++ b/tests/test_freshness.py
@@ -0,0 +1,68 @@
+"""Positions, staleness bounds and sessions, by themselves."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from sedgepitch.routing import messages as api
+from sedgepitch.routing.freshness import FreshnessRules
+from sedgepitch.routing.messages import AttemptResult, SessionTracking
+from tests.support.router_harness import SETTINGS, make_endpoint, make_request, make_state
+
+REMEMBERED = replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY)
+
+
+@pytest.mark.parametrize(
+    ("name", "behind", "fresh"),
+    [
+        ("any", 1e6, True),
+        ("bounded", 0.498, True),
+        ("bounded", 0.5, False),  # positions are rounded to milliseconds
+        ("session", 0.298, True),
+        ("session", 0.3, False),
+        ("fresh", 0.0, False),
+        ("write", 0.0, False),
+    ],
+)
+def test_a_replica_is_fresh_enough_by_its_last_known_position(name, behind, fresh):
+    rules = FreshnessRules(make_state())
+    endpoint = make_endpoint(rules.state, position=rules.state.now - behind)
+    request = make_request(rules.state, name)
+    rules.session_age_stated(request, 0.3)
+    assert rules.fresh_enough(endpoint, request) is fresh
+
+
+@pytest.mark.parametrize(
+    ("result", "stated", "required"),
+    [
+        (AttemptResult.OK, 99.9, 99.9),
+        (AttemptResult.OK, None, 100.5),
+        (AttemptResult.TIMEOUT, 99.9, 100.5),  # it may have committed until its end
+        (AttemptResult.OVERLOADED, None, float("-inf")),
+    ],
+)
+def test_a_remembered_session_requires_the_present_while_it_writes_and_its_commit_then(
+    result, stated, required
+):
+    rules = FreshnessRules(make_state(REMEMBERED))
+    write = make_request(rules.state, "write", 1, session="s")
+    read = make_request(rules.state, "session", 2, session="s")
+    rules.write_started(write)
+    rules.state.now = 100.5
+    assert rules.required_position(read) == 100.5
+    rules.write_finished(write, api.AttemptFinished(1, 0, 1, result, 0.5, True, position=stated))
+    assert rules.required_position(read) == required
+
+
+def test_a_forgotten_session_is_held_to_what_all_endpoints_had_reached():
+    rules = FreshnessRules(make_state(REMEMBERED))
+    make_endpoint(rules.state, 1, position=99.0)
+    make_endpoint(rules.state, 2, position=98.0)
+    group = rules.state.groups[1]
+    group.session_commits = {"old": 97.5, "new": 98.5}
+    rules.forget_sessions(group)
+    assert group.session_commits == {"new": 98.5}
+    old, new = (make_request(rules.state, "session", session=name) for name in ("old", "new"))
+    assert (rules.required_position(old), rules.required_position(new)) == (98.0, 98.5)
