--- a/tests/support/golden_fleet.py
+++ b/tests/support/golden_fleet.py
@@ -134,10 +134,14 @@
         self.lines: list[str] = []
         self.actions: dict[str, int] = {}
         self.agenda: list[tuple[float, int, Any]] = []
-        self.sequence = self.next_request = self.next_endpoint = self.batch_number = 0
+        self.sequence = 0
+        self.next_request = 0
+        self.next_endpoint = 0
+        self.batch_number = 0
         self.pending: list[Wire] = []
         self.requests: dict[int, OpenRequest] = {}
         self.commits: dict[str, float] = {}
+        self.attempt_endpoint: dict[tuple[int, int], EmulatedEndpoint] = {}
         zones = ["north", "south", "west"][: self.rng.choice((1, 2, 3))]
         self.zones = zones
         self.instances = [f"proxy-{n}" for n in range(self.rng.choice((1, 2, 3)))]
@@ -250,7 +254,7 @@
         self.at(rng.uniform(0.0, 0.8), self.announce)
 
     def recover(self, endpoint: EmulatedEndpoint) -> None:
-        """A fault ends; a process that was dead comes back cold."""
+        """A fault ends; a process that was dead starts anew."""
         if endpoint.fault == "dead":
             endpoint.started_s = self.now
         endpoint.fault = ""
@@ -263,15 +267,15 @@
 
     def fail_over(self, group: int) -> None:
         """Another endpoint of the group becomes the primary."""
-        members = [e for e in self.endpoints if e.group == group and e.state == "U"]
-        if members:
-            chosen = self.rng.choice(members)
+        candidates = [e for e in self.endpoints if e.group == group and e.state == "U"]
+        if candidates:
+            chosen = self.rng.choice(candidates)
             for endpoint in self.endpoints:
                 if endpoint.group == group:
                     endpoint.primary = endpoint is chosen
 
     def weigh_zones(self) -> None:
-        """Tell every instance which share of its reads each zone may have."""
+        """Give every instance a weight for each zone."""
         shares = tuple((zone, self.rng.choice((0.0, 0.3, 1.0))) for zone in self.zones)
         self.flush()
         for name in self.instances:
@@ -282,12 +286,12 @@
                 self.carry_out(command)
 
     def announce(self) -> None:
-        """Discovery tells the list to those that are subscribed."""
-        told = [name for name in self.instances if self.subscribed[name]]
-        if told:
-            self.send_list(self.rng.choice(("Partial", "Complete", "Complete")), told)
-        if self.setup["registryMode"] == "subscribe" and told and self.rng.random() < 0.2:
-            lost = self.rng.choice(told)
+        """Discovery sends the list to the instances that watch it."""
+        watching = [name for name in self.instances if self.subscribed[name]]
+        if watching:
+            self.send_list(self.rng.choice(("Partial", "Complete", "Complete")), watching)
+        if self.setup["registryMode"] == "subscribe" and watching and self.rng.random() < 0.2:
+            lost = self.rng.choice(watching)
             self.subscribed[lost] = False
             self.pending.append({"type": "sync", "driver": lost, "how": "Error"})
 
@@ -306,11 +310,6 @@
 
     # What the router asks for
 
-    @property
-    def attempt_endpoint(self) -> dict[tuple[int, int], EmulatedEndpoint]:
-        """Where each attempt went."""
-        return self.__dict__.setdefault("_attempt_endpoint", {})
-
     def carry_out(self, command: Wire) -> None:
         """Carry out one action of the router."""
         kind = command["type"]
@@ -372,7 +371,7 @@
     def finish(
         self, number: int, attempt: int, endpoint: EmulatedEndpoint, outcome: str, sent: float | None = None
     ) -> None:
-        """Tell the router how an attempt ended, once."""
+        """Report to the router how an attempt ended, once."""
         request = self.requests[number]
         if attempt not in request.out:
             return
