--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -180,7 +180,7 @@
             pool.reload(settings)
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what `sedgepitch door` prints as JSON; the keys are those of its output."""
+        """Return what `sedgepitch admission` shows, as JSON values under the keys of that interface."""
         rooms = [
             {
                 "group": group,
