--- a/sedgepitch/core/clock.py
+++ b/sedgepitch/core/clock.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
 from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from sedgepitch.core.types import TimerHandle
+if TYPE_CHECKING:
+    import asyncio
+
+    from sedgepitch.core.types import TimerHandle
 
 OFFSET_SAMPLES = 5
 
--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -22,7 +22,7 @@
 TICK = 0.01  # s between looks at deadlines and at queued admissions, while a request is pending
 LAST_GUARD_AFTER = 0.02  # s from telling the router that a deadline has passed until the engine answers
 CLOCK_TOLERANCE = 1e-6  # s
-SPARE_HEAP_ENTRIES = 64  # entries of ended requests that may stay in the heap, beside as many as are live
+MAX_STALE_ENTRIES = 64  # entries of ended requests that may stay in the heap, beside as many as are live
 NEVER = float("inf")
 
 
@@ -42,7 +42,7 @@
         """Watch the deadline of a request."""
         heappush(self._heap, (pending.deadline, pending.id))
         requests = self.engine.request_table.requests
-        if len(self._heap) > 2 * len(requests) + SPARE_HEAP_ENTRIES:
+        if len(self._heap) > 2 * len(requests) + MAX_STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if entry[1] in requests]
             heapify(self._heap)
         self._schedule_tick(now)
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush
 
-SPARE_ENTRIES = 64  # stale entries that may stay in a heap or a table, beside as many as are live
+MAX_STALE_ENTRIES = 64  # stale entries that may stay in a heap or a table, beside as many as are live
 
 
 @dataclass(slots=True, eq=False)
@@ -75,7 +75,7 @@
 
     def _forget_finish_tags(self) -> None:
         """Drop tags that are not ahead of virtual time, where many have gathered."""
-        if len(self.finish_tags) > 2 * len(self.queues) + SPARE_ENTRIES:
+        if len(self.finish_tags) > 2 * len(self.queues) + MAX_STALE_ENTRIES:
             self.finish_tags = {
                 client: tag
                 for client, tag in self.finish_tags.items()
@@ -105,7 +105,7 @@
             del self.levels[priority_weight]
         return None
 
-    def cost_ahead_of(self, request: QueuedRequest) -> float:
+    def backlog_before(self, request: QueuedRequest) -> float:
         """Return the cost that goes before a newcomer: of its client at no lower priority, or an even part.
 
         The even part is of all that the tenant has queued, shared by its priority levels.
@@ -243,7 +243,7 @@
         """Forget a tenant with nothing queued, but for a finish tag that is ahead."""
         self.tenants.pop(tenant.name, None)
         self._keep_finish_tag(tenant.name, tenant.finish_tag + tenant.correction)
-        if len(self._heap) > 2 * len(self.tenants) + SPARE_ENTRIES:
+        if len(self._heap) > 2 * len(self.tenants) + MAX_STALE_ENTRIES:
             self._heap = [
                 entry for entry in self._heap if entry[2] in self.tenants and self.tenants[entry[2]].in_heap
             ]
--- a/sedgepitch/decisions/admission/pool.py
+++ b/sedgepitch/decisions/admission/pool.py
@@ -148,7 +148,7 @@
             weights = sum(other.weight for other in tenants.values())
         else:
             weights = request.tenant_weight * len(tenants)
-        return tenant.cost_ahead_of(request) * weights / (request.tenant_weight * self.service_rate)
+        return tenant.backlog_before(request) * weights / (request.tenant_weight * self.service_rate)
 
     def shed_for(self, newcomer: QueuedRequest) -> QueuedRequest | None:
         """Take out a queued request to make room for a newcomer; None where the newcomer has to go.
