--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,8 +1,8 @@
-"""How soon a killed peer is known dead, what is suspected falsely, and what knowing each other costs.
+"""How soon a killed peer is found dead, what is suspected falsely, and what gossip costs.
 
 `python -m benchmarks.peers [--sizes 8,16,32] [--losses 0,5,20] [--calm 15]`: processes on loopback, every
-datagram through a relay that loses a share. Times are from the kill to the first and the last that took it
-for dead, on the one monotonic clock of the machine; processor time is a share of one core, a peer.
+datagram through a relay that loses a share. Times are from the kill to the first and the last that found it
+dead, on the one monotonic clock of the machine; processor time is a share of one core, a peer.
 """
 
 from __future__ import annotations
@@ -12,65 +12,102 @@
 import tempfile
 import time
 from contextlib import ExitStack
+from dataclasses import dataclass
 from pathlib import Path
 
 from sedgepitch.peers.keys import new_key_file
 from sedgepitch.scenarios.network_links import Link
-from sedgepitch.scenarios.peer_processes import Peer, processor_time, until
+from sedgepitch.scenarios.peer_processes import PeerProcess, processor_time, wait_until
+
+TIMEOUT_S = 240.0
+SECONDS_PER_HOUR = 3600.0
+SEEDS = 2  # peers that the others ask first
+
+
+@dataclass(slots=True, frozen=True)
+class Costs:
+    """False suspicions and deaths an hour and peer, bytes a second and peer, share of a core a peer."""
+
+    suspicions: float
+    deaths: float
+    bytes: float
+    cores: float
+
+
+@dataclass(slots=True, frozen=True)
+class Measurement:
+    """One row of the table. Detection times in seconds."""
+
+    first_detection: float
+    last_detection: float
+    costs: Costs
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody holds now."""
+    """Return ports that nobody holds now."""
     with ExitStack() as stack:
-        held = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in held:
-            one.bind(("127.0.0.1", 0))
-        return [one.getsockname()[1] for one in held]
+        sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
+        for bound in sockets:
+            bound.bind(("127.0.0.1", 0))
+        return [bound.getsockname()[1] for bound in sockets]
 
 
-def cell(count: int, loss: float, calm: float, seed: int) -> dict[str, float]:
-    """One fleet: it finds itself, is left alone for a while, then loses one."""
+def measure(count: int, loss: float, calm: float, seed: int) -> Measurement:
+    """Run one cluster: it finds itself, is left alone for `calm` seconds, then loses one peer."""
     with tempfile.TemporaryDirectory() as folder, ExitStack() as stack:
-        key = Path(folder) / "key"
-        new_key_file(key)
         addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
-        relays = [Link(a, seed + n) for n, a in enumerate(addresses)]
-        routes = [x for n, r in enumerate(relays) for x in ("--route", f"d{n}={r.address}")]
-        peers: dict[str, Peer] = {}
-        for n, own in enumerate(addresses):
-            seeds = [x for a in addresses[: min(n, 2)] for x in ("--seed", a)]
-            peers[f"d{n}"] = Peer(f"d{n}", key, "--listen", own, *seeds, *routes)
-            stack.callback(peers[f"d{n}"].end)
+        relays = [Link(address, seed + number) for number, address in enumerate(addresses)]
+        peers = start_peers(Path(folder) / "key", addresses, relays, stack)
         for relay in relays:
             stack.callback(relay.close)
         everyone = set(peers)
-        until(lambda: all(p.alive() == everyone for p in peers.values()), 240.0)
+        wait_until(lambda: all(peer.alive() == everyone for peer in peers.values()), TIMEOUT_S)
         for relay in relays:
             relay.loss = loss
-        before = {n: p.status() for n, p in peers.items()}
-        used = {n: processor_time(p.process.pid) for n, p in peers.items()}
-        began = time.monotonic()
-        time.sleep(calm)
-        spent = time.monotonic() - began
-        after = {n: p.status() for n, p in peers.items()}
-        cores = sum(processor_time(p.process.pid) - used[n] for n, p in peers.items()) / spent / count
+        costs = measure_costs(peers, calm)
+        victim = peers.pop(f"d{count - 1}")
+        killed_at = time.monotonic()
+        victim.kill()
+        wait_until(lambda: all(peer.events("dead", victim.name) for peer in peers.values()), TIMEOUT_S)
+        detected = [peer.events("dead", victim.name)[0]["at"] - killed_at for peer in peers.values()]
+        return Measurement(min(detected), max(detected), costs)
 
-        def grown(field: str) -> float:
-            return float(sum(after[n][field] - before[n][field] for n in peers))
 
-        victim = peers.pop(f"d{count - 1}")
-        killed = time.monotonic()
-        victim.end()
-        until(lambda: all(p.heard("dead", victim.name) for p in peers.values()), 240.0)
-        dead = [p.heard("dead", victim.name)[0]["at"] - killed for p in peers.values()]
-        return {
-            "first": min(dead),
-            "last": max(dead),
-            "suspected": grown("suspicions") / spent / count * 3600.0,
-            "dead": grown("deaths") / spent / count * 3600.0,
-            "bytes": grown("sent_bytes") / spent / count,
-            "cores": cores,
-        }
+def start_peers(
+    key: Path, addresses: list[str], relays: list[Link], stack: ExitStack
+) -> dict[str, PeerProcess]:
+    """Start a peer at each address, which reaches the others through the relays."""
+    new_key_file(key)
+    routes = [x for number, relay in enumerate(relays) for x in ("--route", f"d{number}={relay.address}")]
+    peers: dict[str, PeerProcess] = {}
+    for number, address in enumerate(addresses):
+        seeds = [x for seed in addresses[: min(number, SEEDS)] for x in ("--seed", seed)]
+        peer = PeerProcess(f"d{number}", key, "--listen", address, *seeds, *routes)
+        peers[peer.name] = peer
+        stack.callback(peer.kill)
+    return peers
+
+
+def measure_costs(peers: dict[str, PeerProcess], calm: float) -> Costs:
+    """Measure what running peers cost over some seconds in which nothing fails."""
+    before = {name: peer.status() for name, peer in peers.items()}
+    processor_before = {name: processor_time(peer.process.pid) for name, peer in peers.items()}
+    began = time.monotonic()
+    time.sleep(calm)
+    passed = time.monotonic() - began
+    after = {name: peer.status() for name, peer in peers.items()}
+    used = sum(processor_time(peer.process.pid) - processor_before[name] for name, peer in peers.items())
+
+    def rate(field: str) -> float:
+        grown = sum(after[name][field] - before[name][field] for name in peers)
+        return float(grown) / passed / len(peers)
+
+    return Costs(
+        rate("suspicions") * SECONDS_PER_HOUR,
+        rate("deaths") * SECONDS_PER_HOUR,
+        rate("sent_bytes"),
+        used / passed / len(peers),
+    )
 
 
 def main() -> None:
@@ -79,14 +116,15 @@
     parser.add_argument("--sizes", default="8,16,32")
     parser.add_argument("--losses", default="0,5,20", help="percent")
     parser.add_argument("--calm", default=15.0, type=float, help="seconds")
-    told = parser.parse_args()
+    options = parser.parse_args()
     print("peers  loss  first dead s  last s  suspected/h  false dead/h  bytes/s  core %", flush=True)
-    for count in map(int, told.sizes.split(",")):
-        for loss in map(float, told.losses.split(",")):
-            row = cell(count, loss / 100.0, told.calm, seed=count)
+    for count in map(int, options.sizes.split(",")):
+        for loss in map(float, options.losses.split(",")):
+            row = measure(count, loss / 100.0, options.calm, seed=count)
+            costs = row.costs
             print(
-                f"{count:5}{loss:5.0f}%{row['first']:14.2f}{row['last']:8.2f}{row['suspected']:13.1f}"
-                f"{row['dead']:14.1f}{row['bytes']:9.0f}{100 * row['cores']:8.2f}",
+                f"{count:5}{loss:5.0f}%{row.first_detection:14.2f}{row.last_detection:8.2f}"
+                f"{costs.suspicions:13.1f}{costs.deaths:14.1f}{costs.bytes:9.0f}{100 * costs.cores:8.2f}",
                 flush=True,
             )
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,12 +1,12 @@
-"""Zones lost and come back to: together with peers, each driver alone, and told at once by discovery.
+"""Zone failover and recovery: together with peers, each instance alone, and notified at once by discovery.
 
 `python -m benchmarks.zones {leave,return,false,cost} [--seeds 3] [--at-once 2] [--drivers 12] [--rate R]`:
-processes on loopback by `sedgepitch fleetday`. Within a table all ways play the same days and seeds.
+processes on loopback by `sedgepitch fleetday`. Within a table all modes play the same scenarios and seeds.
 
-leave   a zone of three goes silent for 8 s: when drivers left it, what was still sent there, worth in time
-return  a zone crashes and starts cold: when it was used in full again, what fell over
-false   days on which no zone is to be left: calm, overload, one sick member, one liar
-cost    processor time of a driver on calm days, together and alone
+leave   a zone of three stops answering for 8 s: when instances left it, what was still sent there, value
+return  a zone crashes and starts anew: when it was in full use again, what was overloaded
+false   scenarios in which no zone is to be left: calm, overload, one faulty endpoint, one Byzantine instance
+cost    processor time of an instance in calm scenarios, together and alone
 """
 
 from __future__ import annotations
@@ -23,10 +23,13 @@
 
 import yaml
 
-BASE: dict[str, Any] = {"drivers": 12, "members": 9, "rate": 240}
-LEAVE = {**BASE, "length": 24, "steps": [{"at": 5, "do": "lose", "zone": "south", "for": 8}]}
-# Members are slow enough that a zone's start is felt, and fall over as the rules state.
-COLD = {
+Scenario = dict[str, Any]  # a script of `sedgepitch fleetday`, as in its YAML
+Result = dict[str, Any]  # what it writes as JSON
+
+BASE: Scenario = {"drivers": 12, "members": 9, "rate": 240}
+LEAVE_SCENARIO = {**BASE, "length": 24, "steps": [{"at": 5, "do": "lose", "zone": "south", "for": 8}]}
+# Endpoints are slow enough that a zone's start shows, and are overloaded as the rules state.
+COLD_START_SCENARIO = {
     **BASE,
     "length": 22,
     "rate": 420,
@@ -36,7 +39,7 @@
     },
     "steps": [{"at": 4, "do": "crash", "zone": "south", "for": 4}],
 }
-FALSE = {
+FALSE_LEAVE_SCENARIOS = {
     "calm": {**BASE, "length": 20, "steps": []},
     "overload": {
         **BASE,
@@ -44,26 +47,26 @@
         "settings": {"standins": {"read_work": {"least": "15 ms", "most": "30 ms"}, "cores": 1}},
         "steps": [{"at": 4, "do": "burst", "factor": 3, "for": 8}],
     },
-    "sick member": {
+    "faulty endpoint": {
         **BASE,
         "length": 20,
         "steps": [{"at": 4, "do": "slow", "zone": "south", "part": 0.34, "factor": 20, "for": 8}],
     },
-    "liar": {
+    "byzantine": {
         **BASE,
         "length": 20,
         "beside": ["-m tests.support.byzantine_peer {name} {key} north lost {seed}"],
         "steps": [],
     },
 }
-WAYS = {"together": [], "alone": ["--alone"], "told at once": ["--told"]}
+MODES = {"together": [], "alone": ["--alone"], "notified at once": ["--told"]}
 
 
-def play(day: dict[str, Any], seed: int, *flags: str) -> dict[str, Any]:
-    """One day in a process of its own."""
+def play(scenario: Scenario, seed: int, *flags: str) -> Result:
+    """Play one scenario in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
         script, out = Path(folder) / "day.yaml", Path(folder) / "day.json"
-        script.write_text(yaml.safe_dump(day))
+        script.write_text(yaml.safe_dump(scenario))
         arguments = ["--script", str(script), "--json", str(out), "--seed", str(seed), *flags]
         done = subprocess.run(
             [sys.executable, "-m", "sedgepitch", "fleetday", *arguments], capture_output=True, text=True
@@ -73,55 +76,63 @@
         return {**json.loads(out.read_text()), "broken": done.returncode}
 
 
-def figure(rows: list[dict[str, Any]], name: str) -> str:
-    """The mean of one figure over seeds, with its largest."""
+def figure(rows: list[Result], name: str) -> str:
+    """Return the mean of one figure over seeds, with its largest."""
     values = [r[name] for r in rows if r[name] is not None]
     return f"{mean(values):.2f} ({max(values):.2f})" if values else "-"
 
 
-def compare(day: dict[str, Any], seeds: int, at_once: int, columns: dict[str, str]) -> None:
-    """One row a way: means over seeds, the largest in brackets."""
-    jobs = [(way, seed) for seed in range(1, seeds + 1) for way in WAYS]
+def compare(scenario: Scenario, seeds: int, at_once: int, columns: dict[str, str]) -> None:
+    """Print one row a mode: means over seeds, the largest in brackets."""
+    jobs = [(mode, seed) for seed in range(1, seeds + 1) for mode in MODES]
     with ThreadPoolExecutor(at_once) as pool:
-        played = list(pool.map(lambda job: play(day, job[1], *WAYS[job[0]]), jobs))
-    print("| way | " + " | ".join(columns.values()) + " | spread of leaving s | fallen over | rules broken |")
+        played = list(pool.map(lambda job: play(scenario, job[1], *MODES[job[0]]), jobs))
+    print("| mode | " + " | ".join(columns.values()) + " | spread of leaving s | overloaded | rules broken |")
     print("| --- |" + " --- |" * (len(columns) + 3))
-    for way in WAYS:
-        days = [d for (w, _), d in zip(jobs, played, strict=True) if w == way]
-        rows = [d["zones"][0] for d in days]
+    for mode in MODES:
+        results = [result for (m, _), result in zip(jobs, played, strict=True) if m == mode]
+        rows = [result["zones"][0] for result in results]
         spread = [r["last_left_s"] - r["first_left_s"] for r in rows if r["last_left_s"] is not None]
-        fell = sum(1 for d in days for r in d["rules"] for text in r["told"] if "fell over" in text)
+        overloaded = sum("fell over" in text for result in results for text in violations(result))
         cells = [figure(rows, name) for name in columns]
-        told = f"{mean(spread):.2f} ({max(spread):.2f})" if spread else "-"
-        print(f"| {way} | " + " | ".join(cells) + f" | {told} | {fell} | {sum(d['broken'] for d in days)} |")
+        spread_text = f"{mean(spread):.2f} ({max(spread):.2f})" if spread else "-"
+        broken = sum(result["broken"] for result in results)
+        print(f"| {mode} | " + " | ".join(cells) + f" | {spread_text} | {overloaded} | {broken} |")
+
+
+def violations(result: Result) -> list[str]:
+    """Return the texts of all rules that were broken in a scenario."""
+    return [text for rule in result["rules"] for text in rule["told"]]
 
 
 def false_leaves(seeds: int, at_once: int) -> None:
-    """Days on which no zone is to be left."""
-    jobs = [(name, seed) for name in FALSE for seed in range(1, seeds + 1)]
+    """Print the scenarios in which no zone is to be left."""
+    jobs = [(name, seed) for name in FALSE_LEAVE_SCENARIOS for seed in range(1, seeds + 1)]
     with ThreadPoolExecutor(at_once) as pool:
-        played = list(pool.map(lambda job: play(FALSE[job[0]], job[1]), jobs))
-    print("| days of | played | suspected | left or begun to | rules broken | of a core a driver |")
+        played = list(pool.map(lambda job: play(FALSE_LEAVE_SCENARIOS[job[0]], job[1]), jobs))
+    print("| scenario | played | suspected | left or begun to | rules broken | of a core an instance |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for name in FALSE:
-        days = [d for (n, _), d in zip(jobs, played, strict=True) if n == name]
-        events = [e for d in days for e in d["events"]]
-        left = sum(e["state"] in ("leaving", "left") for e in events)
-        suspected = sum(e["state"] == "suspected" for e in events)
-        broken, cores = sum(d["broken"] for d in days), mean(d["cores"] for d in days)
-        print(f"| {name} | {len(days)} | {suspected} | {left} | {broken} | {cores:.2%} |")
+    for name in FALSE_LEAVE_SCENARIOS:
+        results = [result for (n, _), result in zip(jobs, played, strict=True) if n == name]
+        events = [event for result in results for event in result["events"]]
+        left = sum(event["state"] in ("leaving", "left") for event in events)
+        suspected = sum(event["state"] == "suspected" for event in events)
+        broken = sum(result["broken"] for result in results)
+        cores = mean(result["cores"] for result in results)
+        print(f"| {name} | {len(results)} | {suspected} | {left} | {broken} | {cores:.2%} |")
 
 
 def cost(seeds: int, at_once: int) -> None:
-    """Processor time of a driver on calm days, with zones and peers, and alone."""
-    jobs = [(way, seed) for seed in range(1, seeds + 1) for way in ("together", "alone")]
+    """Print the processor time of an instance in calm scenarios, with zones and peers, and alone."""
+    jobs = [(mode, seed) for seed in range(1, seeds + 1) for mode in ("together", "alone")]
+    calm = FALSE_LEAVE_SCENARIOS["calm"]
     with ThreadPoolExecutor(at_once) as pool:
-        played = list(pool.map(lambda job: play(FALSE["calm"], job[1], *WAYS[job[0]])["cores"], jobs))
-    shares = {
-        w: mean(c for (way, _), c in zip(jobs, played, strict=True) if way == w)
-        for w in ("together", "alone")
+        played = list(pool.map(lambda job: play(calm, job[1], *MODES[job[0]])["cores"], jobs))
+    cores = {
+        wanted: mean(share for (mode, _), share in zip(jobs, played, strict=True) if mode == wanted)
+        for wanted in ("together", "alone")
     }
-    print(f"of a core a driver, calm: together {shares['together']:.2%}, alone {shares['alone']:.2%}")
+    print(f"of a core an instance, calm: together {cores['together']:.2%}, alone {cores['alone']:.2%}")
 
 
 def main() -> None:
@@ -131,25 +142,28 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--at-once", type=int, default=2)
     parser.add_argument("--drivers", type=int, default=12)
-    parser.add_argument("--rate", type=float, help="requests a second over all drivers, instead of the day's")
-    told = parser.parse_args()
-    for day in (LEAVE, COLD, *FALSE.values()):
-        day["drivers"] = told.drivers
-        day["rate"] = told.rate or day["rate"]
-    if told.what in ("false", "cost"):
-        (false_leaves if told.what == "false" else cost)(told.seeds, told.at_once)
+    parser.add_argument(
+        "--rate", type=float, help="requests a second over all instances, instead of the scenario's"
+    )
+    options = parser.parse_args()
+    for scenario in (LEAVE_SCENARIO, COLD_START_SCENARIO, *FALSE_LEAVE_SCENARIOS.values()):
+        scenario["drivers"] = options.drivers
+        scenario["rate"] = options.rate or scenario["rate"]
+    if options.what in ("false", "cost"):
+        (false_leaves if options.what == "false" else cost)(options.seeds, options.at_once)
         return
     columns = {
         "first_left_s": "first left s",
         "last_left_s": "last left s",
         "sent_in_vain": "sent in vain",
         "in_vain_95_s": "95 % of it by s",
-        "worth_before": "worth before",
+        "worth_before": "value before",
         "worth_during": "during",
         "worth_after": "6 s after",
         "back_last_s": "last in full use s after",
     }
-    compare(LEAVE if told.what == "leave" else COLD, told.seeds, told.at_once, columns)
+    scenario = LEAVE_SCENARIO if options.what == "leave" else COLD_START_SCENARIO
+    compare(scenario, options.seeds, options.at_once, columns)
 
 
 if __name__ == "__main__":
--- a/sedgepitch/scenarios/peer_processes.py
+++ b/sedgepitch/scenarios/peer_processes.py
@@ -1,4 +1,4 @@
-"""Peers as processes (`python -m sedgepitch.peers`), on loopback, with pipes to speak to them."""
+"""Gossip peers as processes (`python -m sedgepitch.peers`) on loopback, commanded through pipes."""
 
 from __future__ import annotations
 
@@ -16,10 +16,16 @@
 
 from sedgepitch.peers.keys import new_key_file
 
-WITHIN = 90.0  # s; generous, nothing waits for it unless something is broken
+TIMEOUT_S = 90.0  # generous: nothing waits for it unless something is broken
+POLL_INTERVAL_S = 0.05
+MAX_SEEDS = 2
+USER_TIME_FIELD = 11  # of /proc/PID/stat, counted after the command's name
+SYSTEM_TIME_FIELD = 12
 
+Event = dict[str, Any]  # one line that a peer printed
 
-class Peer:
+
+class PeerProcess:
     """One process."""
 
     def __init__(self, name: str, key: Path, *arguments: str) -> None:
@@ -31,91 +37,97 @@
             stderr=subprocess.STDOUT,
             text=True,
         )
-        self.lines: list[dict[str, Any]] = []
-        self.answers: queue.Queue[dict[str, Any]] = queue.Queue()
+        self.lines: list[Event] = []
+        self._status_lines: queue.Queue[Event] = queue.Queue()
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
         assert self.process.stdout is not None
         for line in self.process.stdout:
-            told = json.loads(line) if line.startswith("{") else {"what": "text", "text": line}
-            (self.answers.put if told["what"] == "status" else self.lines.append)(told)
+            event = json.loads(line) if line.startswith("{") else {"what": "text", "text": line}
+            if event["what"] == "status":
+                self._status_lines.put(event)
+            else:
+                self.lines.append(event)
 
     def address(self) -> str:
-        """Where it listens, once it does."""
-        until(lambda: any(x["what"] in ("ready", "text") for x in self.lines))
+        """Return where it listens, once it does."""
+        wait_until(lambda: any(line["what"] in ("ready", "text") for line in self.lines))
         return str(self.lines[0].get("address"))
 
-    def say(self, order: str) -> None:
-        """Give an order."""
+    def command(self, text: str) -> None:
+        """Give a command (see `sedgepitch.peers.__main__`)."""
         assert self.process.stdin is not None
-        self.process.stdin.write(order + "\n")
+        self.process.stdin.write(text + "\n")
         self.process.stdin.flush()
 
-    def status(self, *kinds: str) -> dict[str, Any]:
-        """What it holds."""
-        self.say(" ".join(("status", *kinds)))
-        return self.answers.get(timeout=WITHIN)
+    def status(self, *kinds: str) -> Event:
+        """Return what it knows, with the state entries of these kinds."""
+        self.command(" ".join(("status", *kinds)))
+        return self._status_lines.get(timeout=TIMEOUT_S)
 
     def alive(self) -> set[str]:
-        """Whom it holds for living, itself included."""
-        held = self.status()["peers"]
-        return {self.name} | {p["name"] for p in held if p["life"] in ("alive", "suspect")}
+        """Return the members not known to be gone, itself included."""
+        members = self.status()["peers"]
+        return {self.name} | {m["name"] for m in members if m["life"] in ("alive", "suspect")}
 
-    def heard(self, what: str, about: str | None = None) -> list[dict[str, Any]]:
-        """The changes of one kind that it told."""
-        return [x for x in self.lines if x["what"] == what and about in (None, x.get("peer"))]
+    def events(self, kind: str, member: str | None = None) -> list[Event]:
+        """Return the events of one kind that it printed, of one member or of all."""
+        return [line for line in self.lines if line["what"] == kind and member in (None, line.get("peer"))]
 
     def signal(self, number: int) -> None:
         """Send it a signal."""
         self.process.send_signal(number)
 
-    def end(self) -> None:
-        """Kill it."""
+    def kill(self) -> None:
+        """Kill it, also while it is suspended."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
         self.process.wait()
 
 
-class Peers:
-    """Several of them, `d0` and so on; all but the first ask the first."""
+class PeerCluster:
+    """Several peers, `d0` and so on; the first ones are the others' seeds."""
 
     def __init__(self, folder: Path, count: int, *arguments: str) -> None:
-        self.folder, self.arguments = folder, arguments
-        self.key = folder / "key"
-        new_key_file(self.key)
-        self.all: dict[str, Peer] = {}
+        self.peers: dict[str, PeerProcess] = {}
+        self._arguments = arguments
+        self._key = folder / "key"
+        new_key_file(self._key)
         for number in range(count):
             self.start(f"d{number}")
 
-    def start(self, name: str, *arguments: str, key: Path | None = None) -> Peer:
+    def start(self, name: str, *arguments: str, key: Path | None = None) -> PeerProcess:
         """Start one, or one anew."""
-        seeds = [x for n, p in self.all.items() if n != name for x in ("--seed", p.address())][:4]
-        self.all[name] = Peer(name, key or self.key, *seeds, *self.arguments, *arguments)
-        self.all[name].address()
-        return self.all[name]
+        seeds = [peer.address() for other, peer in self.peers.items() if other != name][:MAX_SEEDS]
+        options = [option for seed in seeds for option in ("--seed", seed)]
+        peer = PeerProcess(name, key or self._key, *options, *self._arguments, *arguments)
+        self.peers[name] = peer
+        peer.address()
+        return peer
 
     def agree(self, names: set[str]) -> bool:
-        """Whether all of these hold just these for living."""
-        return all(self.all[n].alive() == names for n in names)
+        """Whether all of these hold exactly these for alive."""
+        return all(self.peers[name].alive() == names for name in names)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill all."""
-        for peer in self.all.values():
-            peer.end()
+        for peer in self.peers.values():
+            peer.kill()
 
 
-def until(met: Callable[[], Any], within: float = WITHIN) -> None:
-    """Wait until something is so. Raises AssertionError where it never is."""
-    end = time.monotonic() + within
-    while not met():
-        assert time.monotonic() < end, "never so"
-        time.sleep(0.05)
+def wait_until(condition: Callable[[], object], timeout: float = TIMEOUT_S) -> None:
+    """Wait until a condition holds; timeout in seconds. Raises AssertionError if it never does."""
+    end = time.monotonic() + timeout
+    while not condition():
+        assert time.monotonic() < end, f"the condition was not met within {timeout} s"
+        time.sleep(POLL_INTERVAL_S)
 
 
 def processor_time(pid: int) -> float:
-    """Seconds that a process has used."""
+    """Return the seconds of processor time that a process has used."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+    ticks = int(fields[USER_TIME_FIELD]) + int(fields[SYSTEM_TIME_FIELD])
+    return ticks / os.sysconf("SC_CLK_TCK")
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sedgepitch.peers.keys import load_keys, new_key_file
-from sedgepitch.scenarios.peer_processes import until
+from sedgepitch.scenarios.peer_processes import wait_until
 from tests.conftest import example
 from tests.support.platform import ROOT
 from tests.test_peers_serve import serve, together
@@ -23,7 +23,7 @@
 def fleet(tmp_path):
     """Three drivers that act on zones together; where each shows them."""
     with together(tmp_path, zones={}, driver={"zone": "north"}) as (held, shown):
-        until(lambda: all(len(zones(a)["drivers"]) == 3 for a in shown.values()))
+        wait_until(lambda: all(len(zones(a)["drivers"]) == 3 for a in shown.values()))
         yield held, shown
 
 
@@ -52,18 +52,18 @@
     held, shown = fleet
     left = say(tmp_path, "leave", "south", "--reach", "60")
     assert left.returncode == 0 and "reached 3" in left.stdout, left.stderr
-    until(lambda: all(state(a) == "left" for a in shown.values()))
+    wait_until(lambda: all(state(a) == "left" for a in shown.values()))
     seen = say(tmp_path, "status")
     assert re.search(r"south\s+left\s+0%", seen.stdout) and "order 1 by n0: leave south" in seen.stdout
     held.drivers["n2"].process.send_signal(signal.SIGSTOP)
     try:
         back = say(tmp_path, "return", "south", "--reach", "1")
         assert back.returncode == 1 and "not known to have reached n2" in back.stderr
-        until(lambda: state(shown["n1"]) == "returning")
+        wait_until(lambda: state(shown["n1"]) == "returning")
     finally:
         held.drivers["n2"].process.send_signal(signal.SIGCONT)
-    until(lambda: state(shown["n2"]) in ("returning", "normal"))
-    until(lambda: all(state(a) == "normal" for a in shown.values()))
+    wait_until(lambda: state(shown["n2"]) in ("returning", "normal"))
+    wait_until(lambda: all(state(a) == "normal" for a in shown.values()))
 
 
 def test_orders_that_are_not_taken_are_one_line(fleet, tmp_path):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -41,7 +41,7 @@
     StreamState,
 )
 from sedgepitch.scenarios.network_links import Link
-from sedgepitch.scenarios.peer_processes import Peers, until
+from sedgepitch.scenarios.peer_processes import PeerCluster, wait_until
 from tests.support.platform import ROOT
 
 NAMES = st.text(max_size=64)
@@ -71,75 +71,78 @@
 
 
 @pytest.fixture
-def fleet(tmp_path):
-    held = Peers(tmp_path, 5, "--period", "0.5")  # slow, so that a busy machine is not accepted for dead
-    until(lambda: held.agree(set(held.all)))
-    yield held
-    held.end()
+def cluster(tmp_path):
+    cluster = PeerCluster(
+        tmp_path, 5, "--period", "0.5"
+    )  # slow, so that a busy machine is not taken for dead
+    wait_until(lambda: cluster.agree(set(cluster.peers)))
+    yield cluster
+    cluster.kill()
 
 
-def test_all_know_each_other_and_a_killed_one_is_dead_to_all(fleet):
-    fleet.all["d3"].end()
+def test_all_know_each_other_and_a_killed_one_is_dead_to_all(cluster):
+    cluster.peers["d3"].kill()
     left = {"d0", "d1", "d2", "d4"}
-    until(lambda: fleet.agree(left))
-    assert all(fleet.all[n].heard("dead", "d3") for n in left)
-    fleet.start("d3")
-    until(lambda: fleet.agree(left | {"d3"}))
+    wait_until(lambda: cluster.agree(left))
+    assert all(cluster.peers[n].events("dead", "d3") for n in left)
+    cluster.start("d3")
+    wait_until(lambda: cluster.agree(left | {"d3"}))
 
 
-def test_suspended_peers_are_dead_to_the_others_accuse_nobody_and_recover(fleet):
+def test_suspended_peers_are_dead_to_the_others_accuse_nobody_and_recover(cluster):
     suspended = {"d1", "d2"}
     running = {"d0", "d3", "d4"}
     for name in suspended:
-        fleet.all[name].signal(signal.SIGSTOP)
-    until(lambda: fleet.agree(running))
+        cluster.peers[name].signal(signal.SIGSTOP)
+    wait_until(lambda: cluster.agree(running))
     time.sleep(2.0)
     for name in suspended:
-        fleet.all[name].signal(signal.SIGCONT)
-    until(lambda: fleet.agree(suspended | running))
+        cluster.peers[name].signal(signal.SIGCONT)
+    wait_until(lambda: cluster.agree(suspended | running))
     for name in suspended:
-        held = fleet.all[name].status()  # it may have heard of the other's death, but found none itself
-        assert held["deaths"] == 0 and held["sleeps"] >= 1
+        status = cluster.peers[name].status()  # it may have heard of the other's death, but found none itself
+        assert status["deaths"] == 0 and status["sleeps"] >= 1
 
 
-def test_state_entries_reach_all_and_a_restarted_peer_replaces_its_own(fleet):
-    fleet.all["d2"].say("tell zones first")
-    until(lambda: all("d2" in p.status("zones")["words"]["zones"] for p in fleet.all.values()))
-    fleet.all["d2"].end()
-    fleet.start("d2").say("tell zones second")
-    until(
+def test_state_entries_reach_all_and_a_restarted_peer_replaces_its_own(cluster):
+    cluster.peers["d2"].command("tell zones first")
+    wait_until(lambda: all("d2" in p.status("zones")["words"]["zones"] for p in cluster.peers.values()))
+    cluster.peers["d2"].kill()
+    cluster.start("d2").command("tell zones second")
+    wait_until(
         lambda: all(
-            p.status("zones")["words"]["zones"].get("d2", [0, ""])[1] == "second" for p in fleet.all.values()
+            p.status("zones")["words"]["zones"].get("d2", [0, ""])[1] == "second"
+            for p in cluster.peers.values()
         )
     )
 
 
-def test_a_peer_that_is_stopped_announces_that_it_leaves(fleet):
-    fleet.all["d4"].signal(signal.SIGTERM)
-    assert fleet.all["d4"].process.wait(timeout=60) == 0
+def test_a_peer_that_is_stopped_announces_that_it_leaves(cluster):
+    cluster.peers["d4"].signal(signal.SIGTERM)
+    assert cluster.peers["d4"].process.wait(timeout=60) == 0
     left = {"d0", "d1", "d2", "d3"}
-    until(lambda: fleet.agree(left))
-    assert all(fleet.all[n].heard("left", "d4") or fleet.all[n].heard("dead", "d4") for n in left)
-    assert any(fleet.all[n].heard("left", "d4") for n in left)
+    wait_until(lambda: cluster.agree(left))
+    assert all(cluster.peers[n].events("left", "d4") or cluster.peers[n].events("dead", "d4") for n in left)
+    assert any(cluster.peers[n].events("left", "d4") for n in left)
 
 
-def test_a_wrong_key_has_no_effect_and_is_logged(fleet, tmp_path):
+def test_a_wrong_key_has_no_effect_and_is_logged(cluster, tmp_path):
     new_key_file(tmp_path / "other")
-    before = fleet.all["d0"].status()
-    stranger = fleet.start("d9", key=tmp_path / "other")
-    until(lambda: fleet.all["d0"].status()["counts"].get("bad frames"))
-    after = fleet.all["d0"].status()
+    before = cluster.peers["d0"].status()
+    stranger = cluster.start("d9", key=tmp_path / "other")
+    wait_until(lambda: cluster.peers["d0"].status()["counts"].get("bad frames"))
+    after = cluster.peers["d0"].status()
     assert {p["name"] for p in after["peers"]} == {p["name"] for p in before["peers"]}
     assert stranger.alive() == {"d9"}
     assert [
         x
-        for x in fleet.all["d0"].heard("line")
+        for x in cluster.peers["d0"].events("line")
         if x["event"] == "peers.invalid_frame" and "tag" in x["reason"]
     ]
 
 
-def test_garbage_at_full_speed_changes_nothing_and_is_logged_once_a_second(fleet):
-    host, _, port = fleet.all["d0"].address().rpartition(":")
+def test_garbage_at_full_speed_changes_nothing_and_is_logged_once_a_second(cluster):
+    host, _, port = cluster.peers["d0"].address().rpartition(":")
     out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     began = time.monotonic()
     for number in range(20_000):
@@ -152,34 +155,34 @@
     except ConnectionResetError:
         pass  # closed with what we sent unread
     stream.close()
-    until(lambda: fleet.agree(set(fleet.all)))
-    lines = [x for x in fleet.all["d0"].heard("line") if x["event"] == "peers.invalid_datagram"]
+    wait_until(lambda: cluster.agree(set(cluster.peers)))
+    lines = [x for x in cluster.peers["d0"].events("line") if x["event"] == "peers.invalid_datagram"]
     assert lines and len(lines) <= time.monotonic() - began + 2
-    assert fleet.all["d0"].status()["counts"]["bad"] > 100
-    assert fleet.all["d0"].process.poll() is None
+    assert cluster.peers["d0"].status()["counts"]["bad"] > 100
+    assert cluster.peers["d0"].process.poll() is None
 
 
 def test_replayed_datagrams_have_no_effect_not_even_on_the_next_session(tmp_path):
-    held = Peers(tmp_path, 2)
-    relay = Link(held.all["d0"].address())
-    speaker = held.start("d2", "--route", f"d0={relay.address}")
+    cluster = PeerCluster(tmp_path, 2)
+    relay = Link(cluster.peers["d0"].address())
+    speaker = cluster.start("d2", "--route", f"d0={relay.address}")
     try:
-        until(lambda: held.agree({"d0", "d1", "d2"}) and len(relay.kept) > 10)
-        speaker.say("tell zones something")
-        until(lambda: "d2" in held.all["d0"].status("zones")["words"]["zones"])
+        wait_until(lambda: cluster.agree({"d0", "d1", "d2"}) and len(relay.kept) > 10)
+        speaker.command("tell zones something")
+        wait_until(lambda: "d2" in cluster.peers["d0"].status("zones")["words"]["zones"])
         kept = list(relay.kept)
-        dropped = replay(relay, kept, held.all["d0"])
+        dropped = replay(relay, kept, cluster.peers["d0"])
         assert dropped > 0
-        speaker.end()
-        until(lambda: held.agree({"d0", "d1"}))
+        speaker.kill()
+        wait_until(lambda: cluster.agree({"d0", "d1"}))
         assert (
-            replay(relay, kept, held.all["d0"]) > 0
+            replay(relay, kept, cluster.peers["d0"]) > 0
         )  # of a session that has ended: nothing brings a dead member back
-        assert held.agree({"d0", "d1"})
-        assert "d2" not in held.all["d0"].status("zones")["words"]["zones"]
+        assert cluster.agree({"d0", "d1"})
+        assert "d2" not in cluster.peers["d0"].status("zones")["words"]["zones"]
     finally:
         relay.close()
-        held.end()
+        cluster.kill()
 
 
 def replay(relay, kept, to):
@@ -188,26 +191,26 @@
     for data in kept:
         relay.send(data)
     relay.send(b"the last")
-    until(lambda: to.status()["counts"].get("bad", 0) > counts.get("bad", 0))
+    wait_until(lambda: to.status()["counts"].get("bad", 0) > counts.get("bad", 0))
     return to.status()["counts"].get("replayed", 0) - counts.get("replayed", 0)
 
 
 def test_datagrams_cut_off_while_streams_go_through_make_nobody_dead(tmp_path):
-    held = Peers(tmp_path, 3, "--period", "1.0")
-    relays = [Link(held.all[n].address()) for n in ("d0", "d1", "d2")]
+    cluster = PeerCluster(tmp_path, 3, "--period", "1.0")
+    relays = [Link(cluster.peers[n].address()) for n in ("d0", "d1", "d2")]
     routes = [x for n, r in enumerate(relays) for x in ("--route", f"d{n}={r.address}")]
     try:
-        until(lambda: held.agree({"d0", "d1", "d2"}))
-        held.start("d3", *routes)
+        wait_until(lambda: cluster.agree({"d0", "d1", "d2"}))
+        cluster.start("d3", *routes)
         for relay in relays:  # what d3 says by datagram is lost; the others' streams reach it
             relay.cut = True
-        until(lambda: held.agree({"d0", "d1", "d2", "d3"}))
+        wait_until(lambda: cluster.agree({"d0", "d1", "d2", "d3"}))
         time.sleep(8.0)
-        assert not any(held.all[n].heard("dead") for n in ("d0", "d1", "d2"))
+        assert not any(cluster.peers[n].events("dead") for n in ("d0", "d1", "d2"))
     finally:
         for relay in relays:
             relay.close()
-        held.end()
+        cluster.kill()
 
 
 # Without processes
--- a/tests/test_peers_serve.py
+++ b/tests/test_peers_serve.py
@@ -14,7 +14,7 @@
 import pytest
 
 from sedgepitch.peers.keys import new_key_file
-from sedgepitch.scenarios.peer_processes import until
+from sedgepitch.scenarios.peer_processes import wait_until
 from sedgepitch.scenarios.processes import stage
 from tests.conftest import example
 from tests.support.platform import ROOT
@@ -38,7 +38,7 @@
             peers = {"listen": "127.0.0.1:0", "key_file": str(tmp_path / "key"), "seeds": list(seeds)}
             held.driver(name, peers=peers, **parts)
             log = tmp_path / f"{name}.log"
-            until(lambda log=log: "peers.listening" in log.read_text())
+            wait_until(lambda log=log: "peers.listening" in log.read_text())
             plain = re.sub(r"\x1b\[[0-9;]*m", "", log.read_text())
             seeds.append(re.search(r"peers\.listening\s+address=(\S+)", plain)[1])
             shown[name] = metrics
@@ -60,9 +60,11 @@
 
 def test_drivers_know_each_other_and_one_killed_is_dead_while_all_serve(drivers, tmp_path):
     held, shown = drivers
-    until(lambda: all(len(known(a)) == 2 and set(known(a).values()) == {"alive"} for a in shown.values()))
+    wait_until(
+        lambda: all(len(known(a)) == 2 and set(known(a).values()) == {"alive"} for a in shown.values())
+    )
     held.drivers["n1"].kill()
-    until(lambda: known(shown["n0"])["n1"] == "dead" and known(shown["n2"])["n1"] == "dead")
+    wait_until(lambda: known(shown["n0"])["n1"] == "dead" and known(shown["n2"])["n1"] == "dead")
     for name in ("n0", "n2"):
         host, port = held.addresses[name]
         with pymongo.MongoClient(host, port) as client:
@@ -78,7 +80,7 @@
         ran.returncode == 0 and re.search(r"n1\s+dead", ran.stdout) and re.search(r"n2\s+alive", ran.stdout)
     )
     held.driver("n1")
-    until(lambda: known(shown["n0"])["n1"] == "alive" and known(shown["n2"])["n1"] == "alive")
+    wait_until(lambda: known(shown["n0"])["n1"] == "alive" and known(shown["n2"])["n1"] == "alive")
 
 
 def test_a_driver_without_peers_opens_no_socket_and_imports_nothing_of_it(calm):
