--- a/sedgepitch/decisions/gossip/node.py
+++ b/sedgepitch/decisions/gossip/node.py
@@ -102,7 +102,7 @@
         )
         return self._due
 
-    def lateness(self, now: float) -> float:
+    def timer_delay(self, now: float) -> float:
         """Return by how many seconds the timer is late; 0 before the first one."""
         return max(0.0, now - self._due) if self._due > -inf else 0.0
 
@@ -184,7 +184,7 @@
 
     def _detect_pause(self, now: float) -> None:
         """Find out whether this process was suspended, before anything that came meanwhile is judged."""
-        late = self.lateness(now)
+        late = self.timer_delay(now)
         if late <= self.settings.pause_threshold:
             return
         self._due = now
--- a/sedgepitch/decisions/zones/controller.py
+++ b/sedgepitch/decisions/zones/controller.py
@@ -38,7 +38,7 @@
         """Judge all zones, those with the most weight against them first; returns the share of each."""
         self.table.keep_only(view.now, view.sizes)
         evidence = FleetEvidence(self._name, view)
-        if not view.after_pause and evidence.heard_enough():
+        if not view.after_pause and evidence.enough_received():
             self.capacity.update(evidence)
             against = {name: evidence.weight_against(name) for name in self.zones}
             for zone in sorted(self.zones.values(), key=lambda zone: (-against[zone.name], zone.name)):
--- a/sedgepitch/decisions/zones/evidence.py
+++ b/sedgepitch/decisions/zones/evidence.py
@@ -115,7 +115,7 @@
 
     # Verdicts
 
-    def heard_enough(self) -> bool:
+    def enough_received(self) -> bool:
         """Whether two thirds of the living were heard: before that a few would be a quorum."""
         return len(self.digests) * 3 >= self.view.alive * 2
 
--- a/sedgepitch/decisions/zones/recovery.py
+++ b/sedgepitch/decisions/zones/recovery.py
@@ -52,7 +52,7 @@
             zone.step_at = now  # a fault that this instance sees holds its own ramp
         if now - zone.step_at < settings.ramp_step_duration - STEP_TOLERANCE_S:
             return
-        if self._ahead_of_peers(zone, evidence):
+        if self._exceeds_peers(zone, evidence):
             return
         if zone.ramp_step + 1 < settings.ramp_steps:
             self.take_step(zone, now, zone.ramp_step + 1, zone.reason)
@@ -74,7 +74,7 @@
         own_vote = evidence.votes[self._name].get(zone.name, Vote.NONE)
         return own_vote >= Vote.FAILING or zone.name in evidence.partial_outages[self._name]
 
-    def _ahead_of_peers(self, zone: Zone, evidence: FleetEvidence) -> bool:
+    def _exceeds_peers(self, zone: Zone, evidence: FleetEvidence) -> bool:
         if not evidence.peer_statuses(zone.name):
             return False
         return zone.share > evidence.peer_use(zone.name).median_share + SHARE_TOLERANCE
--- a/sedgepitch/decisions/zones/votes.py
+++ b/sedgepitch/decisions/zones/votes.py
@@ -88,17 +88,17 @@
     enough_unreachable = row.unreachable >= outage_threshold(row.endpoints_up)
     if enough_unreachable and row.unreachable >= OUTAGE_SHARE * row.endpoints:
         return Vote.LOST
-    silent = _is_silent(row)
-    if silent and enough_unreachable and row.unanswered >= UNANSWERED_MIN:
+    without_answers = _unanswered_for_long(row)
+    if without_answers and enough_unreachable and row.unanswered >= UNANSWERED_MIN:
         return Vote.LOST
     if _is_failing(row):
         return Vote.FAILING
     if row.latency_permille >= PERMILLE * SLOW_LATENCY_RATIO_MIN and row.slow >= OUTAGE_SHARE * row.endpoints:
         return Vote.SLOW
-    return Vote.NONE if silent else Vote.HEALTHY
+    return Vote.NONE if without_answers else Vote.HEALTHY
 
 
-def _is_silent(row: ZoneObservation) -> bool:
+def _unanswered_for_long(row: ZoneObservation) -> bool:
     """Whether the last answer is too long ago, for the pace at which they came, to say something of now."""
     usual_gaps_ms = 1000.0 * SILENCE_GAPS * 1.5 * WINDOW_S / max(1, row.successes)
     return row.successes == 0 or row.since_success_ms > max(SILENCE_MIN_MS, usual_gaps_ms)
--- a/sedgepitch/peers/service.py
+++ b/sedgepitch/peers/service.py
@@ -173,7 +173,7 @@
     def was_suspended(self) -> bool:
         """Whether this process was suspended until now: what waits to be read is as old as that."""
         node = self.node
-        return node is not None and node.lateness(self.clock.now()) > node.settings.pause_threshold
+        return node is not None and node.timer_delay(self.clock.now()) > node.settings.pause_threshold
 
     def handle_message(self, now: float, sender: str, message: Message) -> None:
         """Give a message of a proven session to the node."""
--- a/sedgepitch/scenarios/peer_processes.py
+++ b/sedgepitch/scenarios/peer_processes.py
@@ -38,7 +38,7 @@
             text=True,
         )
         self.lines: list[Event] = []
-        self._status_lines: queue.Queue[Event] = queue.Queue()
+        self._status_answers: queue.Queue[Event] = queue.Queue()
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
@@ -46,7 +46,7 @@
         for line in self.process.stdout:
             event = json.loads(line) if line.startswith("{") else {"what": "text", "text": line}
             if event["what"] == "status":
-                self._status_lines.put(event)
+                self._status_answers.put(event)
             else:
                 self.lines.append(event)
 
@@ -64,7 +64,7 @@
     def status(self, *kinds: str) -> Event:
         """Return what it knows, with the state entries of these kinds."""
         self.command(" ".join(("status", *kinds)))
-        return self._status_lines.get(timeout=TIMEOUT_S)
+        return self._status_answers.get(timeout=TIMEOUT_S)
 
     def alive(self) -> set[str]:
         """Return the members not known to be gone, itself included."""
