--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,7 +1,7 @@
 """Zone failover and recovery: together with peers, each instance alone, and notified at once by discovery.
 
 `python -m benchmarks.zones {leave,return,false,cost} [--seeds 3] [--at-once 2] [--drivers 12] [--rate R]`:
-processes on loopback by `sedgepitch fleetday`. Within a table all modes play the same scenarios and seeds.
+processes on loopback by `sedgepitch fleet-scenario`. Within a table all modes play the same scenarios and seeds.
 
 leave   a zone of three stops answering for 8 s: when instances left it, what was still sent there, value
 return  a zone crashes and starts anew: when it was in full use again, what was overloaded
@@ -23,7 +23,7 @@
 
 import yaml
 
-Scenario = dict[str, Any]  # a script of `sedgepitch fleetday`, as in its YAML
+Scenario = dict[str, Any]  # a script of `sedgepitch fleet-scenario`, as in its YAML
 Result = dict[str, Any]  # what it writes as JSON
 
 BASE: Scenario = {"drivers": 12, "members": 9, "rate": 240}
@@ -69,7 +69,7 @@
         script.write_text(yaml.safe_dump(scenario))
         arguments = ["--script", str(script), "--json", str(out), "--seed", str(seed), *flags]
         done = subprocess.run(
-            [sys.executable, "-m", "sedgepitch", "fleetday", *arguments], capture_output=True, text=True
+            [sys.executable, "-m", "sedgepitch", "fleet-scenario", *arguments], capture_output=True, text=True
         )
         if not out.exists():
             raise SystemExit(done.stderr.strip() or done.stdout[-500:])
