--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -149,7 +149,7 @@
         for n in range(count):
             now = 10.0 + n * 1e-5
             actions = router.handle(now, [api.RequestReceived(n, "history-read", 0, 0.5)])
-            member = next(a.member for a in actions if isinstance(a, api.SendAttempt) and a.request == n)
+            member = next(a.endpoint for a in actions if isinstance(a, api.SendAttempt) and a.request == n)
             router.handle(now, [api.AttemptFinished(n, 0, member, api.AttemptResult.OK, 0.002, True)])
 
     return timed(call, count)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -53,7 +53,7 @@
         state[1] += 1
         number = state[1]
         actions = router.handle(state[0], [api.RequestReceived(number, "history-read", 0, 0.5)])
-        member = next(a.member for a in actions if isinstance(a, api.SendAttempt))
+        member = next(a.endpoint for a in actions if isinstance(a, api.SendAttempt))
         end = api.AttemptFinished(
             number, 0, member, api.AttemptResult.OK, 0.002, True, None, None, api.LoadReport(state[0], None)
         )
--- a/sedgepitch/routing/attempt_results.py
+++ b/sedgepitch/routing/attempt_results.py
@@ -6,13 +6,10 @@
 
 from sedgepitch.routing.attempts import Attempts
 from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
+from sedgepitch.routing.idle_connections import IdleConnections
 from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.load_reports import LoadReports
-from sedgepitch.routing.messages import (
-    NEVER_RAN,
-    AttemptFinished,
-    AttemptResult,
-)
+from sedgepitch.routing.messages import NEVER_RAN, AttemptFinished, AttemptResult
 from sedgepitch.routing.outlier_detection import NOT_RUNNING, OutlierDetection
 from sedgepitch.routing.records import AttemptKey, Endpoint, InFlightAttempt, RoutedRequest
 from sedgepitch.routing.retries import Retries
@@ -46,6 +43,7 @@
     outlier_detection: OutlierDetection
     limits: ConcurrencyLimits
     latencies: LatencyEstimates
+    idle_connections: IdleConnections
     retries: Retries
     wait_queue: WaitQueue
 
@@ -56,7 +54,6 @@
         if endpoint is None or attempt is None:
             return
         request, group = attempt.request, self.state.groups[endpoint.group_id]
-        self.attempts.freshness.write_finished(request, event)
         self._learn(endpoint, attempt, event)
         self.attempts.closed(request, event.attempt)
         if group.waiting:
@@ -139,5 +136,5 @@
             group = self.state.groups[endpoint.group_id]
             record_latency(group, endpoint, request, event.elapsed)
         if result is AttemptResult.OK:
-            self.attempts.idle_connections.answered(endpoint)
+            self.idle_connections.answered(endpoint)
             self.latencies.observe_answer(request_class, event)
--- a/sedgepitch/routing/attempts.py
+++ b/sedgepitch/routing/attempts.py
@@ -54,6 +54,7 @@
         if attempt is None:
             return None
         endpoint.overtaken.discard(key)
+        self.freshness.write_finished(attempt.request, event)
         if not endpoint.in_flight:
             self.state.endpoints_in_use.pop(endpoint.id, None)
         return attempt
--- a/sedgepitch/routing/request_intake.py
+++ b/sedgepitch/routing/request_intake.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
 from sedgepitch.routing.freshness import FreshnessRules
@@ -31,7 +31,11 @@
     retries: Retries
     wait_queue: WaitQueue
     trials: HalfOpenTrials
-    classes: dict[str, RequestClass]
+    classes: dict[str, RequestClass] = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Index the stated classes by their names."""
+        self.classes = {c.name: c for c in self.state.settings.classes}
 
     def request_received(self, event: RequestReceived) -> None:
         """Place a request; one of an unknown class or group is rejected, one that is known is ignored."""
--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -48,6 +48,7 @@
         self.next_period_at = -NEVER
         self._build_endpoint_parts(state)
         self._build_request_parts(state)
+        self._build_event_parts(state)
 
     def _build_endpoint_parts(self, state: RouterState) -> None:
         self.latencies = LatencyEstimates(state)
@@ -64,34 +65,55 @@
         self.primary_discovery = PrimaryDiscovery(state, self.eligibility, self.health_checks)
 
     def _build_request_parts(self, state: RouterState) -> None:
-        outliers, latencies = self.outlier_detection, self.latencies
         self.retries = Retries(state, self.slow_start)
         self.selection = Selection(
-            state, self.eligibility, self.freshness, self.limits, self.health_checks, self.primary_discovery
+            state=state,
+            eligibility=self.eligibility,
+            slow_start=self.slow_start,
+            latencies=self.latencies,
+            freshness=self.freshness,
+            limits=self.limits,
+            health_checks=self.health_checks,
+            primary_discovery=self.primary_discovery,
         )
-        self.attempts = Attempts(state, self.freshness, outliers, self.idle_connections, latencies)
-        self.wait_queue = WaitQueue(state, latencies, self.selection, self.retries, self.attempts)
+        self.attempts = Attempts(
+            state, self.freshness, self.outlier_detection, self.idle_connections, self.latencies
+        )
+        self.wait_queue = WaitQueue(state, self.latencies, self.selection, self.retries, self.attempts)
         self.reports = LoadReports(state, self.wait_queue)
         self.hedging = Hedging(self.selection, self.eligibility, self.freshness, self.retries, self.attempts)
-        self.silence_detection = SilenceDetection(
-            state, latencies, outliers, self.idle_connections, self.attempts, self.hedging
-        )
         self.trials = HalfOpenTrials(
-            state, outliers, self.slow_start, self.freshness, self.health_checks, self.retries, self.attempts
+            state=state,
+            outlier_detection=self.outlier_detection,
+            slow_start=self.slow_start,
+            freshness=self.freshness,
+            health_checks=self.health_checks,
+            retries=self.retries,
+            attempts=self.attempts,
+        )
+
+    def _build_event_parts(self, state: RouterState) -> None:
+        self.request_intake = RequestIntake(
+            state, self.limits, self.freshness, self.retries, self.wait_queue, self.trials
         )
         self.attempt_results = AttemptResults(
-            state,
-            self.attempts,
-            self.reports,
-            outliers,
-            self.limits,
-            latencies,
-            self.retries,
-            self.wait_queue,
+            state=state,
+            attempts=self.attempts,
+            reports=self.reports,
+            outlier_detection=self.outlier_detection,
+            limits=self.limits,
+            latencies=self.latencies,
+            idle_connections=self.idle_connections,
+            retries=self.retries,
+            wait_queue=self.wait_queue,
         )
-        classes = {c.name: c for c in state.settings.classes}
-        self.request_intake = RequestIntake(
-            state, self.limits, self.freshness, self.retries, self.wait_queue, self.trials, classes
+        self.silence_detection = SilenceDetection(
+            state=state,
+            latencies=self.latencies,
+            outlier_detection=self.outlier_detection,
+            idle_connections=self.idle_connections,
+            attempts=self.attempts,
+            hedging=self.hedging,
         )
 
     def handle(self, now: float, events: Iterable[messages.Event]) -> list[messages.Action]:
--- a/sedgepitch/routing/selection.py
+++ b/sedgepitch/routing/selection.py
@@ -9,10 +9,12 @@
 from sedgepitch.routing.eligibility import Eligibility
 from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.health_checks import HealthChecks
+from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.messages import Freshness, StaleReadHandling
 from sedgepitch.routing.primary_discovery import PrimaryDiscovery
 from sedgepitch.routing.records import Endpoint, ReadPreference, ReplicaGroup, RoutedRequest
 from sedgepitch.routing.side_comparison import side_for_read
+from sedgepitch.routing.slow_start import SlowStart
 from sedgepitch.routing.state import RouterState
 
 PRIMARY_LIMIT_SHARE = 0.7  # share of a primary's limit that reads fill by preference; the rest is for writes
@@ -31,6 +33,8 @@
 
     state: RouterState
     eligibility: Eligibility
+    slow_start: SlowStart
+    latencies: LatencyEstimates
     freshness: FreshnessRules
     limits: ConcurrencyLimits
     health_checks: HealthChecks
@@ -75,7 +79,7 @@
         """
         eligible, qualified = self._qualify(request, limit_share)
         if qualified:
-            capacity_share = self.eligibility.slow_start.capacity_share
+            capacity_share = self.slow_start.capacity_share
             weights = [endpoint.size * capacity_share(endpoint) for endpoint in qualified]
             return min(self.state.random.choices(qualified, weights, k=2), key=self.load)
         if self.state.settings.stale_read_handling is StaleReadHandling.SERVE:
@@ -114,9 +118,9 @@
 
         Ties go to the lower latency ratio, with a penalty for another zone than the instance's own.
         """
-        capacity = endpoint.size * self.eligibility.slow_start.capacity_share(endpoint)
+        capacity = endpoint.size * self.slow_start.capacity_share(endpoint)
         penalty = OTHER_ZONE_PENALTY * (endpoint.zone != self.state.settings.zone)
-        return len(endpoint.in_flight) / capacity, self.limits.latencies.latency_ratio(endpoint) + penalty
+        return len(endpoint.in_flight) / capacity, self.latencies.latency_ratio(endpoint) + penalty
 
     def _check_position_first(self, request: RoutedRequest) -> bool:
         # Before the primary serves a read, a likely replica's position is checked; true where the read waits.
