--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -137,7 +137,7 @@
     router = Router(settings.module_settings(), 1)
     entries = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
     router.handle(10.0, [api.EndpointListUpdate(entries, complete=True)])
-    router.endpoints[1].limit = 0.0  # the primary has no room
+    router.endpoints[1].concurrency_limit = 0.0  # the primary has no room
     controller = AdmissionController(AdmissionSettings(), 1, 10.0) if admission else None
     for n in range(pending):
         number = 1_000_000 + n
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -397,7 +397,7 @@
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
-        endpoint.limit = 0.0  # the router has capacity nowhere
+        endpoint.concurrency_limit = 0.0  # the router has capacity nowhere
     answers = []
     for number in range(8):
         command = ClientRequest(
@@ -422,7 +422,7 @@
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
     )
     for endpoint in front.engine.router.endpoints.values():
-        endpoint.limit = 0.0
+        endpoint.concurrency_limit = 0.0
     pending = [
         front.engine.submit(ClientRequest("note", 0, 0.5, "p", reservation_token=str(n)), lambda a: None)
         for n in range(4)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -81,7 +81,7 @@
     front.turn()
     assert not got
     assert not front.engine.request_table.requests
-    assert not front.engine.router.endpoints[1].out
+    assert not front.engine.router.endpoints[1].in_flight
 
 
 def test_client_that_disconnects_in_the_turn_of_its_request_leaves_no_trace():
@@ -93,7 +93,7 @@
     assert not got
     assert not front.endpoints.sent
     assert not front.engine.request_table.requests
-    assert not any(m.out for m in front.engine.router.endpoints.values())
+    assert not any(m.in_flight for m in front.engine.router.endpoints.values())
 
 
 def test_last_guard_answers_where_the_router_does_not():
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -27,8 +27,8 @@
         "pending": request_table.pending,
         "completed": request_table.completed,
         "router_requests": len(router.requests),
-        "in_flight_at_endpoints": sum(len(m.out) for m in router.endpoints.values()),
-        "probing": [m.id for m in router.endpoints.values() if m.probing],
+        "in_flight_at_endpoints": sum(len(m.in_flight) for m in router.endpoints.values()),
+        "probing": [m.id for m in router.endpoints.values() if m.health_check_pending],
         "events": len(front.engine.dispatcher.events),
     }
 
@@ -303,7 +303,7 @@
     front.turn()
     assert not played.sent
     assert not front.engine.request_table.requests
-    assert not any(m.out for m in front.engine.router.endpoints.values())
+    assert not any(m.in_flight for m in front.engine.router.endpoints.values())
 
 
 def test_bytes_that_wait_behind_a_full_socket_end_with_their_connection():
