--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,12 +4,13 @@
 
 import heapq
 import random
-from dataclasses import replace
+from dataclasses import asdict, replace
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sedgepitch.config.models import DoorModel
 from sedgepitch.core.types import ClientRequest, ResponseStatus
 from sedgepitch.decisions.admission.controller import AdmissionController
 from sedgepitch.decisions.admission.fair_queue import FairQueue, QueuedRequest
@@ -432,3 +433,22 @@
     front.turn()
     assert front.engine.admission.queued == 1
     assert pending[3].id not in front.engine.admission.requests
+
+
+def test_each_key_of_the_door_part_reaches_its_setting():
+    keys = {
+        "weights": ("tenant_weights", {"a": 3.0}),
+        "default_weight": ("default_weight", 2.5),
+        "most_held": ("max_queued", 11),
+        "most_waiting_inside": ("max_waiting_in_router", 12),
+        "most_at_a_turn": ("max_admitted_per_turn", 13),
+        "hold_share": ("max_queueing_share", 0.14),
+        "most_debts": ("max_tracked_tenants", 17),
+        "most_promises": ("max_reservations", 18),
+        "horizon": ("reservation_horizon", 1.9),
+        "retry_share": ("retry_budget_share", 0.21),
+    }
+    assert DoorModel().build() == AdmissionSettings()
+    stated = {key: value for key, (_, value) in keys.items()} | {"horizon": "1.9 s"}
+    built = DoorModel(**stated).build()
+    assert asdict(built) == dict(keys.values())
