--- a/tests/test_peers_serve.py
+++ b/tests/test_peers_serve.py
@@ -1,4 +1,4 @@
-"""Drivers that know each other, as processes: they find each other, lose one, and serve on without peers."""
+"""Proxy instances as processes that gossip: they find each other, lose one, and serve on without peers."""
 
 from __future__ import annotations
 
@@ -21,52 +21,54 @@
 
 
 def free_port() -> int:
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        return held.getsockname()[1]
+    with socket.socket() as bound:
+        bound.bind(("127.0.0.1", 0))
+        return bound.getsockname()[1]
 
 
 @contextmanager
-def together(tmp_path, **parts):
-    """Three drivers before one fleet of stand-ins that know each other; where each shows what it knows."""
+def gossiping_instances(tmp_path, **parts):
+    """Three instances before one emulated fleet; yields them and the address of each one's status."""
     new_key_file(tmp_path / "key")
-    shown, seeds = {}, []
-    with stage(example(), tmp_path) as held:
+    status_addresses = {}
+    seeds = []
+    with stage(example(), tmp_path) as instances:
         for name in ("n0", "n1", "n2"):
             metrics = f"127.0.0.1:{free_port()}"
-            held.settings["metrics"] = metrics
+            instances.settings["metrics"] = metrics
             peers = {"listen": "127.0.0.1:0", "key_file": str(tmp_path / "key"), "seeds": list(seeds)}
-            held.driver(name, peers=peers, **parts)
+            instances.driver(name, peers=peers, **parts)
             log = tmp_path / f"{name}.log"
             wait_until(lambda log=log: "peers.listening" in log.read_text())
             plain = re.sub(r"\x1b\[[0-9;]*m", "", log.read_text())
             seeds.append(re.search(r"peers\.listening\s+address=(\S+)", plain)[1])
-            shown[name] = metrics
-        yield held, shown
+            status_addresses[name] = metrics
+        yield instances, status_addresses
 
 
 @pytest.fixture
-def drivers(tmp_path):
-    """Three drivers that know each other, and where each shows its peers."""
-    with together(tmp_path) as made:
-        yield made
+def gossiping(tmp_path):
+    """Three instances that gossip, and the address of each one's status."""
+    with gossiping_instances(tmp_path) as started:
+        yield started
 
 
-def known(address: str) -> dict[str, str]:
-    """Whom a driver knows, and how."""
+def member_states(address: str) -> dict[str, str]:
+    """Return the state of each member that an instance knows."""
     with urllib.request.urlopen(f"http://{address}/peers", timeout=60) as answer:
         return {p["name"]: p["life"] for p in json.load(answer)["peers"]}
 
 
-def test_drivers_know_each_other_and_one_killed_is_dead_while_all_serve(drivers, tmp_path):
-    held, shown = drivers
+def test_instances_find_each_other_and_a_killed_one_is_dead_while_all_serve(gossiping, tmp_path):
+    instances, addresses = gossiping
+    wait_until(lambda: all(list(member_states(a).values()) == ["alive", "alive"] for a in addresses.values()))
+    instances.drivers["n1"].kill()
     wait_until(
-        lambda: all(len(known(a)) == 2 and set(known(a).values()) == {"alive"} for a in shown.values())
+        lambda: member_states(addresses["n0"])["n1"] == "dead"
+        and member_states(addresses["n2"])["n1"] == "dead"
     )
-    held.drivers["n1"].kill()
-    wait_until(lambda: known(shown["n0"])["n1"] == "dead" and known(shown["n2"])["n1"] == "dead")
     for name in ("n0", "n2"):
-        host, port = held.addresses[name]
+        host, port = instances.addresses[name]
         with pymongo.MongoClient(host, port) as client:
             client.sky.readings.insert_one({"_id": name})
             assert client.sky.readings.find_one({"_id": name}) == {"_id": name}
@@ -79,18 +81,21 @@
     assert (
         ran.returncode == 0 and re.search(r"n1\s+dead", ran.stdout) and re.search(r"n2\s+alive", ran.stdout)
     )
-    held.driver("n1")
-    wait_until(lambda: known(shown["n0"])["n1"] == "alive" and known(shown["n2"])["n1"] == "alive")
+    instances.driver("n1")
+    wait_until(
+        lambda: member_states(addresses["n0"])["n1"] == "alive"
+        and member_states(addresses["n2"])["n1"] == "alive"
+    )
 
 
-def test_a_driver_without_peers_opens_no_socket_and_imports_nothing_of_it(calm):
+def test_an_instance_without_peers_opens_no_socket_and_imports_nothing_of_it(calm):
     pid = calm.drivers["calm-1"].process.pid
     with open("/proc/net/udp", encoding="ascii") as table:
         inodes = {line.split()[9] for line in table.readlines()[1:]}
     import os
 
-    held = {os.readlink(f"/proc/{pid}/fd/{n}") for n in os.listdir(f"/proc/{pid}/fd")}
-    assert not {f"socket:[{n}]" for n in inodes} & held
+    open_files = {os.readlink(f"/proc/{pid}/fd/{n}") for n in os.listdir(f"/proc/{pid}/fd")}
+    assert not {f"socket:[{n}]" for n in inodes} & open_files
     code = (
         "import sedgepitch.cli.daemon, sys; print([m for m in sys.modules if 'peers' in m or 'msgspec' in m])"
     )
@@ -108,7 +113,7 @@
     )
 
 
-def test_settings_of_peers_that_cannot_be_used_are_one_line(tmp_path):
+def test_settings_of_peers_that_cannot_be_used_are_reported_in_one_line(tmp_path):
     import yaml
 
     settings = example()
