--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,7 +1,7 @@
 """Zone failover and recovery: together with peers, each instance alone, and notified at once by discovery.
 
 `python -m benchmarks.zones {leave,return,false,cost} [--seeds 3] [--at-once 2] [--drivers 12] [--rate R]`:
-processes on loopback by `sedgepitch fleet-scenario`. Within a table all modes play the same scenarios and seeds.
+processes on loopback by `sedgepitch fleet-scenario`. In a table all modes play the same scenarios and seeds.
 
 leave   a zone of three stops answering for 8 s: when instances left it, what was still sent there, value
 return  a zone crashes and starts anew: when it was in full use again, what was overloaded
--- a/sedgepitch/decisions/gossip/anti_entropy.py
+++ b/sedgepitch/decisions/gossip/anti_entropy.py
@@ -34,6 +34,7 @@
         seeds: Iterable[Address],
         rng: random.Random,
     ) -> None:
+        """Begin with addresses to ask first; the first exchange is due at once."""
         self.seeds = list(seeds)
         self.due = -inf
         self._settings = settings
--- a/sedgepitch/decisions/gossip/dissemination.py
+++ b/sedgepitch/decisions/gossip/dissemination.py
@@ -14,6 +14,7 @@
     """Updates to send, by member and kind of state entry (empty for the member's state), with counts."""
 
     def __init__(self, settings: GossipSettings) -> None:
+        """Begin without updates."""
         self._settings = settings
         self._transmissions: dict[tuple[str, str], int] = {}
         self._next_at = -inf
--- a/sedgepitch/decisions/gossip/failure_detection.py
+++ b/sedgepitch/decisions/gossip/failure_detection.py
@@ -57,6 +57,7 @@
         probe_order: ProbeOrder,
         rng: random.Random,
     ) -> None:
+        """Begin without a probe; the first one is due at once."""
         self.relayed: dict[int, RelayedProbe] = {}  # by the sequence number of the own ping
         self._settings = settings
         self._table = table
--- a/sedgepitch/decisions/gossip/local_health.py
+++ b/sedgepitch/decisions/gossip/local_health.py
@@ -7,6 +7,7 @@
     """A score from 0 (healthy) upwards; probe intervals and timeouts grow with it."""
 
     def __init__(self, maximum: int) -> None:
+        """Begin healthy."""
         self.score = 0
         self._maximum = maximum
 
--- a/sedgepitch/decisions/gossip/members.py
+++ b/sedgepitch/decisions/gossip/members.py
@@ -46,6 +46,7 @@
     """This node's identity and all other members by name."""
 
     def __init__(self, name: str, address: Address, rng: random.Random) -> None:
+        """Begin knowing no other member."""
         self.name = name
         self.address = address
         self.incarnation = 0
--- a/sedgepitch/decisions/gossip/membership.py
+++ b/sedgepitch/decisions/gossip/membership.py
@@ -30,6 +30,7 @@
         health: LocalHealth,
         probe_order: ProbeOrder,
     ) -> None:
+        """Work on the given table; a new member is also entered in the probe order."""
         self.rejected = 0
         self.suspicions = 0
         self.deaths = 0  # found by this node itself
--- a/sedgepitch/decisions/gossip/node.py
+++ b/sedgepitch/decisions/gossip/node.py
@@ -49,6 +49,7 @@
     def __init__(
         self, settings: GossipSettings, name: str, address: Address, seeds: Iterable[Address], seed: int
     ) -> None:
+        """Begin knowing nobody; `seeds` are asked first, and `seed` is of all random draws."""
         if not 0 < len(name) <= settings.max_name_length:
             raise GossipSettingsError(f"a peer's name needs 1 to {settings.max_name_length} characters")
         rng = random.Random(seed)
--- a/sedgepitch/decisions/gossip/piggyback.py
+++ b/sedgepitch/decisions/gossip/piggyback.py
@@ -39,6 +39,7 @@
     def __init__(
         self, settings: GossipSettings, table: MemberTable, entries: StateEntries, queue: TransmitQueue
     ) -> None:
+        """Send what waits in the queue, as the table and the entries have it."""
         self._settings = settings
         self._table = table
         self._entries = entries
--- a/sedgepitch/decisions/gossip/probe_order.py
+++ b/sedgepitch/decisions/gossip/probe_order.py
@@ -11,6 +11,7 @@
     """The rest of the present round."""
 
     def __init__(self, table: MemberTable, rng: random.Random) -> None:
+        """Begin with an empty round."""
         self._table = table
         self._rng = rng
         self._round: list[str] = []
--- a/sedgepitch/decisions/gossip/replay_protection.py
+++ b/sedgepitch/decisions/gossip/replay_protection.py
@@ -48,6 +48,7 @@
     """The proven session of each sender. Times are seconds on the own monotonic clock."""
 
     def __init__(self, seed: int, max_senders: int = MAX_SENDERS) -> None:
+        """Begin without sessions; `seed` is of the nonces."""
         self.sessions: dict[str, _Session] = {}
         self.challenges: dict[str, _Challenge] = {}
         self._rng = random.Random(seed)
--- a/sedgepitch/decisions/gossip/state_entries.py
+++ b/sedgepitch/decisions/gossip/state_entries.py
@@ -32,6 +32,7 @@
     """Own entries by kind, and the rules by which others' entries are taken."""
 
     def __init__(self, settings: GossipSettings, table: MemberTable, queue: TransmitQueue) -> None:
+        """Begin without own entries."""
         self.own: dict[str, HeldEntry] = {}
         self.rejected = 0
         self._settings = settings
--- a/sedgepitch/decisions/zones/capacity.py
+++ b/sedgepitch/decisions/zones/capacity.py
@@ -18,6 +18,7 @@
     """The highest rate of answers per endpoint capacity that was seen while all zones were in full use."""
 
     def __init__(self, table: ZoneTable) -> None:
+        """Begin with nothing proven."""
         self.rate = 0.0  # answers a second and unit of capacity
         self._table = table
         self._updated_at = 0.0
--- a/sedgepitch/decisions/zones/controller.py
+++ b/sedgepitch/decisions/zones/controller.py
@@ -23,6 +23,7 @@
     """One instance's zones. `step` takes a view and returns the shares for the router."""
 
     def __init__(self, name: str, settings: ZoneSettings) -> None:
+        """Begin without zones; they come with the first view."""
         self.table = ZoneTable(settings)
         self.capacity = ProvenCapacity(self.table)
         self.recovery = Recovery(name, self.table)
--- a/sedgepitch/decisions/zones/evidence.py
+++ b/sedgepitch/decisions/zones/evidence.py
@@ -90,6 +90,7 @@
     """The digests of one moment, weighed."""
 
     def __init__(self, name: str, view: ZoneView) -> None:
+        """Weigh what a view holds, as seen from the instance of this name."""
         self.name = name
         self.view = view
         self.zone = view.own.zone
--- a/sedgepitch/decisions/zones/leaving.py
+++ b/sedgepitch/decisions/zones/leaving.py
@@ -17,6 +17,7 @@
     """The rules by which zones are left."""
 
     def __init__(self, table: ZoneTable, capacity: ProvenCapacity, recovery: Recovery) -> None:
+        """Work on the given table; a withdrawn command leads to a return."""
         self._table = table
         self._capacity = capacity
         self._recovery = recovery
--- a/sedgepitch/decisions/zones/observations.py
+++ b/sedgepitch/decisions/zones/observations.py
@@ -70,6 +70,7 @@
     """
 
     def __init__(self) -> None:
+        """Begin without counts."""
         self.request_rate = 0.0  # requests a second, smoothed over the windows
         self._present: Window = {}
         self._previous: Window = {}
--- a/sedgepitch/decisions/zones/operator_commands.py
+++ b/sedgepitch/decisions/zones/operator_commands.py
@@ -61,6 +61,7 @@
     """The newest command of each zone."""
 
     def __init__(self) -> None:
+        """Begin without commands."""
         self.by_zone: dict[str, ZoneCommand] = {}
 
     def issue(self, zone: str, action: str, duration: float, issuer: str) -> ZoneCommand:
--- a/sedgepitch/decisions/zones/recovery.py
+++ b/sedgepitch/decisions/zones/recovery.py
@@ -27,6 +27,7 @@
     """The rules by which zones are returned to."""
 
     def __init__(self, name: str, table: ZoneTable) -> None:
+        """Work on the given table, for the instance of this name."""
         self._name = name
         self._table = table
 
--- a/sedgepitch/decisions/zones/states.py
+++ b/sedgepitch/decisions/zones/states.py
@@ -59,6 +59,7 @@
     """All zones of one instance, and the transitions since the owner last took them."""
 
     def __init__(self, settings: ZoneSettings) -> None:
+        """Begin without zones."""
         self.settings = settings
         self.zones: dict[str, Zone] = {}
         self.transitions: list[ZoneTransition] = []
--- a/sedgepitch/model/gossipnet.py
+++ b/sedgepitch/model/gossipnet.py
@@ -73,6 +73,7 @@
         settings: GossipSettings | None = None,
         network: NetworkConditions | None = None,
     ) -> None:
+        """Start `count` members; `seed` is of all random draws."""
         self.settings = settings or GossipSettings()
         self.network = network or NetworkConditions()
         self.rng = random.Random(seed)
--- a/sedgepitch/peers/datagrams.py
+++ b/sedgepitch/peers/datagrams.py
@@ -38,6 +38,7 @@
     transport: Any
 
     def __init__(self, service: PeerService, sessions: SenderSessions) -> None:
+        """Begin without messages of unproven sessions."""
         self.sessions = sessions
         self.sent_bytes = 0
         self._service = service
--- a/sedgepitch/peers/input_errors.py
+++ b/sedgepitch/peers/input_errors.py
@@ -16,6 +16,7 @@
     """Whoever reaches the port can send garbage at full speed: at most one line a second of each kind."""
 
     def __init__(self, clock: Clock, counters: Counter[PeerCounter], log: Callable[..., None]) -> None:
+        """Count in the given counters."""
         self._clock = clock
         self._counters = counters
         self._log = log
--- a/sedgepitch/peers/keys.py
+++ b/sedgepitch/peers/keys.py
@@ -43,6 +43,7 @@
     """Adds and checks the version byte and the keyed BLAKE2b tag. Raises KeyLengthError."""
 
     def __init__(self, keys: list[bytes]) -> None:
+        """Authenticate with the first key, and accept all."""
         if not keys or any(not KEY_BYTES_MIN <= len(key) <= KEY_BYTES_MAX for key in keys):
             raise KeyLengthError(f"a key has {KEY_BYTES_MIN} to {KEY_BYTES_MAX} bytes")
         self._keys = list(keys)
--- a/sedgepitch/peers/service.py
+++ b/sedgepitch/peers/service.py
@@ -83,6 +83,7 @@
         log: Callable[..., None] = _log_nothing,
         seed: int | None = None,
     ) -> None:
+        """Prepare a peer; nothing is opened before `start`. `seed` is for tests."""
         self.clock = clock
         self.settings = settings
         self.authenticator = authenticator
--- a/sedgepitch/peers/streams.py
+++ b/sedgepitch/peers/streams.py
@@ -45,6 +45,7 @@
     transport: Any
 
     def __init__(self, service: PeerService, accepted: bool, ping_target: str = "") -> None:
+        """Begin an exchange with a fresh nonce."""
         self.accepted = accepted
         self.ping_target = ping_target
         self._service = service
@@ -146,6 +147,7 @@
     noisy = False
 
     def __init__(self, service: PeerService) -> None:
+        """Make streams for this service."""
         self._service = service
 
     def buildProtocol(self, _addr: IAddress | None) -> Stream | None:
@@ -162,6 +164,7 @@
     noisy = False
 
     def __init__(self, service: PeerService, ping_target: str) -> None:
+        """Make the stream for this service."""
         self._service = service
         self._ping_target = ping_target
 
--- a/sedgepitch/peers/zone_commands.py
+++ b/sedgepitch/peers/zone_commands.py
@@ -30,6 +30,7 @@
     """The commands that this instance knows, and the nonces that new ones must carry."""
 
     def __init__(self, peers: PeerService, clock: Clock, log: Callable[..., None]) -> None:
+        """Begin without commands."""
         self.commands = ZoneCommands()
         self.published_at = -inf
         self._peers = peers
--- a/sedgepitch/peers/zone_observer.py
+++ b/sedgepitch/peers/zone_observer.py
@@ -20,6 +20,7 @@
     """Counts attempts by endpoint. The engine calls `arrived`, `sent` and `ended`."""
 
     def __init__(self, engine: Engine, clock: Clock) -> None:
+        """Begin without counts; `attach` begins to count."""
         self.observations = ZoneObservations()
         self._engine = engine
         self._clock = clock
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -86,6 +86,7 @@
         heartbeat_interval: float = HEARTBEAT_INTERVAL_S,
         log: Callable[..., None] = _log_nothing,
     ) -> None:
+        """Attach to the engine; the periodic check begins with `start`."""
         self.zone = zone[:MAX_ZONE_NAME_LENGTH]
         self.name = peers.settings.name
         self.observer = ZoneObserver(engine, clock)
--- a/sedgepitch/scenarios/peer_processes.py
+++ b/sedgepitch/scenarios/peer_processes.py
@@ -29,6 +29,7 @@
     """One process."""
 
     def __init__(self, name: str, key: Path, *arguments: str) -> None:
+        """Start the process."""
         self.name = name
         self.process = subprocess.Popen(
             [sys.executable, "-u", "-m", "sedgepitch.peers", "--name", name, "--key", str(key), *arguments],
@@ -91,6 +92,7 @@
     """Several peers, `d0` and so on; the first ones are the others' seeds."""
 
     def __init__(self, folder: Path, count: int, *arguments: str) -> None:
+        """Start so many peers with a new key."""
         self.peers: dict[str, PeerProcess] = {}
         self._arguments = arguments
         self._key = folder / "key"
--- a/tests/support/golden_gossip.py
+++ b/tests/support/golden_gossip.py
@@ -11,7 +11,6 @@
 import random
 from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Any
 
 from sedgepitch.decisions.gossip.actions import Action, EventKind, SendDatagram, StreamPing
 from sedgepitch.decisions.gossip.node import GossipNode
@@ -31,6 +30,7 @@
     """Plays one seed; `digest` is the SHA-256 of all that was sent and decided."""
 
     def __init__(self, seed: int, length_s: float = 20.0) -> None:
+        """Draw the size of the cluster and the network's conditions."""
         self.rng = random.Random(seed)
         self.length_s = length_s
         self.hash = hashlib.sha256()
@@ -174,7 +174,7 @@
             self.armed[name] = due
             self.at(due, lambda: self.turn(name))
 
-    def encode(self, sender: str, to: str, body: Any, max_bytes: int = wire.MAX_FRAME_BYTES) -> bytes:
+    def encode(self, sender: str, to: str, body: wire.Body, max_bytes: int = wire.MAX_FRAME_BYTES) -> bytes:
         """Return the bytes that go on the wire."""
         self.counters[sender] = self.counters.get(sender, 0) + 1
         envelope = wire.Envelope(sender, to, SESSION_ID, self.counters[sender], body)
@@ -223,7 +223,7 @@
         data = self.encode(to, name, self.frame_of(to))
         self.at(self.now + 0.002, lambda: self.merge(name, to, data))
 
-    def frame_of(self, name: str) -> Any:
+    def frame_of(self, name: str) -> wire.StreamState:
         """Return the frame that carries a member's complete state."""
         return wire.StreamState(b"echo", self.members[name].state(self.clock(name)))
 
--- a/tests/support/golden_zones.py
+++ b/tests/support/golden_zones.py
@@ -9,7 +9,6 @@
 
 import hashlib
 import random
-from typing import Any
 
 import msgspec
 
@@ -34,6 +33,7 @@
     """Plays one seed; `play` returns the SHA-256 of all that was told and decided."""
 
     def __init__(self, seed: int, length_s: float = 13.0) -> None:
+        """Draw zones, endpoints, instances, their request rates and which are Byzantine."""
         self.rng = random.Random(seed)
         self.steps = round(length_s / STEP_S)
         self.hash = hashlib.sha256()
@@ -124,7 +124,7 @@
 
     # What is told
 
-    def digest(self, name: str) -> Any:
+    def digest(self, name: str) -> ZoneDigest:
         """Return an instance's digest; a Byzantine one makes its rows up."""
         rng, held = self.rng, self.controllers[name]
         if name in self.byzantine:
@@ -195,7 +195,7 @@
         if step % 4 == 0:
             self.record_evidence(name, view)
 
-    def record_evidence(self, name: str, view: Any) -> None:
+    def record_evidence(self, name: str, view: ZoneView) -> None:
         """Record what the digests that an instance has heard amount to."""
         evidence = FleetEvidence(name, view)
         for zone in self.zones:
