--- a/sedgepitch/decisions/zones/digests.py
+++ b/sedgepitch/decisions/zones/digests.py
@@ -108,4 +108,4 @@
 
 def _any_negative(rows: Iterable[ZoneObservation] | Iterable[ZoneStatus]) -> bool:
     """Whether a figure is below 0; the first field is the zone."""
-    return any(getattr(row, name) < 0 for row in rows for name in row.__struct_fields__[1:])
+    return any(min(msgspec.structs.astuple(row)[1:]) < 0 for row in rows)
