--- a/sedgepitch/peers/zone_observer.py
+++ b/sedgepitch/peers/zone_observer.py
@@ -10,14 +10,15 @@
 from sedgepitch.decisions.zones.digests import MAX_ZONE_NAME_LENGTH, MAX_ZONES, ZoneObservation
 from sedgepitch.decisions.zones.observations import ZoneObservations
 from sedgepitch.routing.messages import AttemptResult, EndpointState
+from sedgepitch.routing.records import EjectionReason
 
 ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.OVERLOADED, AttemptResult.NOT_ELIGIBLE)
 BROKEN = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
-UNREACHABLE = ("silent", "down")  # the router's names for endpoints that do not answer
+UNREACHABLE = (EjectionReason.SILENT, EjectionReason.UNREACHABLE)
 
 
 class ZoneObserver:
-    """Counts attempts by endpoint. The engine calls `arrived`, `sent` and `ended`."""
+    """Counts attempts by endpoint. The engine calls the methods of `AttemptObserver`."""
 
     def __init__(self, engine: Engine, clock: Clock) -> None:
         """Begin without counts; `attach` begins to count."""
@@ -27,23 +28,23 @@
 
     def attach(self) -> None:
         """Begin to hear of attempts."""
-        self._engine.looks_on = self
+        self._engine.attempt_observer = self
 
     def detach(self) -> None:
         """Hear of attempts no more."""
-        self._engine.looks_on = None
+        self._engine.attempt_observer = None
 
-    def arrived(self) -> None:
+    def request_received(self) -> None:
         """Count a request of a client."""
         self.observations.request_received(self._clock.now())
 
-    def sent(self, endpoint: int) -> None:
+    def attempt_sent(self, endpoint: int) -> None:
         """Count an attempt that was sent."""
         zone = self._zone_of(endpoint)
         if zone is not None:
             self.observations.attempt_sent(self._clock.now(), endpoint, zone)
 
-    def ended(self, endpoint: int, result: AttemptResult, share_of_aim: float) -> None:
+    def attempt_ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
         """Count an outcome, with the latency over the latency objective.
 
         An attempt that was cancelled, or never left, says nothing of the endpoint.
@@ -53,7 +54,7 @@
             return
         now = self._clock.now()
         if result in ANSWERED:
-            self.observations.succeeded(now, endpoint, zone, share_of_aim)
+            self.observations.succeeded(now, endpoint, zone, latency_ratio)
         elif result is AttemptResult.TIMEOUT:
             self.observations.timed_out(now, endpoint, zone)
         elif result in BROKEN:
@@ -85,7 +86,7 @@
         return {
             number: zone
             for number, zone, _ in self._endpoints_up()
-            if endpoints[number].suspect in UNREACHABLE and endpoints[number].trial is None
+            if endpoints[number].ejection_reason in UNREACHABLE and endpoints[number].trial is None
         }
 
     def _zone_of(self, endpoint: int) -> str | None:
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -173,7 +173,7 @@
         """Whether this instance is well enough itself to judge others."""
         node = self._peers.node
         unhealthy = node is not None and node.health.score >= node.settings.max_local_health // 2
-        return now >= self._unfit_until and not unhealthy and not self._engine.own.late
+        return now >= self._unfit_until and not unhealthy and not self._engine.process_limit.overloaded
 
     # Judging
 
