--- a/sedgepitch/decisions/gossip/membership.py
+++ b/sedgepitch/decisions/gossip/membership.py
@@ -31,7 +31,6 @@
         probe_order: ProbeOrder,
     ) -> None:
         """Work on the given table; a new member is also entered in the probe order."""
-        self.rejected = 0
         self.suspicions = 0
         self.deaths = 0  # found by this node itself
         self.leaving = False
@@ -46,10 +45,9 @@
     # Updates
 
     def apply(self, now: float, update: MembershipUpdate, sender: str) -> None:
-        """Apply an update if it overrides what is known; one out of bounds is counted as rejected."""
+        """Apply an update if it overrides what is known; one out of bounds is ignored."""
         name_fits = 0 < len(update.member) <= self._settings.max_name_length
         if not name_fits or not 0 <= update.state <= MemberState.LEFT:
-            self.rejected += 1
             return
         if update.member == self._table.name:
             self._refute(now, update)
@@ -72,7 +70,6 @@
         if update.state >= MemberState.DEAD:
             return None
         if len(self._table.members) >= self._settings.max_members:
-            self.rejected += 1
             return None
         address = (update.host, update.port)
         member = Member(update.member, address, update.incarnation, MemberState.ALIVE, now)
--- a/sedgepitch/decisions/gossip/state_entries.py
+++ b/sedgepitch/decisions/gossip/state_entries.py
@@ -34,7 +34,6 @@
     def __init__(self, settings: GossipSettings, table: MemberTable, queue: TransmitQueue) -> None:
         """Begin without own entries."""
         self.own: dict[str, HeldEntry] = {}
-        self.rejected = 0
         self._settings = settings
         self._table = table
         self._queue = queue
@@ -74,7 +73,6 @@
             return
         known = member.entries.get(entry.kind)
         if not self._acceptable(entry, known is None, len(member.entries)):
-            self.rejected += 1
             return
         if known is not None and entry.version <= known.version:
             return
--- a/sedgepitch/peers/__init__.py
+++ b/sedgepitch/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What instances tell each other, where the settings have a part `peers`. Nothing here decides."""
+"""Gossip and zone failover on sockets, where the settings have a part `peers`. Nothing here decides."""
