--- /dev/null
+++ b/tests/support/golden_discovery.py
@@ -0,0 +1,264 @@
+"""Seeded event sequences for the discovery and connection decisions, and the text of what they decide.
+
+The text uses words of its own, never identifiers of the code under test, so renaming leaves it unchanged.
+Floats are written by repr: two versions give the same text only where every decision and every float
+operation is the same. Times are virtual seconds.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import random
+from collections.abc import Callable, Iterable
+
+from sedgepitch.decisions.connections.client_connections import ClientConnections
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
+from sedgepitch.decisions.discovery.list_versions import EndpointListVersions, Entry, Version
+from sedgepitch.decisions.discovery.watch_streams import WatchStreams
+from sedgepitch.discovery.client import BadVersion, Objects, read_version
+from sedgepitch.routing.messages import EndpointState
+
+WATCH_STEPS = 900
+LIST_STEPS = 150
+CONNECTION_STEPS = 1200
+BUDGET_STEPS = 600
+STREAM_OBJECTS = 40
+PHASES = ("up", "draining", "removed")
+WALL_S = 1_700_000_000.25
+
+
+class Transcript:
+    """Collects one line per decision; `digest` is the SHA-256 of the text."""
+
+    def __init__(self) -> None:
+        self.lines: list[str] = []
+        self.kinds: set[str] = set()
+
+    def add(self, kind: str, *values: object) -> None:
+        """Add one decision: its kind and its values, each by repr."""
+        self.kinds.add(kind)
+        self.lines.append(" ".join([kind, *(repr(value) for value in values)]))
+
+    def digest(self) -> str:
+        """Return the digest of all lines."""
+        return hashlib.sha256("\n".join(self.lines).encode()).hexdigest()
+
+
+def watch_streams(draw: random.Random, out: Transcript) -> None:
+    """Open, answer, lose and move watch streams in a random order, as their owner would."""
+    streams: WatchStreams[int] = WatchStreams()
+    now = draw.uniform(0.0, 1000.0)
+    number = 0
+    for _ in range(WATCH_STEPS):
+        held = streams.all()
+        key = draw.choice([*held, number + 1000]) if held else 0
+        step = draw.choice(("wait", "wait", "answered", "heartbeat", "heartbeat", "partial", "lost", "moved"))
+        if step == "wait":
+            now += draw.choice((0.01, 0.3, 1.1, 2.0, 3.3)) * draw.random()
+        elif step == "answered":
+            streams.answered(key, now)
+        elif step == "heartbeat":
+            out.add("closed-by-heartbeat", streams.sign(key, now))
+        elif step == "partial":
+            streams.stirs(key, now - draw.uniform(0.0, 4.0), now)
+        elif step == "lost":
+            streams.lost(key, now)
+        elif draw.random() < 0.2:
+            out.add("closed-by-move", streams.moved())
+        if streams.opens(now):
+            number += 1
+            out.add("closed-by-opening", number, streams.opened(number, now))
+        out.add("streams", now, streams.heard, streams.fresh, streams.all(), streams.due(), streams.open_at)
+
+
+def _entries(draw: random.Random, names: list[str]) -> tuple[Entry, ...]:
+    states = {
+        "up": EndpointState.UP,
+        "draining": EndpointState.DRAINING,
+        "removed": EndpointState.GONE,
+    }
+    return tuple(
+        Entry(
+            name,
+            (f"10.0.0.{draw.randrange(9)}", draw.randrange(1, 9999)),
+            draw.choice("abc"),
+            draw.randrange(4),
+            states[draw.choice(PHASES)],
+            draw.choice((1.0, 0.5, 2.25)),
+            draw.choice((0.0, draw.uniform(0.0, 50.0))),
+            draw.random() < 0.3,
+        )
+        for name in names
+    )
+
+
+def list_versions(draw: random.Random, out: Transcript) -> None:
+    """Apply complete lists and changes, forward, repeated and lagging, and forget endpoints."""
+    versions = EndpointListVersions()
+    names = [f"s-{draw.randrange(1 << 32):08x}" for _ in range(30)] + ["plumless", "buckeroo"]  # same CRC-32
+    revision = draw.randrange(50)
+    for _ in range(LIST_STEPS):
+        revision = max(0, revision + draw.choice((1, 1, 1, 0, -4, 3)))
+        chosen = draw.sample(names, draw.randrange(9))
+        complete = draw.random() < 0.4
+        cached = draw.random() < 0.1
+        update = versions.take(Version(revision, complete, _entries(draw, chosen)), cached)
+        if update is None:
+            out.add("not-newer", revision)
+        else:
+            out.add("update", update.complete, update.remembered)
+            for item in update.entries:
+                out.add(
+                    "entry", item.endpoint, item.group, item.state.name, item.zone, item.primary, item.size,
+                    item.started,
+                )  # fmt: skip
+        if versions.names and draw.random() < 0.3:
+            endpoint = draw.choice(sorted(versions.names))
+            versions.forget(endpoint)
+            out.add("forgotten", endpoint, endpoint in versions.names)
+        out.add(
+            "list", versions.revision, sorted(versions.names.items()), sorted(versions.addresses.items()),
+            sorted(versions.present), sorted(versions.ending.items()),
+        )  # fmt: skip
+
+
+def client_connections(draw: random.Random, out: Transcript) -> None:
+    """Drive client connections through all states in a random order."""
+    table: ClientConnections[int] = ClientConnections(draw.choice((6, 12, 40)))
+    now, number = draw.uniform(0.0, 100.0), 0
+    keys: list[int] = []
+    steps: dict[str, Callable[[int], object]] = {
+        "bytes": lambda key: table.spoke(key),
+        "incomplete": lambda key: table.unfinished(key, now),
+        "request": lambda key: table.busy(key),
+        "idle": lambda key: table.rests(key, now),
+        "blocked": lambda key: table.stuck(key, now),
+        "unblocked": lambda key: table.unstuck(key),
+        "closed": lambda key: table.left(key),
+        "room": lambda key: table.make_room(now),
+        "overdue": lambda key: table.too_slow(now),
+    }
+    for _ in range(CONNECTION_STEPS):
+        now += draw.random() * draw.choice((0.0, 0.05, 0.4))
+        step = draw.choice((*steps, "accepted", "accepted", "idle", "bytes"))
+        if step == "accepted" or not keys:
+            number += 1
+            keys = [*keys[-30:], number]
+            table.came(number, now)
+            out.add("accepted", number)
+        else:
+            key = draw.choice(keys)
+            out.add(step, key, steps[step](key))
+        out.add(
+            "connections", list(table.silent.items()), list(table.talking.items()),
+            list(table.clogged.items()), list(table.resting.items()), table.evicted, table.overdue,
+        )  # fmt: skip
+
+
+def descriptor_budget(draw: random.Random, out: Transcript) -> None:
+    """Take and give back descriptors for clients and endpoints."""
+    budget = DescriptorBudget(draw.choice((0, 16, 40, 64, 256, 1024)))
+    out.add("budget", budget.clients_most, budget.members_most)
+    for _ in range(BUDGET_STEPS):
+        step = draw.choice(("accept", "accept", "close", "connect", "connect", "connect", "disconnect"))
+        if step == "accept":
+            out.add("accept", budget.client_came())
+        elif step == "close" and budget.clients:
+            budget.client_left()
+        elif step == "connect":
+            out.add("connect", budget.take())
+        elif step == "disconnect" and budget.endpoints:
+            budget.give()
+        out.add("in-use", budget.clients, budget.endpoints, budget.refused, budget.members_short)
+
+
+def shutdown_schedule(draw: random.Random, out: Transcript) -> None:
+    """Compute shutdown schedules and ask whether each is over at moments around its times."""
+    for _ in range(40):
+        requested = draw.uniform(0.0, 1e5)
+        schedule = ShutdownSchedule(requested, draw.choice((0.05, 0.5, 2.0, 3.0, 9.0, draw.random())))
+        times = (schedule.accepting_until, schedule.closing_from, schedule.answered_by, schedule.over_by)
+        out.add("schedule", requested, times)
+        for moment in (requested, *times, times[3] + 1.0):
+            for listening, connections, pending in (
+                (True, 0, 0),
+                (False, 0, 0),
+                (False, 2, 0),
+                (False, 0, 1),
+            ):
+                out.add("over", schedule.over(moment, listening, connections, pending))
+
+
+def _wire_object(draw: random.Random, revision: int) -> dict[str, object]:
+    members: list[dict[str, object]] = [
+        {
+            "id": f's-{draw.randrange(99)}{draw.choice(("", chr(34), chr(92), "{", "é"))}',
+            "host_port": draw.choice(("10.1.0.18:6432", "10.1.0.9:1", "10.1.0.9:0", "db:1", "10.1.0.300:5")),
+            "locality": draw.choice("ab"),
+            "cell": draw.randrange(5),
+            "phase": draw.choice((*PHASES, *PHASES, *PHASES, "odd")),
+            "size": draw.choice((1.0, 0.0, -1.0, 2.5, 1.0, 1.0, "big")),
+            "up_since_ms": draw.choice((0, 0, 1_700_000_123_456, 5.5)),
+            "access": draw.choice(("writer", "reader")),
+        }
+        for _ in range(draw.randrange(4))
+    ]
+    return {"revision": revision, "complete": draw.choice((True, False, None)), "members": members}
+
+
+def _pieces(draw: random.Random, data: bytes) -> Iterable[bytes]:
+    while data:
+        size = draw.randrange(1, 80)
+        yield data[:size]
+        data = data[size:]
+
+
+def stream_objects(draw: random.Random, out: Transcript) -> None:
+    """Cut a stream into pieces, split it into objects and read each; malformed ones included."""
+    text = ""
+    for revision in range(STREAM_OBJECTS):
+        text += json.dumps(_wire_object(draw, revision), indent=draw.choice((None, 1))) + draw.choice(
+            ("\n", " \r\n\n")
+        )
+    splitter = Objects()
+    for piece in _pieces(draw, text.encode() + draw.choice((b"", b"[1]", b'{"open":'))):
+        try:
+            for data in splitter.feed(piece):
+                try:
+                    out.add("version", *_version(read_version(json.loads(data), WALL_S)))
+                except BadVersion as error:
+                    out.add("malformed-object", str(error))
+        except BadVersion as error:
+            out.add("malformed-stream", str(error))
+            break
+        out.add("partial", splitter.begun)
+
+
+def _version(version: Version) -> tuple[object, ...]:
+    return (
+        version.revision, version.complete,
+        [
+            (x.name, x.address, x.zone, x.group, x.state.name, x.size, x.started, x.primary)
+            for x in version.entries
+        ],
+    )  # fmt: skip
+
+
+PARTS = (
+    watch_streams,
+    list_versions,
+    client_connections,
+    descriptor_budget,
+    shutdown_schedule,
+    stream_objects,
+)
+
+
+def play(seed: int) -> Transcript:
+    """Play all parts of one seed, each with random numbers of its own."""
+    out = Transcript()
+    for part in PARTS:
+        part(random.Random(f"{part.__name__}/{seed}"), out)
+    return out
