--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -16,7 +16,7 @@
 
 from benchmarks.peer import REPLY, REQUEST
 from benchmarks.rig import Rig
-from sedgepitch.cli.daemon import group_finder
+from sedgepitch.cli.group_lookup import group_finder
 from sedgepitch.config.load import parse
 from sedgepitch.observe.metrics import Metrics
 from sedgepitch.protocols.mongodb import codec
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -1,18 +1,17 @@
-"""One driver, put together from settings: front, engine, module, members, list, log and metrics."""
+"""One proxy instance, put together from settings: client side, engine, router, endpoints, log and metrics."""
 
 from __future__ import annotations
 
-import json
 import os
 import random
 import socket
 from collections.abc import Callable
-from fnmatch import fnmatchcase
 from typing import TYPE_CHECKING, Any
 
 import structlog
-from twisted.web.resource import Resource
 
+from sedgepitch.cli.group_lookup import group_finder
+from sedgepitch.cli.status_pages import make_site
 from sedgepitch.config.models import Settings
 from sedgepitch.core.clock import ReactorClock
 from sedgepitch.core.connection_pool import PoolLimits
@@ -21,120 +20,113 @@
 from sedgepitch.core.types import Response, ResponseStatus
 from sedgepitch.decisions.admission.controller import AdmissionController
 from sedgepitch.decisions.cursors import CursorTable
-from sedgepitch.discovery.control_socket import Addresses, ControlSocketClient
+from sedgepitch.discovery.control_socket import ControlSocketClient, ControlSocketList
 from sedgepitch.net import listener
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.observe import log
 from sedgepitch.observe.metrics import Metrics
 from sedgepitch.protocols.mongodb.client import ClientFactory, Context, close_at_members
-from sedgepitch.protocols.mongodb.commands import Request
 from sedgepitch.protocols.mongodb.upstream import MongoUpstream
-from sedgepitch.routing import messages as api
+from sedgepitch.routing import messages
 from sedgepitch.routing.router import Router
+from sedgepitch.tracebacks import describe, innermost_place
 
 if TYPE_CHECKING:
     from sedgepitch.peers.service import Peers
     from sedgepitch.peers.zones import ZoneKeeper
 
-METRICS_BACKLOG = 50  # connections that may wait to be accepted
-MOST_ORDER = 4096  # bytes of an operator's order
-SWEEP = 5.0  # s between looks at idle cursors
+CLIENT_BACKLOG = 1024
+STATUS_BACKLOG = 50
+CURSOR_CHECK_INTERVAL_S = 5.0
+SHUTDOWN_CHECK_INTERVAL_S = 0.02
+LAST_WRITES_S = 0.05  # between closing the connections and the end, for what is still unsent
+SESSION_TOKEN_AGE_SHARE = 0.25  # of the tightest staleness bound, for which a session token serves
+SEED_BITS = 32
+MS_PER_S = 1000.0
 
 
-def group_finder(settings: Settings) -> Callable[[Request], int | None]:
-    """Return a function from a request to its group: by shard value first, then by name space."""
-    shards = {str(value): group.id for group in settings.groups for value in group.shards}
-    patterns = [(g.id, g.database, g.collection) for g in settings.groups if not g.shards]
+class ProxyDaemon:
+    """One proxy instance on a reactor.
 
-    def find(request: Request) -> int | None:
-        if request.shard is not None and str(request.shard) in shards:
-            return shards[str(request.shard)]
-        for number, database, collection in patterns:
-            if fnmatchcase(request.database, database) and fnmatchcase(request.collection, collection):
-                return number
-        return None
+    `start` opens the ports, `stop` shuts down gracefully and calls back when done. With `share_port` several
+    processes listen on one address (SO_REUSEPORT).
+    """
 
-    return find
-
-
-class _Shown(Resource):
-    """A part of the driver's state as JSON, for `sedgepitch door`, `peers status` and `zone`."""
-
-    isLeaf = True  # noqa: N815
-
-    def __init__(self, name: str, state: Callable[[], dict[str, Any]]) -> None:
-        super().__init__()
-        self.name, self.state = name, state
-
-    def render_GET(self, request: Any) -> bytes:  # noqa: N802
-        """Answer."""
-        return json.dumps({"driver": self.name, **self.state()}).encode()
-
-
-class _Zones(_Shown):
-    """The same for zones; an order comes sealed by the peers' key, so who reaches the port may only look."""
-
-    def __init__(self, name: str, keeper: ZoneKeeper) -> None:
-        super().__init__(name, keeper.status)
-        self.keeper = keeper
-
-    def render_POST(self, request: Any) -> bytes:  # noqa: N802
-        """Carry out an order."""
-        from sedgepitch.peers.zones import BadOrder
-
-        try:
-            answer = self.keeper.order(request.content.read(MOST_ORDER))
-        except BadOrder as error:
-            request.setResponseCode(400)
-            answer = {"error": str(error)}
-        return json.dumps(answer).encode()
-
-
-class Driver:
-    """One driver on a reactor. `start` opens the listener, `stop` ends in order and calls back when done."""
-
-    def __init__(self, reactor: Any, settings: Settings, share_port: bool = False) -> None:
-        self.reactor, self.settings, self.share_port = reactor, settings, share_port
+    def __init__(self, reactor: Reactor, settings: Settings, share_port: bool = False) -> None:
+        self.reactor = reactor
+        self.settings = settings
+        self.share_port = share_port
         self.clock = ReactorClock(reactor)
         self.log = structlog.get_logger().bind(driver=settings.driver.name)
         self.metrics = Metrics()
-        limits, driver = settings.limits, settings.driver
-        seed = driver.seed if driver.seed is not None else random.SystemRandom().getrandbits(32)
-        self.endpoints = MongoUpstream(
-            reactor,
+        stated_seed = settings.driver.seed
+        seed = stated_seed if stated_seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
+        self.endpoints = self._make_upstream()
+        self.endpoint_list = self._make_list_client()
+        self.engine = self._make_engine(seed)
+        self.metrics.watch(self.engine)
+        self.context = self._make_context(seed)
+        self.endpoints.heard = self.context.read
+        self.peers = self._make_peers()
+        self.zones = self._make_zones()
+        self.ports: list[listener.Listener] = []
+        self._on_ready: Callable[[], None] | None = None
+
+    # Assembly
+
+    def _make_upstream(self) -> MongoUpstream:
+        limits = self.settings.limits
+        return MongoUpstream(
+            self.reactor,
             self.clock,
-            {m.id: m.address for m in settings.members if m.address[1]},
-            driver.name,
+            {m.id: m.address for m in self.settings.members if m.address[1]},
+            self.settings.driver.name,
             PoolLimits(limits.member_connections, limits.connect_within, limits.member_idle),
             limits.probe_within,
-            mark_age=self._mark_age(),
+            mark_age=self._session_token_age(),
         )
-        self.list: ControlSocketClient | None = None
-        if settings.follow is not None:
-            self.list = ControlSocketClient(
-                reactor,
-                self.clock,
-                settings.follow.control,
-                driver.name,
-                self._listed,
-                self._list_lost,
-                self._note,
-            )
-        self.engine = Engine(
+
+    def _session_token_age(self) -> float:
+        """Return for how many seconds a session token serves: a share of the tightest staleness bound."""
+        classes = self.settings.classes
+        bounds = [c.max_age for c in classes if c.freshness is messages.Freshness.BOUNDED]
+        return min(bounds, default=min(c.aim for c in classes)) * SESSION_TOKEN_AGE_SHARE
+
+    def _make_list_client(self) -> ControlSocketClient | None:
+        if self.settings.follow is None:
+            return None
+        return ControlSocketClient(
+            self.reactor,
+            self.clock,
+            self.settings.follow.control,
+            self.settings.driver.name,
+            self._endpoint_list_received,
+            self._endpoint_list_lost,
+            self._log_event,
+        )
+
+    def _make_engine(self, seed: int) -> Engine:
+        settings = self.settings
+        admission = None
+        if settings.door is not None:
+            admission = AdmissionController(settings.door.build(), seed, self.clock.now())
+        return Engine(
             Router(settings.module_settings(), seed),
             self.endpoints,
             self.clock,
-            max_in_flight=limits.in_flight,
-            admission=AdmissionController(settings.door.build(), seed, self.clock.now())
-            if settings.door
-            else None,
-            watch=self.list.watch if self.list else None,
-            log=lambda text: self.log.info("module", text=text),
+            max_in_flight=settings.limits.in_flight,
+            admission=admission,
+            watch=self.endpoint_list.subscribe if self.endpoint_list else None,
+            log=lambda text: self.log.info("router", text=text),
             observe=self._answered,
-            handover=limits.handover_within,
-            on_fault=self._fault,
+            handover=settings.limits.handover_within,
+            on_fault=self._callback_failed,
         )
-        self.metrics.watch(self.engine)
-        self.context = Context(
+
+    def _make_context(self, seed: int) -> Context:
+        settings = self.settings
+        limits = settings.limits
+        return Context(
             engine=self.engine,
             endpoints=self.endpoints,
             clock=self.clock,
@@ -148,121 +140,107 @@
             tenant_of=tuple(settings.door.tenant) if settings.door else (),
             client_of=tuple(settings.door.client) if settings.door else (),
             most_connections=limits.connections,
-            log=self._note,
+            log=self._log_event,
             counted=lambda kind: self.metrics.input_errors.labels(kind).inc(),
         )
-        self.endpoints.heard = self.context.read
-        self.peers = self._make_peers() if settings.peers is not None else None
-        self.zones = self._make_zones(self.peers) if self.peers is not None and settings.zones else None
-        self.ports: list[Any] = []
-        self.ready: Callable[[], None] | None = None
-
-    def _make_peers(self) -> Peers:
-        """Know the other instances; raises KeyFileError. Imported only where the settings ask for it."""
-        from sedgepitch.decisions.gossip.protocol import GossipSettings
-        from sedgepitch.peers.keys import load_keys
-        from sedgepitch.peers.service import Peers, PeerSettings
-
-        told = self.settings.peers
-        assert told is not None
-        paces = GossipSettings(
-            period=told.period, answer_within=0.4 * told.period, spread_every=0.4 * told.period
-        )
-        place = PeerSettings(
-            self.settings.driver.name, told.listen, tuple(told.seeds), dict(told.routes), paces
-        )
-        return Peers(self.reactor, self.clock, place, load_keys(told.key_file), say=self._note)
-
-    def _make_zones(self, peers: Peers) -> ZoneKeeper:
-        """Leave zones, and come back to them, together with the peers."""
-        from sedgepitch.decisions.zones.weights import ZoneSettings
-        from sedgepitch.peers.zones import ZoneKeeper
-
-        told, rules = self.settings.zones, self.settings.rules
-        assert told is not None
-        paces = ZoneSettings(
-            start=rules.start_capacity,
-            warm=max(0.1, rules.warm_within),
-            **{n: getattr(told, n) for n in ("headroom", "watch", "steps", "wait", "wait_most", "triers")},
-        )
-        zone = self.settings.driver.zone
-        keeper = ZoneKeeper(self.engine, peers, self.clock, zone, paces, told.beat, self._note)
-        peers.changed = keeper.changed
-        return keeper
-
-    def _mark_age(self) -> float:
-        """A mark serves until it is a quarter of the tightest bound old."""
-        bounds = [c.max_age for c in self.settings.classes if c.freshness is api.Freshness.BOUNDED]
-        return min(bounds, default=min(c.aim for c in self.settings.classes)) / 4.0
-
-    def start(self, ready: Callable[[str, int], None]) -> None:
-        """Open the listener; `ready` hears its address once members are known. Raises CannotListenError."""
-        entries = tuple(x for x in self.settings.entries() if x.endpoint in self.endpoints.addresses)
-        remembered = self.list is not None
-        self.engine.list_changed(api.EndpointListUpdate(entries, complete=True, remembered=remembered))
-        factory = ClientFactory(self.context)
-        host, port = self.settings.listen
-        if self.share_port:
-            shared = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            shared.bind((host, port))
-            shared.listen(1024)
-            shared.setblocking(False)
-            opened = listener.adopt(self.reactor, shared.fileno(), factory)
-            shared.close()
-        else:
-            opened = listener.listen(self.reactor, port, factory, host, 1024)
-        opened.may_accept = lambda: not self.engine.own.late
-        opened.on_problem = self._accept_failed
-        self.ports.append(opened)
-        address = opened.getHost()
+
+    def _make_peers(self) -> Peers | None:
+        if self.settings.peers is None:
+            return None
+        from sedgepitch.cli import peering
+
+        return peering.make_peers(self.settings, self.reactor, self.clock, self._log_event)
+
+    def _make_zones(self) -> ZoneKeeper | None:
+        if self.peers is None or not self.settings.zones:
+            return None
+        from sedgepitch.cli import peering
+
+        return peering.make_zones(self.settings, self.engine, self.peers, self.clock, self._log_event)
+
+    # Start
+
+    def start(self, on_ready: Callable[[str, int], None]) -> None:
+        """Open the ports; `on_ready` gets the clients' address once endpoints are known.
+
+        Raises CannotListenError, and OSError for a shared port.
+        """
+        self._use_configured_list()
+        address = self._open_client_port().getHost()
         if self.settings.metrics is not None:
-            from prometheus_client.twisted import MetricsResource
-            from twisted.web.server import Site
-
-            root: Any = Resource()
-            root.putChild(b"metrics", MetricsResource(self.metrics.registry))
-            name = self.settings.driver.name
-            root.putChild(b"door", _Shown(name, self._door_state))
-            root.putChild(b"peers", _Shown(name, self.peers.status if self.peers is not None else dict))
-            if self.zones is not None:
-                root.putChild(b"zones", _Zones(name, self.zones))
-            host, port = self.settings.metrics
-            shown = listener.listen(self.reactor, port, Site(root), host, METRICS_BACKLOG)
-            self.ports.append(shown)
-            self.log.info("metrics.listening", address=f"{host}:{shown.getHost().port}")
+            self._open_status_port(self.settings.metrics)
         if self.peers is not None:
             host, port = self.peers.start()
             self.log.info("peers.listening", address=f"{host}:{port}")
         if self.zones is not None:
             self.zones.start()
-        self.clock.call_later(SWEEP, self._sweep)
+        self.clock.call_later(CURSOR_CHECK_INTERVAL_S, self._close_expired_cursors)
         self.log.info("listening", address=f"{address.host}:{address.port}", pid=os.getpid())
-        self.ready = lambda: ready(address.host, address.port)
+        self._on_ready = lambda: on_ready(address.host, address.port)
         if self.endpoints.links:
-            self._say_ready()
+            self._report_ready()
 
-    def _accept_failed(self, problem: listener.AcceptProblem) -> None:
-        self.log.warning(
-            "accept.failed",
-            call=problem.call,
-            error=problem.name,
-            text=problem.text,
-            again_in_s=problem.pause,
+    def _use_configured_list(self) -> None:
+        entries = tuple(x for x in self.settings.entries() if x.endpoint in self.endpoints.addresses)
+        cached = self.endpoint_list is not None
+        self.engine.list_changed(messages.EndpointListUpdate(entries, complete=True, remembered=cached))
+
+    def _open_client_port(self) -> listener.Listener:
+        factory = ClientFactory(self.context)
+        host, port = self.settings.listen
+        if self.share_port:
+            opened = self._open_shared_port(host, port, factory)
+        else:
+            opened = listener.listen(self.reactor, port, factory, host, CLIENT_BACKLOG)
+        opened.may_accept = lambda: not self.engine.own.late
+        opened.on_problem = self._accept_failed
+        self.ports.append(opened)
+        return opened
+
+    def _open_shared_port(self, host: str, port: int, factory: ClientFactory) -> listener.Listener:
+        with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as shared:
+            shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            shared.bind((host, port))
+            shared.listen(CLIENT_BACKLOG)
+            shared.setblocking(False)
+            return listener.adopt(self.reactor, shared.fileno(), factory)
+
+    def _open_status_port(self, address: tuple[str, int]) -> None:
+        host, port = address
+        site = make_site(
+            self.settings.driver.name,
+            self.metrics,
+            admission=self._admission_state,
+            peers=self.peers.status if self.peers is not None else dict,
+            zones=self.zones,
         )
+        opened = listener.listen(self.reactor, port, site, host, STATUS_BACKLOG)
+        self.ports.append(opened)
+        self.log.info("metrics.listening", address=f"{host}:{opened.getHost().port}")
 
-    def _door_state(self) -> dict[str, Any]:
+    def _admission_state(self) -> dict[str, Any]:
         admission = self.engine.admission
         return {} if admission is None else admission.state(self.clock.now())
 
-    def _say_ready(self) -> None:
-        ready, self.ready = self.ready, None
-        if ready is not None:
-            ready()
+    def _report_ready(self) -> None:
+        on_ready, self._on_ready = self._on_ready, None
+        if on_ready is not None:
+            on_ready()
+
+    # Reload and shutdown
 
-    def stop(self, done: Callable[[], None]) -> None:
-        """End in order: no new connections or requests, what is owed answered, then all closed."""
+    def reload(self, settings: Settings) -> None:
+        """Apply what may change while running: the settings of admission. Queued requests stay queued."""
+        if self.engine.admission is not None and settings.door is not None:
+            self.engine.admission.reload(settings.door.build())
+            self.log.info("reloaded", weights=settings.door.weights)
+
+    def stop(self, on_stopped: Callable[[], None]) -> None:
+        """Close the ports, answer pending requests, close all connections, and call back.
+
+        Pending requests are waited for at most `limits.stop_within`.
+        """
         self.engine.stopping = True
         if self.zones is not None:
             self.zones.stop()
@@ -271,86 +249,85 @@
         for port in self.ports:
             port.stopListening()
         self.ports = []
-        end = self.clock.now() + self.settings.limits.stop_within
-
-        def look() -> None:
-            if self.engine.request_table.pending and self.clock.now() < end:
-                self.clock.call_later(0.02, look)
-                return
-            if self.list is not None:
-                self.list.stop()
-            for connection in list(self.context.connections):
-                connection.transport.loseConnection()
-            self.endpoints.close()
-            self.log.info("stopped", pending=self.engine.request_table.pending, **self._delays())
-            self.clock.call_later(0.05, done)
-
-        look()
+        self._stop_when_drained(self.clock.now() + self.settings.limits.stop_within, on_stopped)
 
-    def reload(self, settings: Settings) -> None:
-        """Take what may change while running: the door's settings. What waits there is not lost."""
-        if self.engine.admission is not None and settings.door is not None:
-            self.engine.admission.reload(settings.door.build())
-            self.log.info("reloaded", weights=settings.door.weights)
-
-    def _listed(self, entries: tuple[api.EndpointEntry, ...], complete: bool, addresses: Addresses) -> None:
-        self.endpoints.addresses.update(addresses)
-        known = tuple(x for x in entries if x.endpoint in self.endpoints.addresses)
-        self.engine.list_changed(api.EndpointListUpdate(known, complete=complete))
+    def _stop_when_drained(self, drain_deadline: float, on_stopped: Callable[[], None]) -> None:
+        pending = self.engine.request_table.pending
+        if pending and self.clock.now() < drain_deadline:
+            self.clock.call_later(
+                SHUTDOWN_CHECK_INTERVAL_S, self._stop_when_drained, drain_deadline, on_stopped
+            )
+            return
+        if self.endpoint_list is not None:
+            self.endpoint_list.stop()
+        for connection in list(self.context.connections):
+            connection.transport.loseConnection()
+        self.endpoints.close()
+        self.log.info("stopped", pending=self.engine.request_table.pending, **self._lag_statistics())
+        self.clock.call_later(LAST_WRITES_S, on_stopped)
+
+    # Endpoint list
+
+    def _endpoint_list_received(self, update: ControlSocketList) -> None:
+        self.endpoints.addresses.update(update.addresses)
+        entries = tuple(x for x in update.entries if x.endpoint in self.endpoints.addresses)
+        self.engine.list_changed(messages.EndpointListUpdate(entries, complete=update.complete))
         if self.endpoints.links:
-            self._say_ready()
-        gone = {m for m, link in self.endpoints.links.items() if m in self.engine.drained}
-        if gone:
-            self.log.info("list.drained", endpoints=sorted(gone))
-
-    def _list_lost(self) -> None:
-        self.log.warning("list.lost")
-        self.engine.feed(api.EndpointListFailed())
-
-    def _delays(self) -> dict[str, float]:
-        """How late this driver has been, for the log."""
-        engine, event_loop_lag = self.engine, self.engine.event_loop_lag
-        return {
-            "latest_ms": round(event_loop_lag.peak * 1000.0, 1),
-            "mean_wait_ms": round(event_loop_lag.sum / max(1, event_loop_lag.waits) * 1000.0, 3),
-            "reserve_ms": round(event_loop_lag.reserve(self.clock.now()) * 1000.0, 1),
-            "too_slow": engine.too_slow,
-            "too_many": engine.too_many,
-            "hurried": engine.hurried,
-            "overdue": engine.overdue,
-            "faults": engine.faults,
-        }
+            self._report_ready()
+        drained = self.endpoints.links.keys() & self.engine.drained.keys()
+        if drained:
+            self.log.info("endpoint_list.drained", endpoints=sorted(drained))
+
+    def _endpoint_list_lost(self) -> None:
+        self.log.warning("endpoint_list.lost")
+        self.engine.feed(messages.EndpointListFailed())
 
-    def _fault(self, where: str, error: BaseException) -> None:
-        """One line for what a front, a log or an observer raised inside the engine's turn."""
-        trace = error.__traceback__
-        while trace is not None and trace.tb_next is not None:
-            trace = trace.tb_next
-        place = f"{os.path.basename(trace.tb_frame.f_code.co_filename)}:{trace.tb_lineno}" if trace else "?"
-        self.metrics.faults.labels(where).inc()
-        self.log.error("engine.fault", at=where, place=place, error=f"{type(error).__name__}: {error}"[:300])
+    # Log and metrics
 
-    def _note(self, event: str, **fields: Any) -> None:
+    def _log_event(self, event: str, **fields: object) -> None:
         self.log.info(event, **fields)
 
-    def _answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
-        self.metrics.answered(account, answer, elapsed)
-        if (
-            answer.verdict is not ResponseStatus.SERVED and not log.full()
-        ):  # under a flood, lines cost more than answers
-            self.log.info(
-                answer.verdict.value,
-                request=account.id,
-                connection=account.command.connection,
-                class_name=account.command.class_name,
-                group=account.command.group,
-                attempts=account.endpoints,
-                after_ms=round(elapsed * 1000.0, 1),
-                come_back_ms=round(answer.retry_after * 1000.0),
-                why=answer.why,
-            )
+    def _accept_failed(self, problem: listener.AcceptProblem) -> None:
+        self.log.warning("accept.failed", **problem.log_fields())
+
+    def _callback_failed(self, callback: str, error: BaseException) -> None:
+        """Log and count an exception of a callback that the engine caught."""
+        place = innermost_place(error.__traceback__)
+        self.metrics.faults.labels(callback).inc()
+        self.log.error("engine.fault", callback=callback, place=place, error=describe(error))
+
+    def _lag_statistics(self) -> dict[str, float]:
+        """Return the event loop's lag and what was decided for it, as log fields."""
+        engine = self.engine
+        lag = engine.event_loop_lag
+        return {
+            "max_lag_ms": round(lag.peak * MS_PER_S, 1),
+            "mean_lag_ms": round(lag.sum / max(1, lag.waits) * MS_PER_S, 3),
+            "deadline_margin_ms": round(lag.reserve(self.clock.now()) * MS_PER_S, 1),
+            "rejected_for_lag": engine.too_slow,
+            "rejected_for_load": engine.too_many,
+            "answered_early": engine.hurried,
+            "overdue": engine.overdue,
+            "callback_errors": engine.faults,
+        }
+
+    def _answered(self, request: PendingRequest, response: Response, elapsed: float) -> None:
+        """Count a final answer; log it unless it was served or this second's lines are used up."""
+        self.metrics.answered(request, response, elapsed)
+        if response.verdict is ResponseStatus.SERVED or log.is_full():
+            return
+        self.log.info(
+            f"request.{response.verdict.name.lower()}",
+            request=request.id,
+            connection=request.command.connection,
+            class_name=request.command.class_name,
+            group=request.command.group,
+            attempts=request.endpoints,
+            elapsed_ms=round(elapsed * MS_PER_S, 1),
+            retry_after_ms=round(response.retry_after * MS_PER_S),
+            reason=response.why,
+        )
 
-    def _sweep(self) -> None:
-        now = self.clock.now()
-        close_at_members(self.context, self.context.cursors.expire(now))
-        self.clock.call_later(SWEEP, self._sweep)
+    def _close_expired_cursors(self) -> None:
+        close_at_members(self.context, self.context.cursors.expire(self.clock.now()))
+        self.clock.call_later(CURSOR_CHECK_INTERVAL_S, self._close_expired_cursors)
--- a/sedgepitch/cli/main.py
+++ b/sedgepitch/cli/main.py
@@ -69,7 +69,7 @@
     from sedgepitch.cli.reactors import install
     from sedgepitch.observe import log
 
-    log.set_up(settings.log.level, settings.log.format, settings.log.lines_per_second)
+    log.configure(settings.log.level, settings.log.format, settings.log.lines_per_second)
     reactor = install(settings.driver.reactor)
     if worker:
         name = f"{settings.driver.name}/{worker}"
@@ -81,10 +81,10 @@
         settings = settings.model_copy(update=changes)
     from twisted.internet.error import CannotListenError
 
-    from sedgepitch.cli.daemon import Driver
+    from sedgepitch.cli.daemon import ProxyDaemon
 
     try:
-        driver = Driver(reactor, settings, share_port=bool(worker))
+        driver = ProxyDaemon(reactor, settings, share_port=bool(worker))
         driver.start(lambda host, port: click.echo(f"ready {host}:{port}"))
     except CannotListenError as error:
         raise click.ClickException(f"cannot listen on {error.interface}:{error.port}") from None
--- /dev/null
+++ b/sedgepitch/cli/status_pages.py
@@ -0,0 +1,73 @@
+"""The HTTP pages of a running proxy: metrics, and its state as JSON for the command line."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from twisted.web.http import BAD_REQUEST
+from twisted.web.resource import Resource
+
+from sedgepitch.observe.metrics import Metrics
+
+if TYPE_CHECKING:
+    from twisted.web.server import Request, Site
+
+    from sedgepitch.peers.zones import ZoneKeeper
+
+MAX_COMMAND_BYTES = 4096
+
+State = Callable[[], dict[str, Any]]
+
+
+class StatusPage(Resource):
+    """A part of the proxy's state as JSON, for `sedgepitch door`, `peers status` and `zone`."""
+
+    isLeaf = True  # noqa: N815 (Twisted's name)
+
+    def __init__(self, name: str, state: State) -> None:
+        super().__init__()
+        self.name = name
+        self.state = state
+
+    def render_GET(self, _request: Request) -> bytes:  # noqa: N802 (Twisted's name)
+        """Return the state."""
+        return json.dumps({"driver": self.name, **self.state()}).encode()
+
+
+class ZonePage(StatusPage):
+    """The state of zones, and operator commands on them.
+
+    A command is sealed with the peers' key, so whoever merely reaches the port can only read.
+    """
+
+    def __init__(self, name: str, zones: ZoneKeeper) -> None:
+        super().__init__(name, zones.status)
+        self.zones = zones
+
+    def render_POST(self, request: Request) -> bytes:  # noqa: N802 (Twisted's name)
+        """Carry out a command; 400 with the reason if it is not accepted."""
+        from sedgepitch.peers.zones import BadOrder
+
+        assert request.content is not None
+        try:
+            answer = self.zones.order(request.content.read(MAX_COMMAND_BYTES))
+        except BadOrder as error:
+            request.setResponseCode(BAD_REQUEST)
+            answer = {"error": str(error)}
+        return json.dumps(answer).encode()
+
+
+def make_site(name: str, metrics: Metrics, admission: State, peers: State, zones: ZoneKeeper | None) -> Site:
+    """Return the site with `/metrics`, `/door`, `/peers` and, with zones, `/zones`."""
+    from prometheus_client.twisted import MetricsResource
+    from twisted.web.server import Site
+
+    root: Any = Resource()  # declared by zope interfaces, which type checkers do not relate to the classes
+    root.putChild(b"metrics", MetricsResource(metrics.registry))
+    root.putChild(b"door", StatusPage(name, admission))
+    root.putChild(b"peers", StatusPage(name, peers))
+    if zones is not None:
+        root.putChild(b"zones", ZonePage(name, zones))
+    return Site(root)
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -51,18 +51,18 @@
 class Room(Protocol):
     """Who may say that there is no descriptor for one more connection."""
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Take one; False where there is none."""
 
-    def give(self) -> None:
+    def release(self) -> None:
         """Give one back."""
 
 
 class _Boundless:
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         pass
 
 
@@ -275,7 +275,7 @@
         elif len(self.lanes) >= self.limits.most or self.closed:
             end = AttemptOutcome(AttemptResult.CONNECT_FAILED, why="all connections to the member are in use")
             self.clock.soon(exchange.end, end)
-        elif not self.room.take():
+        elif not self.room.acquire():
             self.clock.soon(exchange.end, AttemptOutcome(AttemptResult.NOT_SENT, why="no descriptor is free"))
         else:
             lane = _Lane(self)
@@ -360,7 +360,7 @@
         if lane in self.lanes:
             self.lanes.discard(lane)
             lane.give_up = None
-            self.room.give()
+            self.room.release()
         if lane in self.idle:
             self.idle.remove(lane)
 
--- a/sedgepitch/decisions/connections/client_connections.py
+++ b/sedgepitch/decisions/connections/client_connections.py
@@ -1,16 +1,25 @@
-"""Which client connections are kept, and which goes: by what each has said and asked, and since when.
-
-A connection is silent until its first bytes, talking while something of it is unfinished, resting while it
-has nothing to do, and otherwise busy: then it is never closed for room. Four rules, each against a symptom:
-
-* Who says nothing, or half of something, goes after TALK_WITHIN; who does not take an answer, after
-  TAKE_WITHIN. Counted from when it began, so that a byte now and then does not help.
-* Only RESTING of those that there is room for may rest; the one resting longest goes at once. Against clients
-  that ask once and keep their connection for good, which leaves no room here or where they come from. May
-  hurt one that asks again and has to connect anew.
-* Where there is no room at all: one silent for longer than SPARED, else the one resting longest, else the
-  oldest silent one. Against connections by the hundreds; may hurt a client slow to say its first word.
-* Whoever is busy stays, and with nobody else there the newcomer is the one that goes.
+"""Limits on client connections: which are closed for slowness, for idling, or to make room for a new one.
+
+==========================  ================================================================================
+state of a connection       meaning
+==========================  ================================================================================
+awaiting first byte         accepted; nothing has arrived yet
+receiving                   part of a message or handshake has arrived
+idle                        nothing is unfinished
+processing (no table)       a response is pending; never closed to make room
+==========================  ================================================================================
+
+Write-blocked is independent of these: the client does not read its response, whatever else it does.
+
+Four rules:
+
+* Timeouts. A connection that completes nothing within RECEIVE_TIMEOUT_S, or leaves its response unread for
+  WRITE_TIMEOUT_S, is closed. The time counts from the start of the state, so single bytes do not extend it.
+* Idle limit. At most MAX_IDLE_SHARE of the permitted connections may be idle; the longest idle one is closed.
+  Clients that keep a connection after one request would otherwise use up descriptors on both sides.
+* Eviction. With no room left, the first choice is a connection that has awaited its first byte for more than
+  FIRST_BYTE_GRACE_S, then the longest idle one, then the oldest that awaits its first byte.
+* A processing connection is never evicted. If all are processing, the newcomer is closed.
 """
 
 from __future__ import annotations
@@ -21,88 +30,97 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-TALK_WITHIN = 2.0  # s to say the first word, or to end what has been begun
-TAKE_WITHIN = 5.0  # s to take an answer
-SPARED = 0.5  # s in which one that has said nothing yet does not go before those that rest
-RESTING = 0.33  # of the connections that there is room for
+RECEIVE_TIMEOUT_S = 2.0  # for the first byte, and for completing a message
+WRITE_TIMEOUT_S = 5.0  # for reading a response
+FIRST_BYTE_GRACE_S = 0.5  # during which idle connections are evicted before one that awaits its first byte
+MAX_IDLE_SHARE = 0.33  # of the permitted connections
 
 
 class ClientConnections(Generic[Key]):
-    """The connections of one listener. Pure: time is passed in, in seconds; `most` is the room for them."""
-
-    __slots__ = ("clogged", "evicted", "most", "overdue", "resting", "silent", "talking")
-
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.silent: OrderedDict[Key, float] = OrderedDict()  # all by since when, the oldest first
-        self.talking: OrderedDict[Key, float] = OrderedDict()
-        self.clogged: OrderedDict[Key, float] = OrderedDict()
-        self.resting: OrderedDict[Key, float] = OrderedDict()
-        self.evicted = self.overdue = 0
-
-    def came(self, key: Key, now: float) -> None:
-        """A connection has been accepted."""
-        self.silent[key] = now
-
-    def spoke(self, key: Key) -> None:
-        """Bytes came; of one that was silent the time goes on counting."""
-        since = self.silent.pop(key, None)
-        if since is not None:
-            self.talking[key] = since
-
-    def unfinished(self, key: Key, now: float) -> None:
-        """Something of it has come that is not whole."""
-        self.resting.pop(key, None)
-        if key not in self.silent:
-            self.talking.setdefault(key, now)
-
-    def busy(self, key: Key) -> None:
-        """It is owed an answer."""
-        self.talking.pop(key, None)
-        self.resting.pop(key, None)
-
-    def rests(self, key: Key, now: float) -> Key | None:
-        """It has nothing to do; returns the one that goes for it, if one has to."""
-        self.busy(key)
-        self.resting[key] = now
-        if len(self.resting) <= RESTING * self.most:
+    """The connections of one listener, by state.
+
+    Performs no I/O. Times are seconds of one monotonic clock, passed in; `max_connections` is the number of
+    connections permitted. Each table maps a connection to the start of its state, the oldest first.
+    """
+
+    __slots__ = (
+        "awaiting_first_byte", "evicted", "idle", "max_connections", "receiving", "timed_out",
+        "write_blocked",
+    )  # fmt: skip
+
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+        self.awaiting_first_byte: OrderedDict[Key, float] = OrderedDict()
+        self.receiving: OrderedDict[Key, float] = OrderedDict()
+        self.write_blocked: OrderedDict[Key, float] = OrderedDict()
+        self.idle: OrderedDict[Key, float] = OrderedDict()
+        self.evicted = 0  # closed by the idle limit or for a newcomer, since the start
+        self.timed_out = 0  # closed by a timeout, since the start
+
+    def accepted(self, key: Key, now: float) -> None:
+        """Record that a connection has been accepted."""
+        self.awaiting_first_byte[key] = now
+
+    def bytes_received(self, key: Key) -> None:
+        """Record that bytes arrived; a timeout that runs since the accept goes on."""
+        accepted_at = self.awaiting_first_byte.pop(key, None)
+        if accepted_at is not None:
+            self.receiving[key] = accepted_at
+
+    def message_incomplete(self, key: Key, now: float) -> None:
+        """Record that part of a message is held and its rest is awaited."""
+        self.idle.pop(key, None)
+        if key not in self.awaiting_first_byte:
+            self.receiving.setdefault(key, now)
+
+    def request_started(self, key: Key) -> None:
+        """Record that a response is pending."""
+        self.receiving.pop(key, None)
+        self.idle.pop(key, None)
+
+    def became_idle(self, key: Key, now: float) -> Key | None:
+        """Record that nothing is unfinished; return the connection to close for the idle limit, if any."""
+        self.receiving.pop(key, None)
+        self.idle.pop(key, None)
+        self.idle[key] = now
+        if len(self.idle) <= MAX_IDLE_SHARE * self.max_connections:
             return None
-        return self._goes(self.resting)
+        return self._evict_oldest(self.idle)
 
-    def stuck(self, key: Key, now: float) -> None:
-        """It does not take its answer."""
-        self.clogged.setdefault(key, now)
+    def write_paused(self, key: Key, now: float) -> None:
+        """Record that the client does not read its response."""
+        self.write_blocked.setdefault(key, now)
 
-    def unstuck(self, key: Key) -> None:
-        """It has taken all."""
-        self.clogged.pop(key, None)
+    def write_resumed(self, key: Key) -> None:
+        """Record that all has been written."""
+        self.write_blocked.pop(key, None)
 
-    def left(self, key: Key) -> None:
-        """It is gone, or is being ended: nothing more is judged of it."""
-        for table in (self.silent, self.talking, self.clogged, self.resting):
+    def closed(self, key: Key) -> None:
+        """Forget a connection that is closed or being closed."""
+        for table in (self.awaiting_first_byte, self.receiving, self.write_blocked, self.idle):
             table.pop(key, None)
 
-    def make_room(self, now: float) -> Key | None:
-        """Return who goes where there is no room, None where all are busy."""
-        first = next(iter(self.silent.values()), now)
-        if now - first > SPARED or not self.resting:
-            return self._goes(self.silent) if self.silent else None
-        return self._goes(self.resting)
+    def evict(self, now: float) -> Key | None:
+        """Choose the connection to close for a newcomer and forget it; None if all are processing."""
+        oldest = next(iter(self.awaiting_first_byte.values()), now)
+        if now - oldest > FIRST_BYTE_GRACE_S or not self.idle:
+            return self._evict_oldest(self.awaiting_first_byte) if self.awaiting_first_byte else None
+        return self._evict_oldest(self.idle)
 
-    def too_slow(self, now: float) -> list[Key]:
-        """Return those whose time to speak or to take is over; they are forgotten here."""
+    def remove_timed_out(self, now: float) -> list[Key]:
+        """Return the connections whose timeout has passed, and forget the state that ran out."""
         found: list[Key] = []
-        for table, within in (
-            (self.silent, TALK_WITHIN),
-            (self.talking, TALK_WITHIN),
-            (self.clogged, TAKE_WITHIN),
+        for table, timeout_s in (
+            (self.awaiting_first_byte, RECEIVE_TIMEOUT_S),
+            (self.receiving, RECEIVE_TIMEOUT_S),
+            (self.write_blocked, WRITE_TIMEOUT_S),
         ):
-            while table and now - next(iter(table.values())) >= within:
+            while table and now - next(iter(table.values())) >= timeout_s:
                 found.append(table.popitem(last=False)[0])
-        self.overdue += len(found)
+        self.timed_out += len(found)
         return found
 
-    def _goes(self, table: OrderedDict[Key, float]) -> Key:
+    def _evict_oldest(self, table: OrderedDict[Key, float]) -> Key:
         key, _ = table.popitem(last=False)
         self.evicted += 1
         return key
--- a/sedgepitch/decisions/connections/descriptor_budget.py
+++ b/sedgepitch/decisions/connections/descriptor_budget.py
@@ -1,53 +1,55 @@
-"""The account of descriptors: one bound over the clients' connections and the members'.
+"""The budget of file descriptors: one limit shared by client connections and endpoint connections.
 
-A process may hold so many and no more; running out of them in `accept` or `connect` is never seen here,
-because nothing is opened that this account does not grant. Clients may hold at most CLIENTS of what is to be
-shared, so however many connect and say nothing there is room to reach members. Whoever is refused here gets
-room by closing what is idle, which its owner does.
+A process may hold a fixed number of descriptors. The budget grants each connection before it is opened, so
+the limit is reached here and not as EMFILE in `accept` or `connect`. Clients may hold at most CLIENT_SHARE
+of what can be shared: however many connect, descriptors for endpoints remain. A side that is refused closes
+an idle connection of its own.
 """
 
 from __future__ import annotations
 
-RESERVED = 24  # standard streams, the loop's own, the listener, discovery old and new, one being accepted
-CLIENTS = 0.5  # share of the rest that clients may hold
-LEAST = 8  # for either side, however few there are in all
+RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, two discovery streams, one being accepted
+CLIENT_SHARE = 0.5  # of the descriptors that are not reserved
+MIN_PER_SIDE = 8  # for clients and for endpoints, however small the limit
+UNLIMITED = 1 << 30
 
 
 class DescriptorBudget:
-    """Counts. `limit` is what the process may hold, 0 for no bound."""
+    """Counts descriptors in use. `limit` is the process's limit, 0 for none."""
 
-    __slots__ = ("clients", "clients_most", "endpoints", "limit", "members_most", "refused")
+    __slots__ = ("clients", "endpoints", "limit", "max_clients", "max_endpoints", "refused")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        shared = max(2 * LEAST, limit - RESERVED) if limit else 1 << 30
-        self.clients_most = max(LEAST, int(shared * CLIENTS))
-        self.members_most = max(LEAST, shared - self.clients_most)
-        self.clients = self.endpoints = 0
-        self.refused = 0  # connections to members that there was no room for
-
-    def client_came(self) -> bool:
-        """Count an accepted connection; False where one has to go for it."""
+        shared = max(2 * MIN_PER_SIDE, limit - RESERVED_DESCRIPTORS) if limit else UNLIMITED
+        self.max_clients = max(MIN_PER_SIDE, int(shared * CLIENT_SHARE))
+        self.max_endpoints = max(MIN_PER_SIDE, shared - self.max_clients)
+        self.clients = 0  # client connections open
+        self.endpoints = 0  # endpoint connections open
+        self.refused = 0  # endpoint connections that were not granted, since the start
+
+    def client_accepted(self) -> bool:
+        """Count an accepted connection; return False if another client has to be closed for it."""
         self.clients += 1
-        return self.clients <= self.clients_most
+        return self.clients <= self.max_clients
 
-    def client_left(self) -> None:
-        """A client's connection has been closed."""
+    def client_closed(self) -> None:
+        """Count the close of a client's connection."""
         self.clients -= 1
 
-    def take(self) -> bool:
-        """Grant a connection to a member."""
-        if self.endpoints >= self.members_most:
+    def acquire(self) -> bool:
+        """Grant one connection to an endpoint; return False if none is left."""
+        if self.endpoints >= self.max_endpoints:
             self.refused += 1
             return False
         self.endpoints += 1
         return True
 
-    def give(self) -> None:
-        """A connection to a member has been closed."""
+    def release(self) -> None:
+        """Return the descriptor of a closed endpoint connection."""
         self.endpoints -= 1
 
     @property
-    def members_short(self) -> bool:
-        """Whether so many connections to members are open that idle ones should go."""
-        return self.endpoints + LEAST > self.members_most
+    def endpoints_nearly_exhausted(self) -> bool:
+        """Whether fewer than MIN_PER_SIDE endpoint connections are left, so idle ones should be closed."""
+        return self.endpoints + MIN_PER_SIDE > self.max_endpoints
--- a/sedgepitch/decisions/connections/shutdown_schedule.py
+++ b/sedgepitch/decisions/connections/shutdown_schedule.py
@@ -1,38 +1,54 @@
-"""When a driver that was told to end stops accepting, closes what is free, and has answered everything.
+"""The schedule of a graceful shutdown, from the request until the platform kills the process.
 
 ======================  ==================================================================================
-from                    what holds
+from                    rule
 ======================  ==================================================================================
-told to end             clients keep what they hold and new ones still come: all are served
-`accepting_until`       what waits to be accepted is accepted, then the port closes
-`closing_from`          who has nothing under way and nothing unread is closed, others with their answer
-`answered_by`           everything taken has had its answer: what is still under way is ended by then
-`over_by`               whatever clients still hold, the driver ends
+shutdown requested      new connections are accepted and all requests served
+`accept_until`          what waits in the backlog is accepted, then the port closes
+`close_idle_from`       idle connections with nothing unread are closed, others after their response
+`drain_deadline`        requests that are still pending get their final answer
+`exit_deadline`         the process exits, whatever connections clients still hold
 ======================  ==================================================================================
 
-Served for so long because for many clients there is no other driver; closed before the end because a close
-between requests costs a client one more connection, and the end of the process under one costs its request.
+Serving goes on that long because many clients have no other proxy instance to go to. Connections are closed
+before the exit because a close between requests costs a client one new connection, while the end of the
+process costs the request that is pending on it.
 """
 
 from __future__ import annotations
 
-STILL_COMING = 0.5  # s after the signal in which new connections still come (the platform: 0.2 to 0.4)
-LONGEST, BEYOND = 3.0, 0.7  # s; the platform kills no sooner than the longest deadline, counted as LONGEST
-# where it is longer, and BEYOND after the signal
-CLOSING, ANSWERED, OVER = 0.35, 0.15, 0.03  # s before that
+NEW_CONNECTIONS_S = 0.5  # after the request; the platform sends new connections for 0.2 to 0.4 s
+# The platform kills no sooner than the longest request deadline, counted as MAX_DEADLINE_S where it is
+# longer, plus KILL_MARGIN_S after the request.
+MAX_DEADLINE_S = 3.0
+KILL_MARGIN_S = 0.7
+CLOSE_IDLE_BEFORE_KILL_S = 0.35
+DRAIN_BEFORE_KILL_S = 0.15
+EXIT_BEFORE_KILL_S = 0.03
 
 
 class ShutdownSchedule:
-    """The times of one end. Pure; `told` and all others are times of one clock, `longest` is in seconds."""
-
-    __slots__ = ("accepting_until", "answered_by", "closing_from", "over_by")
-
-    def __init__(self, told: float, longest: float) -> None:
-        killed = told + min(longest, LONGEST) + BEYOND
-        self.accepting_until = told + min(STILL_COMING, killed - told - CLOSING)
-        self.closing_from, self.answered_by = killed - CLOSING, killed - ANSWERED
-        self.over_by = killed - OVER
-
-    def over(self, now: float, listening: bool, connections: int, pending: int) -> bool:
-        """Whether the driver may end. What is owed is never left: the platform's own end is no worse."""
-        return not pending and (now >= self.over_by or (not listening and not connections))
+    """The times of one shutdown, in seconds of the clock that `requested_at` is of.
+
+    `longest_deadline` is the longest request deadline of all classes, in seconds.
+    """
+
+    __slots__ = ("accept_until", "close_idle_from", "drain_deadline", "exit_deadline")
+
+    def __init__(self, requested_at: float, longest_deadline: float) -> None:
+        killed_at = requested_at + min(longest_deadline, MAX_DEADLINE_S) + KILL_MARGIN_S
+        accept_for = min(NEW_CONNECTIONS_S, killed_at - requested_at - CLOSE_IDLE_BEFORE_KILL_S)
+        self.accept_until = requested_at + accept_for
+        self.close_idle_from = killed_at - CLOSE_IDLE_BEFORE_KILL_S
+        self.drain_deadline = killed_at - DRAIN_BEFORE_KILL_S
+        self.exit_deadline = killed_at - EXIT_BEFORE_KILL_S
+
+    def may_exit(self, now: float, *, listening: bool, connections: int, pending: int) -> bool:
+        """Whether the process may exit: never with requests pending.
+
+        Without pending requests it may once the port and all connections are closed, or from `exit_deadline`.
+        """
+        if pending:
+            return False
+        all_closed = not listening and not connections
+        return all_closed or now >= self.exit_deadline
--- a/sedgepitch/decisions/discovery/list_versions.py
+++ b/sedgepitch/decisions/discovery/list_versions.py
@@ -1,13 +1,16 @@
-"""The member list as versions of it arrive: what is believed, and what has to be asked anew.
-
-Sources tell whole lists and changes, each with a version. A change counts if it is newer than what is held;
-one that is not has been told already. A whole list always counts: whoever tells it says that all else is
-void, so a version that went back (a source that lost its memory, or one that lags behind the one before) is
-taken, too. But what was told ending, draining or removed, by a later version stays so there until it has
-started again or a change names it: a lagging list says nothing of a member that it has not heard of yet, and
-a request sent to one that ends breaks a rule, where one not sent only costs room. Members are named by
-strings there and by numbers in the module; the number is made of the name alone, so that every driver and
-every start of one uses the same, and is kept for as long as the name is listed or in use here.
+"""Which version of the endpoint list applies, as complete lists and changes arrive.
+
+Rules:
+
+* A change applies if its revision is newer than the one held; otherwise it has been applied before.
+* A complete list always applies, also with an older revision: the source may have lost its state, or another
+  source that lags behind may have taken its place.
+* An endpoint that a newer revision reported as draining or removed stays draining while an older complete
+  list reports it as up, until it has restarted or a change names it. The older list knows nothing of the
+  drain; a request sent to a draining endpoint breaks a rule, one not sent costs capacity only.
+* Sources name endpoints by strings, the router by integers. The integer is derived from the name alone, so
+  it is the same in each proxy instance and after each restart. It is kept while the name is listed or in
+  use.
 """
 
 from __future__ import annotations
@@ -18,11 +21,15 @@
 from sedgepitch.routing.messages import EndpointEntry, EndpointListUpdate, EndpointState
 
 Address = tuple[str, int]
+MAX_ENDPOINT_ID = 0xFFFFFFFF
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
-    """One member as a source tells it. `started` is on the driver's clock, 0 where that was long ago."""
+class DiscoveredEndpoint:
+    """One endpoint as a source lists it.
+
+    `started_at` is in seconds of the proxy's monotonic clock, 0 where the start was long ago.
+    """
 
     name: str
     address: Address
@@ -30,43 +37,43 @@
     group: int
     state: EndpointState
     size: float
-    started: float
+    started_at: float
     primary: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Version:
-    """One object of the source."""
+class ListVersion:
+    """One message of the source: the complete list, or the entries changed since the previous revision."""
 
     revision: int
     complete: bool
-    entries: tuple[Entry, ...]
+    entries: tuple[DiscoveredEndpoint, ...]
 
 
 class EndpointListVersions:
-    """What this driver holds of the list. Pure; names that are let go are forgotten wholly."""
+    """The endpoint list of this proxy instance and the integer ids of its endpoints. Performs no I/O."""
 
-    __slots__ = ("addresses", "ending", "names", "numbers", "present", "revision")
+    __slots__ = ("addresses", "departing", "ids", "names", "present", "revision")
 
     def __init__(self) -> None:
         self.revision = 0
-        self.numbers: dict[str, int] = {}
+        self.ids: dict[str, int] = {}
         self.names: dict[int, str] = {}
         self.addresses: dict[int, Address] = {}
-        self.present: set[int] = set()
-        self.ending: dict[str, float] = {}  # those told draining or removed, and when they had started
+        self.present: set[int] = set()  # listed, and not removed
+        self.departing: dict[str, float] = {}  # reported draining or removed -> `started_at` of that report
 
-    def take(self, version: Version, remembered: bool = False) -> EndpointListUpdate | None:
-        """Take a version; returns what the module is to hear, None where it says nothing new.
+    def apply(self, version: ListVersion, cached: bool = False) -> EndpointListUpdate | None:
+        """Apply a version; return the update for the router, or None if it is not newer.
 
-        A remembered list gives members but no version: it may be out of date.
+        A cached list gives endpoints but no revision, since it may be out of date.
         """
-        back = not remembered and version.revision < self.revision
-        if not remembered:
+        older = not cached and version.revision < self.revision
+        if not cached:
             if not version.complete and version.revision <= self.revision:
                 return None
             self.revision = version.revision
-        entries = tuple(self._listing(entry, back) for entry in version.entries)
+        entries = tuple(self._entry(endpoint, older) for endpoint in version.entries)
         if version.complete:
             self.present = set()
         for entry in entries:
@@ -74,29 +81,49 @@
                 self.present.discard(entry.endpoint)
             else:
                 self.present.add(entry.endpoint)
-        return EndpointListUpdate(entries, version.complete, remembered)
-
-    def forget(self, number: int) -> None:
-        """Nothing here uses a member any more; its name goes unless it is listed."""
-        if number not in self.present and number in self.names:
-            name = self.names.pop(number)
-            del self.numbers[name]
-            self.ending.pop(name, None)
-            self.addresses.pop(number, None)
-
-    def _listing(self, entry: Entry, back: bool) -> EndpointEntry:
-        state = entry.state
-        if state is not EndpointState.UP:
-            self.ending[entry.name] = entry.started
-        elif back and entry.name in self.ending and entry.started <= self.ending[entry.name]:
-            state = EndpointState.DRAINING
-        else:
-            self.ending.pop(entry.name, None)
-        number = self.numbers.get(entry.name)
-        if number is None:
-            number = crc32(entry.name.encode("utf-8", "replace"))
-            while number in self.names:
-                number = (number + 1) & 0xFFFFFFFF
-            self.numbers[entry.name], self.names[number] = number, entry.name
-        self.addresses[number] = entry.address
-        return EndpointEntry(number, entry.group, state, entry.zone, entry.primary, entry.size, entry.started)
+        return EndpointListUpdate(entries, version.complete, cached)
+
+    def forget(self, endpoint_id: int) -> None:
+        """Drop an endpoint that nothing uses any more, unless it is still listed."""
+        if endpoint_id in self.present or endpoint_id not in self.names:
+            return
+        name = self.names.pop(endpoint_id)
+        del self.ids[name]
+        self.departing.pop(name, None)
+        self.addresses.pop(endpoint_id, None)
+
+    def _entry(self, endpoint: DiscoveredEndpoint, older: bool) -> EndpointEntry:
+        state = self._effective_state(endpoint, older)
+        endpoint_id = self._id_of(endpoint.name)
+        self.addresses[endpoint_id] = endpoint.address
+        return EndpointEntry(
+            endpoint=endpoint_id,
+            group=endpoint.group,
+            state=state,
+            zone=endpoint.zone,
+            primary=endpoint.primary,
+            size=endpoint.size,
+            started=endpoint.started_at,
+        )
+
+    def _effective_state(self, endpoint: DiscoveredEndpoint, older: bool) -> EndpointState:
+        """Return the state that counts: a list with an older revision does not take back a drain."""
+        if endpoint.state is not EndpointState.UP:
+            self.departing[endpoint.name] = endpoint.started_at
+            return endpoint.state
+        departed_start = self.departing.get(endpoint.name)
+        if older and departed_start is not None and endpoint.started_at <= departed_start:
+            return EndpointState.DRAINING
+        self.departing.pop(endpoint.name, None)
+        return endpoint.state
+
+    def _id_of(self, name: str) -> int:
+        """Return the id of a name: its CRC-32, or the next free integer if another name has that one."""
+        endpoint_id = self.ids.get(name)
+        if endpoint_id is None:
+            endpoint_id = crc32(name.encode("utf-8", "replace"))
+            while endpoint_id in self.names:
+                endpoint_id = (endpoint_id + 1) & MAX_ENDPOINT_ID
+            self.ids[name] = endpoint_id
+            self.names[endpoint_id] = name
+        return endpoint_id
--- a/sedgepitch/decisions/discovery/watch_streams.py
+++ b/sedgepitch/decisions/discovery/watch_streams.py
@@ -1,24 +1,26 @@
-"""Which watches on the member list are held, when another is opened beside them, and when one is let go.
-
-A watch is a connection that the source says something on as long as it lives: at least a sign of life each
-BEAT. The one that spoke last is `heard`; those opened since, which have not spoken yet, wait in `fresh`. The
-rule of this file: what can hear is let go only for one that has spoken, so there is no moment between.
-
-=============  ===============================================================================================
-event          effect
-=============  ===============================================================================================
-silence        nothing on `heard` for QUIET beats: another is opened beside it, from the version held
-no word        the newest of `fresh` is not answered within ANSWER_WITHIN, or was and is silent for as long as
-               `heard` may be: another is opened; where FRESH wait
-               already the oldest goes, so a source that is down is asked steadily and by few
-spoke          one of `fresh` becomes `heard`; the one before and those opened earlier go
-lost           with another still waiting nothing more is opened; else one is, at once where the lost one had
-               lived for a beat, else after a pause that doubles from PAUSE[0] to PAUSE[1]
-moved          the source is elsewhere: another is opened there at once, `heard` stays until it has spoken
-=============  ===============================================================================================
-
-A silence is judged only once all that lies unread has been read, so this driver's own pause is not taken for
-the source's; its owner sees to that. May hurt: a source that is slow rather than silent gets a second watch.
+"""Which watch streams on the endpoint list are held, when another is opened, and when one is closed.
+
+A watch stream is a connection on which the source sends changes, and a heartbeat at least every
+HEARTBEAT_INTERVAL_S. The stream that sent something last is the active one. Streams opened since, which have
+sent nothing yet, are candidates. The invariant: an active stream is closed only after a candidate has sent
+something, so there is no moment without a stream on which changes can arrive.
+
+==================  ==========================================================================================
+event               decision
+==================  ==========================================================================================
+silence             the active stream sent nothing for HEARTBEAT_TIMEOUT_S: a candidate is opened beside it,
+                    from the revision held
+candidate timeout   the newest candidate is not answered within RESPONSE_TIMEOUT_S, or was and has been silent
+                    for HEARTBEAT_TIMEOUT_S: another is opened. Of more than MAX_CANDIDATES the oldest is
+                    closed, so a source that is down is tried at a steady rate by few connections
+heartbeat           the candidate becomes active; the previous active stream and older candidates are closed
+lost                with another candidate open nothing is opened; else one is, after a backoff that doubles
+                    from BACKOFF_MIN_S to BACKOFF_MAX_S, and is 0 after a stream that lived an interval
+source moved        a candidate is opened at the new address at once; the active stream stays until then
+==================  ==========================================================================================
+
+The owner reads what has arrived before it asks about a silence, so a delay of this process is not taken for
+silence of the source. A source that is slow rather than silent gets a second stream.
 """
 
 from __future__ import annotations
@@ -29,117 +31,123 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-BEAT = 2.0  # s; the platform's page: as long as nothing changes, an empty line comes every 2 s
-QUIET = 1.5  # beats without a byte after which a watch is taken for broken; the page counts three
-ANSWER_WITHIN = 1.0  # s; the source stands on this machine and answers at once, so more is no answer
-FRESH = 2  # watches at most that were opened and have not spoken
-PAUSE = (0.05, 0.4)  # s between a loss and the next opening: at first, and at most
+HEARTBEAT_INTERVAL_S = 2.0  # the platform sends an empty line each 2 s while nothing changes
+MAX_SILENT_INTERVALS = 1.5  # the platform allows three
+HEARTBEAT_TIMEOUT_S = MAX_SILENT_INTERVALS * HEARTBEAT_INTERVAL_S
+RESPONSE_TIMEOUT_S = 1.0  # the source runs on this machine and answers at once
+MAX_CANDIDATES = 2
+BACKOFF_MIN_S = 0.05
+BACKOFF_MAX_S = 0.4
 NEVER = float("inf")
 
 
 @dataclass(slots=True)
-class _Held:
-    opened: float
-    heard: float  # the last sign of life; the opening before there was one
-    within: float  # s from there in which the next one is expected
+class _Stream:
+    opened_at: float
+    last_heard: float  # `opened_at` until something has come
+    silence_limit_s: float  # after `last_heard`, until another candidate is opened
 
 
 class WatchStreams(Generic[Key]):
-    """The watches of one source. Pure: time is passed in, in seconds; keys are the owner's connections.
+    """The watch streams of one source.
 
-    The owner opens one whenever `opens` says so, and closes what `spoke`, `opened` and `moved` return.
+    Performs no I/O. Times are seconds of one monotonic clock, passed in; keys are the owner's connections.
+    The owner opens a stream whenever `should_open` says so, and closes those that `opened`, `heartbeat` and
+    `source_moved` return.
     """
 
-    __slots__ = ("_held", "_pause", "fresh", "heard", "open_at")
+    __slots__ = ("_backoff_s", "_streams", "active", "candidates", "open_at")
 
     def __init__(self) -> None:
-        self.heard: Key | None = None
-        self.fresh: list[Key] = []  # the oldest first
-        self._held: dict[Key, _Held] = {}
-        self._pause = 0.0
-        self.open_at = -NEVER  # when the next one is to be opened; NEVER while those held are enough
+        self.active: Key | None = None
+        self.candidates: list[Key] = []  # the oldest first
+        self.open_at = -NEVER  # when to open the next one for a loss or a move; NEVER if neither asks for one
+        self._streams: dict[Key, _Stream] = {}
+        self._backoff_s = 0.0
 
     def holds(self, key: Key) -> bool:
-        """Whether what this one says counts."""
-        return key in self._held
+        """Whether a stream is still held, so that what it sends counts."""
+        return key in self._streams
 
-    def opens(self, now: float) -> bool:
-        """Whether one is to be opened now."""
-        return now >= self.due()
+    def should_open(self, now: float) -> bool:
+        """Whether a stream is to be opened now."""
+        return now >= self.next_open_at()
 
-    def due(self) -> float:
-        """When the next one is to be opened, if nothing comes before; now or earlier is at once."""
+    def next_open_at(self) -> float:
+        """Return when the next stream is to be opened if nothing happens before; NEVER if none is."""
         if self.open_at < NEVER:
-            return self.open_at  # where `heard` is silent, too: one that refuses is not asked without end
-        if self.fresh:
-            newest = self._held[self.fresh[-1]]
-            return newest.heard + newest.within
-        if self.heard is None:
+            return self.open_at  # also while the active one is silent: a source that refuses has its backoff
+        if self.candidates:
+            newest = self._streams[self.candidates[-1]]
+            return newest.last_heard + newest.silence_limit_s
+        if self.active is None:
             return NEVER
-        return self._held[self.heard].heard + QUIET * BEAT
+        return self._streams[self.active].last_heard + HEARTBEAT_TIMEOUT_S
 
     def opened(self, key: Key, now: float) -> list[Key]:
-        """One is being opened; returns those that go for it."""
+        """Record that a candidate is being opened; return the candidates to close for it."""
         self.open_at = NEVER
-        self._held[key] = _Held(now, now, ANSWER_WITHIN)
-        self.fresh.append(key)
-        return self._let_go(self.fresh[:-FRESH])
-
-    def answered(self, key: Key, now: float) -> None:
-        """It was told that it will be served; where nothing has changed the first word is a beat away."""
-        held = self._held.get(key)
-        if held is not None:
-            held.heard, held.within = now, QUIET * BEAT
-
-    def sign(self, key: Key, now: float) -> list[Key]:
-        """It said something; returns those that go, now that this one is heard."""
-        held = self._held.get(key)
-        if held is None:
+        self._streams[key] = _Stream(now, now, RESPONSE_TIMEOUT_S)
+        self.candidates.append(key)
+        return self._remove(self.candidates[:-MAX_CANDIDATES])
+
+    def response_started(self, key: Key, now: float) -> None:
+        """Record that the source accepted the watch; its first object or heartbeat may take an interval."""
+        stream = self._streams.get(key)
+        if stream is not None:
+            stream.last_heard = now
+            stream.silence_limit_s = HEARTBEAT_TIMEOUT_S
+
+    def heartbeat(self, key: Key, now: float) -> list[Key]:
+        """Record an object or an empty line; return the streams to close, now that this one is active."""
+        stream = self._streams.get(key)
+        if stream is None:
             return []
-        held.heard = now
-        if key is self.heard:
+        stream.last_heard = now
+        if key is self.active:
             return []
-        before = [] if self.heard is None else [self.heard]
-        before += self.fresh[: self.fresh.index(key)]
-        self.heard = key
-        self.fresh.remove(key)
-        return self._let_go(before)
-
-    def stirs(self, key: Key, since: float, now: float) -> None:
-        """Part of something has come, begun at `since`: a sign for as long as a silence may last."""
-        held = self._held.get(key)
-        if held is not None and now - since < QUIET * BEAT:
-            held.heard = now
+        replaced = [] if self.active is None else [self.active]
+        replaced += self.candidates[: self.candidates.index(key)]
+        self.active = key
+        self.candidates.remove(key)
+        return self._remove(replaced)
+
+    def partial_object(self, key: Key, started_at: float, now: float) -> None:
+        """Record part of an object begun at `started_at`; it counts as a heartbeat for a limited time."""
+        stream = self._streams.get(key)
+        if stream is not None and now - started_at < HEARTBEAT_TIMEOUT_S:
+            stream.last_heard = now
 
     def lost(self, key: Key, now: float) -> None:
-        """It ended, or could not be opened, or said what cannot be read."""
-        held = self._held.pop(key, None)
-        if held is None:
+        """Record that a stream ended, could not be opened, or sent what cannot be read."""
+        stream = self._streams.pop(key, None)
+        if stream is None:
             return
-        spoke = key is self.heard
-        if spoke:
-            self.heard = None
+        was_active = key is self.active
+        if was_active:
+            self.active = None
         else:
-            self.fresh.remove(key)
-        if self.fresh:
-            return  # another can hear, and is looked after in its own time
-        if spoke and now - held.opened >= BEAT:
-            self._pause = 0.0
-        self.open_at = min(self.open_at, now + self._pause)
-        self._pause = min(max(PAUSE[0], 2.0 * self._pause), PAUSE[1])
-
-    def moved(self) -> list[Key]:
-        """The source is elsewhere; returns those that have not spoken, which wait at the wrong place."""
-        self.open_at, self._pause = -NEVER, 0.0
-        return self._let_go(list(self.fresh))
+            self.candidates.remove(key)
+        if self.candidates:
+            return  # the newest has a timeout of its own
+        if was_active and now - stream.opened_at >= HEARTBEAT_INTERVAL_S:
+            self._backoff_s = 0.0
+        self.open_at = min(self.open_at, now + self._backoff_s)
+        self._backoff_s = min(max(BACKOFF_MIN_S, 2.0 * self._backoff_s), BACKOFF_MAX_S)
+
+    def source_moved(self) -> list[Key]:
+        """Record that the source moved; return the candidates to close, opened at the old address."""
+        self.open_at = -NEVER
+        self._backoff_s = 0.0
+        return self._remove(list(self.candidates))
 
     def all(self) -> list[Key]:
-        """All that are held."""
-        return list(self._held)
+        """Return all streams that are held."""
+        return list(self._streams)
 
-    def _let_go(self, keys: list[Key]) -> list[Key]:
+    def _remove(self, keys: list[Key]) -> list[Key]:
         for key in keys:
-            del self._held[key]
-            if key in self.fresh:
-                self.fresh.remove(key)
+            del self._streams[key]
+            if key in self.candidates:
+                self.candidates.remove(key)
         return keys
--- a/sedgepitch/discovery/__init__.py
+++ b/sedgepitch/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of members comes from."""
+"""Sources of the endpoint list: the platform's discovery, and the control socket of an emulated fleet."""
--- a/sedgepitch/discovery/control_socket.py
+++ b/sedgepitch/discovery/control_socket.py
@@ -1,13 +1,18 @@
-"""Follow the member list on a fleet's control socket: lines of JSON, the whole list first, then changes.
+"""Follows the endpoint list on the control socket of an emulated fleet: JSON lines over TCP.
 
-One line: {"event": "list", "complete": true, "members": [{"id", "group", "state", "zone", "primary",
-"size", "age", "address"}, ...]}; `age` is how long ago the member started, in seconds, absent for long ago.
+The first line holds the complete list, later ones changes:
+
+    {"event": "list", "complete": true, "members": [{"id", "group", "state", "zone", "primary", "size", "age",
+    "address"}, ...]}
+
+`age` is the time since the endpoint started, in seconds, absent where that was long ago.
 """
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from twisted.internet.protocol import ClientFactory, connectionDone
@@ -15,101 +20,124 @@
 from twisted.python.failure import Failure
 
 from sedgepitch.core.types import Clock
+from sedgepitch.discovery.errors import MalformedListError
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.routing.messages import EndpointEntry, EndpointState
 
+Addresses = dict[int, tuple[str, int]]  # by endpoint id
+CONNECT_TIMEOUT_S = 2.0
+MAX_LINE_BYTES = 4 << 20
+MAX_ERROR_CHARS = 200
 
-class BadList(ValueError):
-    """A line that is no member list; the text says what is wrong."""
 
+@dataclass(slots=True, frozen=True)
+class ControlSocketList:
+    """One line of the control socket: the complete list or changes, and the addresses that it states."""
 
-Addresses = dict[int, tuple[str, int]]
+    entries: tuple[EndpointEntry, ...]
+    complete: bool
+    addresses: Addresses
 
 
-def read_list(line: bytes, now: float) -> tuple[tuple[EndpointEntry, ...], bool, Addresses]:
-    """Read one line: the listings, whether they are the whole list, and addresses told. Raises BadList."""
+def read_list(line: bytes, now: float) -> ControlSocketList:
+    """Read one line; `now` is in monotonic seconds. Raises MalformedListError."""
     try:
         raw = json.loads(line)
-        entries = tuple(
-            EndpointEntry(
-                endpoint=int(entry["id"]),
-                group=int(entry.get("group", 0)),
-                state=EndpointState(entry["state"]),
-                zone=str(entry.get("zone", "")),
-                primary=bool(entry.get("primary", False)),
-                size=float(entry.get("size", 1.0)),
-                started=now - float(entry["age"]) if "age" in entry else 0.0,
-            )
+        entries = tuple(_read_entry(entry, now) for entry in raw["members"])
+        addresses = {
+            int(entry["id"]): _read_address(entry["address"])
             for entry in raw["members"]
-        )
-        addresses: Addresses = {}
-        for entry in raw["members"]:
-            if "address" in entry:
-                host, _, port = str(entry["address"]).rpartition(":")
-                addresses[int(entry["id"])] = (host, int(port))
-        return entries, bool(raw["complete"]), addresses
+            if "address" in entry
+        }
+        return ControlSocketList(entries, bool(raw["complete"]), addresses)
     except (KeyError, TypeError, ValueError, RecursionError, AttributeError) as error:
-        raise BadList(f"member list: {error!r}"[:200]) from None
+        raise MalformedListError(f"member list: {error!r}"[:MAX_ERROR_CHARS]) from None
+
+
+def _read_entry(raw: dict[str, Any], now: float) -> EndpointEntry:
+    return EndpointEntry(
+        endpoint=int(raw["id"]),
+        group=int(raw.get("group", 0)),
+        state=EndpointState(raw["state"]),
+        zone=str(raw.get("zone", "")),
+        primary=bool(raw.get("primary", False)),
+        size=float(raw.get("size", 1.0)),
+        started=now - float(raw["age"]) if "age" in raw else 0.0,
+    )
 
 
-class _Follower(LineReceiver):
+def _read_address(value: object) -> tuple[str, int]:
+    host, _, port = str(value).rpartition(":")
+    return host, int(port)
+
+
+class _Subscription(LineReceiver):
     delimiter = b"\n"
-    MAX_LENGTH = 4 << 20
+    MAX_LENGTH = MAX_LINE_BYTES
     transport: Any
 
-    def __init__(self, source: ControlSocketClient) -> None:
-        self.source = source
+    def __init__(self, client: ControlSocketClient) -> None:
+        self.client = client
 
     def connectionMade(self) -> None:
-        """Ask for the list and all changes."""
-        self.sendLine(json.dumps({"op": "watch", "driver": self.source.name}).encode())
+        """Request the list and all changes."""
+        self.sendLine(json.dumps({"op": "watch", "driver": self.client.name}).encode())  # type: ignore[no-untyped-call]
 
     def lineReceived(self, line: bytes) -> None:
-        """One list or change."""
+        """Pass on one list; close the connection if it is malformed."""
         try:
-            self.source.changed(*read_list(line, self.source.clock.now()))
-        except BadList as error:
-            self.source.log("list.bad", why=str(error))
+            self.client.on_list(read_list(line, self.client.clock.now()))
+        except MalformedListError as error:
+            self.client.log_event("endpoint_list.malformed", reason=str(error))
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The source has gone; the old list still applies."""
-        self.source.lost()
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Report the loss; the list held stays in force."""
+        self.client.on_lost()
 
 
 class ControlSocketClient(ClientFactory):
-    """A source of the member list. `watch` is the module's subscription; it says itself when to ask again."""
+    """A source of the endpoint list. `subscribe` is the router's request for changes, which it repeats.
+
+    `on_list` gets each line, `on_lost` each loss of the connection or failure to connect.
+    """
 
     noisy = False
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         clock: Clock,
         address: tuple[str, int],
         name: str,
-        changed: Callable[[tuple[EndpointEntry, ...], bool, Addresses], None],
-        lost: Callable[[], None],
-        log: Callable[..., None],
+        on_list: Callable[[ControlSocketList], None],
+        on_lost: Callable[[], None],
+        log_event: Callable[..., None],
     ) -> None:
-        self.reactor, self.clock, self.address, self.name = reactor, clock, address, name
-        self.changed, self.lost, self.log = changed, lost, log
+        self.reactor = reactor
+        self.clock = clock
+        self.address = address
+        self.name = name
+        self.on_list = on_list
+        self.on_lost = on_lost
+        self.log_event = log_event
         self.connector: Any = None
 
-    def watch(self) -> None:
-        """Ask for changes from now on."""
+    def subscribe(self) -> None:
+        """Connect and request changes from now on, unless that is under way."""
         if self.connector is None or self.connector.state == "disconnected":
-            self.connector = self.reactor.connectTCP(*self.address, self, timeout=2.0)
+            self.connector = self.reactor.connectTCP(*self.address, self, timeout=CONNECT_TIMEOUT_S)
 
-    def buildProtocol(self, addr: Any) -> _Follower:
-        """Build one."""
-        return _Follower(self)
+    def buildProtocol(self, _addr: object) -> _Subscription:
+        """Return the protocol of a new connection."""
+        return _Subscription(self)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """No connection."""
-        self.lost()
+    def clientConnectionFailed(self, _connector: object, _reason: Failure) -> None:
+        """Report that no connection came about."""
+        self.on_lost()
 
     def stop(self) -> None:
-        """End the subscription."""
+        """Close the connection; its loss is not reported."""
         if self.connector is not None:
-            self.lost = lambda: None
+            self.on_lost = lambda: None
             self.connector.disconnect()
--- a/sedgepitch/net/__init__.py
+++ b/sedgepitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""TCP transports that say when bytes arrived and write at once. Knows no protocol and decides nothing."""
+"""TCP transports that report when bytes arrived and write at once. Knows no protocol and no endpoints."""
--- a/sedgepitch/net/accepting.py
+++ b/sedgepitch/net/accepting.py
@@ -1,14 +1,13 @@
-"""What a failed `accept` means for the connections that wait in the backlog. Pure.
+"""What a failed `accept` means for the connections in the backlog. Performs no I/O.
 
-A client in the backlog is connected, and may have sent its first request: for the client this process has
-taken it. So whatever `accept` says, nothing that waits there is closed. Linux (accept(2)) has two kinds of
-failure beside "nothing waits":
+A client in the backlog is connected and may have sent a request: for the client, this process has taken it.
+So nothing in the backlog is closed, whatever `accept` reports. Linux (accept(2)) has two kinds of failure
+besides an empty backlog:
 
-* One connection failed before it was accepted, or a pending network error of it is passed on: the next
-  `accept` meets another one, so it is called again at once.
-* This process or the machine is short of something (descriptors, buffers, memory). The connections stay in
-  the backlog. The listener stays readable meanwhile, so accepting pauses, or the loop would spin; the pause
-  doubles while the shortage lasts.
+* One connection failed before it was accepted, or one of its pending network errors is reported. The next
+  `accept` returns another connection, so it is called again at once.
+* This process or the machine is short of descriptors, buffers or memory. The connections stay in the backlog.
+  The listener stays readable meanwhile, so accepting pauses, or the event loop would spin.
 
 An error that is not documented is treated as a shortage: it costs a pause, never a connection.
 """
@@ -18,14 +17,13 @@
 import errno
 from enum import Enum
 
-FIRST_PAUSE = 0.005  # s; short beside any client's deadline
-LONGEST_PAUSE = 0.1  # s
-LASTING = 0.5  # s of pauses in a row after which a shortage is no matter of a moment
-# Failures in a row within one turn after which the rest waits for a pause as well.
-MOST_SKIPPED = 16
+from sedgepitch.net.shortage import ShortageBackoff
 
-NOTHING_WAITS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
-ONE_CONNECTION = frozenset(
+LASTING_SHORTAGE_S = 0.5  # of consecutive pauses
+MAX_CONSECUTIVE_SKIPS = 16  # failed connections per turn; then the rest of the backlog waits for a pause
+
+BACKLOG_EMPTY = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
+CONNECTION_FAILED = frozenset(
     {
         errno.ECONNABORTED,
         errno.EINTR,
@@ -42,52 +40,52 @@
         errno.ECONNRESET,
     }
 )
-DESCRIPTORS_OUT = frozenset({errno.EMFILE, errno.ENFILE})
 
 
 class AcceptFailure(Enum):
     """What a failed `accept` calls for."""
 
-    NOTHING_WAITS = "nothing_waits"
+    BACKLOG_EMPTY = "backlog_empty"
     NEXT = "next"  # call it again at once
-    SHORTAGE = "shortage"  # pause; what waits stays where it is
+    SHORTAGE = "shortage"  # pause; the backlog stays as it is
 
 
 class AcceptRetry:
-    """The pauses of one listener; all times in seconds."""
+    """The retries of one listener."""
 
-    __slots__ = ("_pause", "_paused", "_skipped", "failures")
+    __slots__ = ("_backoff", "_paused_s", "_skipped", "failures")
 
     def __init__(self) -> None:
-        self.failures = 0  # since the start, but for "nothing waits"
-        self._pause = 0.0
-        self._paused = 0.0  # sum of the pauses in a row
+        self.failures = 0  # since the start, empty backlogs not counted
+        self._backoff = ShortageBackoff()
+        self._paused_s = 0.0  # sum of the consecutive pauses
         self._skipped = 0
 
     @property
     def lasting(self) -> bool:
-        """Whether a shortage has gone on for so long that room has to be made for those who wait."""
-        return self._paused >= LASTING
+        """Whether the shortage has lasted for LASTING_SHORTAGE_S, so that room has to be made."""
+        return self._paused_s >= LASTING_SHORTAGE_S
 
     def failed(self, error: int) -> AcceptFailure:
-        """Judge a failure by its errno."""
-        if error in NOTHING_WAITS:
+        """Classify a failure by its errno, 0 if the system gave none."""
+        if error in BACKLOG_EMPTY:
             self._skipped = 0
-            return AcceptFailure.NOTHING_WAITS
+            return AcceptFailure.BACKLOG_EMPTY
         self.failures += 1
-        if error in ONE_CONNECTION and self._skipped < MOST_SKIPPED:
+        if error in CONNECTION_FAILED and self._skipped < MAX_CONSECUTIVE_SKIPS:
             self._skipped += 1
             return AcceptFailure.NEXT
         self._skipped = 0
         return AcceptFailure.SHORTAGE
 
     def succeeded(self) -> None:
-        """A connection was accepted: a later shortage begins with the first pause."""
-        self._pause = self._paused = 0.0
+        """Record an accepted connection: the next shortage starts with the shortest pause."""
+        self._backoff.reset()
+        self._paused_s = 0.0
         self._skipped = 0
 
     def next_pause(self) -> float:
-        """Return for how long to leave the listener alone after a shortage."""
-        self._pause = min(LONGEST_PAUSE, self._pause * 2.0 or FIRST_PAUSE)
-        self._paused += self._pause
-        return self._pause
+        """Return for how many seconds not to accept during a shortage."""
+        pause_s = self._backoff.advance()
+        self._paused_s += pause_s
+        return pause_s
--- a/sedgepitch/net/connecting.py
+++ b/sedgepitch/net/connecting.py
@@ -1,89 +1,86 @@
-"""Opening connections, where this process's own shortage is not taken for the other side's failure.
+"""Opens connections, and does not take this process's own shortage for a failure of the other side.
 
-`socket` and `connect` may fail for want of a descriptor, a local port or memory. That says nothing of the
-server, and reported as a failed connection it would count against each server that was tried. So the opening
-is tried again after a short pause, for as long as its owner gives it.
+`socket` and `connect` may fail for want of a descriptor, a local port or memory. Reported as a failed
+connection, that would count against each endpoint that was tried. So it is retried after a pause.
 """
 
 from __future__ import annotations
 
-import errno
 from collections.abc import Callable
-from typing import Any
 
 from twisted.internet import tcp
-from twisted.internet.protocol import ClientFactory
+from twisted.internet.base import DelayedCall
+from twisted.internet.protocol import ClientFactory, Protocol
+from twisted.python.failure import Failure
 
-from sedgepitch.net.transport import StampedClient
+from sedgepitch.net.shortage import LOCAL_SHORTAGE, ShortageBackoff
+from sedgepitch.net.transport import TimestampedClient
+from sedgepitch.net.twisted_types import Reactor
 
-LOCAL_SHORTAGE = frozenset(
-    {
-        errno.EADDRNOTAVAIL,  # no free local port
-        errno.EAGAIN,
-        errno.EINTR,
-        errno.EMFILE,
-        errno.ENFILE,
-        errno.ENOBUFS,
-        errno.ENOMEM,
-    }
-)
-FIRST_PAUSE = 0.005  # s
-LONGEST_PAUSE = 0.1  # s
 
+class OutgoingConnection(ClientFactory):
+    """Opens one connection.
 
-class Opening(ClientFactory):
-    """Opens one connection: `make` gives its protocol, `failed` hears why none came about.
-
-    `within` bounds the tries of an opening that this process's own shortage holds up, in seconds.
+    `make_protocol` returns its protocol. `on_failed` gets the reason if no connection came about.
+    `retry_within_s` bounds the sum of the pauses during a shortage.
     """
 
     noisy = False
 
-    def __init__(self, make: Callable[[], Any], failed: Callable[[str], None], within: float) -> None:
-        self.make, self.failed, self.within = make, failed, within
+    def __init__(
+        self,
+        make_protocol: Callable[[], Protocol],
+        on_failed: Callable[[str], None],
+        retry_within_s: float,
+    ) -> None:
+        self.make_protocol = make_protocol
+        self.on_failed = on_failed
+        self.retry_within_s = retry_within_s
         self.connector: tcp.Connector | None = None
-        self._waited = 0.0
-        self._pause = FIRST_PAUSE
-        self._retry: Any = None
-
-    def buildProtocol(self, addr: Any) -> Any:
-        """Build it."""
-        return self.make()
-
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """No connection: try again where that was this process's own shortage, and time is left."""
-        local = getattr(reason.value, "osError", None) in LOCAL_SHORTAGE
-        if not local or self._waited + self._pause > self.within:
-            self.failed(reason.getErrorMessage())
-            return
-        self._waited += self._pause
-        self._retry = connector.reactor.callLater(self._pause, self._connect_again, connector)
-        self._pause = min(LONGEST_PAUSE, 2.0 * self._pause)
-
-    def _connect_again(self, connector: Any) -> None:
-        self._retry = None
-        connector.connect()
+        self._paused_s = 0.0
+        self._backoff = ShortageBackoff()
+        self._retry: DelayedCall | None = None
 
-    def open(self, reactor: Any, address: tuple[str, int], timeout: float) -> None:
-        """Begin; `timeout` bounds one try, in seconds."""
-        self.connector = connect(reactor, *address, self, timeout)
+    def open(self, reactor: Reactor, address: tuple[str, int], timeout_s: float) -> None:
+        """Begin to connect; `timeout_s` bounds one attempt."""
+        self.connector = connect(reactor, *address, self, timeout_s)
 
-    def give_up(self) -> None:
-        """Stop opening; an open connection is closed."""
+    def cancel(self) -> None:
+        """Stop connecting; an open connection is closed."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
         if self.connector is not None:
             self.connector.disconnect()
 
+    def buildProtocol(self, _addr: object) -> Protocol:
+        """Return the protocol of the connection."""
+        return self.make_protocol()
+
+    def clientConnectionFailed(self, connector: tcp.Connector, reason: Failure) -> None:
+        """Retry after a pause if the failure was a local shortage and time is left; else report it."""
+        local = getattr(reason.value, "osError", None) in LOCAL_SHORTAGE
+        if not local or self._paused_s + self._backoff.next_pause_s > self.retry_within_s:
+            self.on_failed(reason.getErrorMessage())
+            return
+        pause_s = self._backoff.advance()
+        self._paused_s += pause_s
+        self._retry = connector.reactor.callLater(pause_s, self._connect_again, connector)
+
+    def _connect_again(self, connector: tcp.Connector) -> None:
+        self._retry = None
+        connector.connect()
+
 
 class _Connector(tcp.Connector):
-    def _makeTransport(self) -> StampedClient:
-        return StampedClient(self.host, self.port, self.bindAddress, self, self.reactor)
+    def _makeTransport(self) -> TimestampedClient:
+        return TimestampedClient(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
-def connect(reactor: Any, host: str, port: int, factory: Any, timeout: float) -> tcp.Connector:
-    """Open a connection, like `reactor.connectTCP`; returns the connector."""
-    connector = _Connector(host, port, factory, timeout, None, reactor)
+def connect(
+    reactor: Reactor, host: str, port: int, factory: ClientFactory, timeout_s: float
+) -> tcp.Connector:
+    """Open a connection, like `reactor.connectTCP`; return the connector."""
+    connector = _Connector(host, port, factory, timeout_s, None, reactor)
     connector.connect()
     return connector
--- a/sedgepitch/net/listener.py
+++ b/sedgepitch/net/listener.py
@@ -1,8 +1,8 @@
-"""A listening port that closes nothing which waits in its backlog, whatever `accept` says.
+"""A listening port that closes nothing in its backlog, whatever `accept` reports.
 
-Twisted's `Port` answers EMFILE by accepting and closing everything in the backlog, to tell clients of the
-shortage at once. Here a client in the backlog may have sent a request already, which would be lost with its
-connection; so connections stay where they are until they can be accepted (`net/accepting.py`).
+Twisted's `Port` answers EMFILE by accepting and closing all of the backlog, to tell clients of the shortage
+at once. Here a client in the backlog may have sent a request already, which would be lost with its
+connection, so connections stay there until they can be accepted (net/accepting.py).
 
 An accepted connection whose transport cannot be set up for a moment (no memory for a descriptor's flags or
 for the poller) is kept and set up a little later.
@@ -22,160 +22,169 @@
 from twisted.internet import tcp
 from twisted.python import log
 
-from sedgepitch.net.accepting import DESCRIPTORS_OUT, AcceptFailure, AcceptRetry
-from sedgepitch.net.transport import StampedServer
+from sedgepitch.net.accepting import AcceptFailure, AcceptRetry
+from sedgepitch.net.shortage import OUT_OF_DESCRIPTORS
+from sedgepitch.net.transport import TimestampedServer
+from sedgepitch.net.twisted_types import ProtocolFactory, Reactor
 
-LOOK_AGAIN = 0.05  # s between looks at connections that are not accepted while this process is overloaded
+OVERLOAD_CHECK_S = 0.05  # between questions whether an overloaded process may accept again
 ACCEPTS_PER_TURN = 64  # so that a burst of connections does not keep established ones waiting
-SET_UP_TRIES = 50  # for one accepted connection, each after a pause
+SET_UP_ATTEMPTS = 50  # for one accepted connection, each after a pause
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptProblem:
-    """A failed accept, or an accepted connection that could not be set up, as it is logged."""
+    """A failed accept, or an accepted connection that could not be set up."""
 
     call: str  # "accept" or "set_up"
-    error: int  # errno, 0 where the system gave none
-    pause: float  # s until the next try, 0 where it is made at once
+    error: int  # errno, 0 if the system gave none
+    retry_in_s: float  # 0 if the retry is made at once
 
     @property
     def name(self) -> str:
         """The symbolic name of the error."""
         return errno.errorcode.get(self.error, str(self.error))
 
-    @property
-    def text(self) -> str:
-        """The system's words for the error."""
-        return os.strerror(self.error)
+    def log_fields(self) -> dict[str, object]:
+        """Return the fields of the log event `accept.failed`."""
+        return {
+            "call": self.call,
+            "error": self.name,
+            "text": os.strerror(self.error),
+            "retry_in_s": self.retry_in_s,
+        }
 
 
 @dataclass(slots=True)
 class _Accepted:
-    """An accepted connection whose transport could not be set up yet."""
+    """An accepted connection whose transport is not set up yet."""
 
-    held: socket.socket
+    connected: socket.socket
     address: Any
-    tries: int = 1
+    attempts: int = 1
 
 
 class Listener(tcp.Port):
-    """A listening port of stamped connections. `may_accept` is asked before connections are accepted.
+    """A listening port of timestamped connections.
 
-    Those that are not accepted wait in the system's backlog: the cheapest place for a process that cannot
-    read what it already has.
+    `may_accept` is asked before connections are accepted. Those that are not accepted wait in the backlog:
+    the cheapest place for a process that cannot read what it already has. `on_descriptors_out` is called to
+    free a descriptor by closing an idle connection; its argument says whether the shortage has lasted.
     """
 
-    transport = StampedServer  # type: ignore[assignment]
+    transport = TimestampedServer  # type: ignore[assignment]
     may_accept: Callable[[], bool] | None = None
     on_problem: Callable[[AcceptProblem], None] | None = None
-    # Called where descriptors are out, to free one by closing what is idle; told whether that has lasted.
     on_descriptors_out: Callable[[bool], None] | None = None
 
-    def __init__(self, *args: Any) -> None:
-        super().__init__(*args)
+    def __init__(
+        self, port: int, factory: ProtocolFactory, backlog: int, interface: str, reactor: Reactor
+    ) -> None:
+        super().__init__(port, factory, backlog, interface, reactor)
         self.accepts_per_turn = ACCEPTS_PER_TURN
         self.retry = AcceptRetry()
-        self._unset: deque[_Accepted] = deque()
-        self._pausing = False
+        self._not_set_up: deque[_Accepted] = deque()
+        self._paused = False
 
     def doRead(self) -> None:
-        """Accept what waits, as much as one turn may take, or look again a little later."""
+        """Accept from the backlog as much as one turn may take, or pause while that is not permitted."""
         if self.may_accept is not None and not self.may_accept():
-            self._pause(LOOK_AGAIN)
+            self._pause(OVERLOAD_CHECK_S)
             return
         for _ in range(self.accepts_per_turn):
             if not self._accept_next():
                 return
 
     def accept_all(self) -> bool:
-        """Accept whatever waits in the backlog, so that closing the port cuts off nobody who is connected.
+        """Accept the whole backlog, so that closing the port cuts off no connected client.
 
-        Returns False where a shortage leaves something there: to be called again.
+        Return False if a shortage leaves something there: to be called again.
         """
         while self.connected:
             if not self._accept_next():
                 break
-        return not self._unset and not self._client_waits()
+        return not self._not_set_up and not self._backlog_waits()
 
-    def _client_waits(self) -> bool:
-        """Whether a connection is in the backlog, as the system sees it."""
+    def _backlog_waits(self) -> bool:
+        """Whether a connection is in the backlog, as the kernel sees it."""
         if not self.connected:
             return False
-        asked = select.poll()
-        asked.register(self.fileno(), select.POLLIN)
+        poller = select.poll()
+        poller.register(self.fileno(), select.POLLIN)
         try:
-            return bool(asked.poll(0))
-        except OSError:  # not known now: to be asked again
+            return bool(poller.poll(0))
+        except OSError:  # unknown for now: to be asked again
             return True
 
     def _accept_next(self) -> bool:
-        """Accept one connection; returns whether to go on."""
+        """Accept one connection; return whether to go on."""
         try:
-            held, address = self.socket.accept()
+            connected, address = self.socket.accept()
         except OSError as error:
             return self._accept_failed(error.errno or 0)
         self.retry.succeeded()
-        self._set_up(_Accepted(held, address))
+        self._set_up(_Accepted(connected, address))
         return True
 
     def _accept_failed(self, error: int) -> bool:
         failure = self.retry.failed(error)
-        if failure is AcceptFailure.NOTHING_WAITS:
+        if failure is AcceptFailure.BACKLOG_EMPTY:
             return False
         if failure is AcceptFailure.NEXT:
             self._report(AcceptProblem("accept", error, 0.0))
             return True
-        if error in DESCRIPTORS_OUT and self.on_descriptors_out is not None:
+        if error in OUT_OF_DESCRIPTORS and self.on_descriptors_out is not None:
             self.on_descriptors_out(self.retry.lasting)
-        pause = self.retry.next_pause()
-        self._report(AcceptProblem("accept", error, pause))
-        self._pause(pause)
+        pause_s = self.retry.next_pause()
+        self._report(AcceptProblem("accept", error, pause_s))
+        self._pause(pause_s)
         return False
 
     def _set_up(self, accepted: _Accepted) -> None:
-        held, address = accepted.held, accepted.address
         factory: Any = self.factory
-        protocol: Any = factory.buildProtocol(self._buildAddr(address))
+        protocol: Any = factory.buildProtocol(self._buildAddr(accepted.address))
         if protocol is None:
-            held.close()
+            accepted.connected.close()
             return
         session = self.sessionno
         self.sessionno = session + 1
         try:
-            opened = self.transport(held, protocol, address, self, session, self.reactor)
+            transport = self.transport(
+                accepted.connected, protocol, accepted.address, self, session, self.reactor
+            )
         except OSError as error:
             self._set_up_failed(accepted, error.errno or 0)
             return
         try:
-            protocol.makeConnection(opened)
+            protocol.makeConnection(transport)
         except Exception:
             # An exception here must not end the listener, which is what the reactor would do.
             log.err(None, "a new connection's protocol failed")
-            opened.abortConnection()
+            transport.abortConnection()
 
     def _set_up_failed(self, accepted: _Accepted, error: int) -> None:
-        if accepted.tries >= SET_UP_TRIES:
+        if accepted.attempts >= SET_UP_ATTEMPTS:
             self._report(AcceptProblem("set_up", error, 0.0))
-            accepted.held.close()
+            accepted.connected.close()
             return
-        accepted.tries += 1
-        pause = self.retry.next_pause()
-        self._report(AcceptProblem("set_up", error, pause))
-        self._unset.append(accepted)
-        self.reactor.callLater(pause, self._set_up_again)
+        accepted.attempts += 1
+        pause_s = self.retry.next_pause()
+        self._report(AcceptProblem("set_up", error, pause_s))
+        self._not_set_up.append(accepted)
+        self.reactor.callLater(pause_s, self._set_up_again)
 
     def _set_up_again(self) -> None:
-        if self._unset:
-            self._set_up(self._unset.popleft())
+        if self._not_set_up:
+            self._set_up(self._not_set_up.popleft())
 
     def _pause(self, seconds: float) -> None:
         self.stopReading()
-        if not self._pausing:
-            self._pausing = True
+        if not self._paused:
+            self._paused = True
             self.reactor.callLater(seconds, self._resume)
 
     def _resume(self) -> None:
-        self._pausing = False
+        self._paused = False
         if self.connected and not self.disconnecting:
             self.startReading()
 
@@ -184,14 +193,14 @@
             self.on_problem(problem)
 
 
-def listen(reactor: Any, port: int, factory: Any, interface: str, backlog: int) -> Listener:
+def listen(reactor: Reactor, port: int, factory: ProtocolFactory, interface: str, backlog: int) -> Listener:
     """Open a port, like `reactor.listenTCP`; raises CannotListenError."""
     opened = Listener(port, factory, backlog, interface, reactor)
     opened.startListening()
     return opened
 
 
-def adopt(reactor: Any, descriptor: int, factory: Any) -> Listener:
+def adopt(reactor: Reactor, descriptor: int, factory: ProtocolFactory) -> Listener:
     """Take over a listening IPv4 socket, like `reactor.adoptStreamPort`."""
     opened: Listener = Listener._fromListeningDescriptor(reactor, descriptor, socket.AF_INET, factory)
     opened.startListening()
--- /dev/null
+++ b/sedgepitch/net/socket_state.py
@@ -0,0 +1,67 @@
+"""Asks the kernel about a connected socket, beside what Twisted reports."""
+
+from __future__ import annotations
+
+import select
+import socket
+import struct
+
+# struct tcp_info (linux/tcp.h): eight bytes of small fields, then 32-bit counters, of which
+# tcpi_last_data_recv (ms) is the twelfth.
+_LAST_DATA_RECEIVED = struct.Struct("@I")
+_LAST_DATA_OFFSET = 8 + 11 * 4
+_TCP_INFO_SIZE = _LAST_DATA_OFFSET + _LAST_DATA_RECEIVED.size
+_MS_PER_S = 1000.0
+MAX_BACKLOG_WAIT_S = 60.0  # no client waits longer, so more is not the age of a request
+
+
+def seconds_since_received(connected: socket.socket) -> float:
+    """Return how long ago a TCP connection last received data, or was established if none has come.
+
+    By the kernel's own clock, which no step of the wall clock moves (tcp(7), TCP_INFO; a resolution of a few
+    milliseconds). 0 if the system does not say.
+    """
+    try:
+        info = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE)
+    except OSError:
+        return 0.0
+    if len(info) < _TCP_INFO_SIZE:
+        return 0.0
+    milliseconds: int
+    (milliseconds,) = _LAST_DATA_RECEIVED.unpack_from(info, _LAST_DATA_OFFSET)
+    return min(milliseconds / _MS_PER_S, MAX_BACKLOG_WAIT_S)
+
+
+def has_nothing_unread(connected: socket.socket) -> bool:
+    """Whether a socket is open with nothing to read: no bytes, no end, no error."""
+    try:
+        connected.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+    except BlockingIOError:
+        return True
+    except OSError:
+        return False
+    return False
+
+
+def is_quiet(transport: object) -> bool:
+    """Whether a transport is open with nothing to read; one without a socket (in tests) is."""
+    if getattr(transport, "disconnecting", False) or not getattr(transport, "connected", True):
+        return False
+    connected = getattr(transport, "socket", None)
+    return connected is None or has_nothing_unread(connected)
+
+
+def peer_has_closed(transport: object) -> bool:
+    """Whether the peer has ended its connection, though what it sent before may lie unread.
+
+    A connection that is not being read does not show its end otherwise, since it stands behind the bytes.
+    """
+    connected = getattr(transport, "socket", None)
+    if connected is None or connected.fileno() < 0:
+        return False
+    poller = select.poll()
+    poller.register(connected.fileno(), select.POLLRDHUP)
+    try:
+        return bool(poller.poll(0))
+    except OSError:  # unknown for now: a client is served until it is known to have left
+        return False
--- a/sedgepitch/node/__init__.py
+++ b/sedgepitch/node/__init__.py
@@ -1,1 +1,1 @@
-"""One real driver on the platform: `python -m sedgepitch.node`. Light imports: memory is counted there."""
+"""The program that runs on the platform: `python -m sedgepitch.node`. Few imports: memory is limited."""
--- a/sedgepitch/node/__main__.py
+++ b/sedgepitch/node/__main__.py
@@ -1,27 +1,34 @@
-"""Run one driver in the foreground, as the platform starts it."""
+"""Runs one proxy instance in the foreground, as the platform starts it.
+
+Exit codes: 0 after a shutdown, 1 if the port cannot be bound, 2 if the configuration cannot be used.
+"""
 
 from __future__ import annotations
 
 import os
 import sys
 
-from sedgepitch.node.signals import Signals
+from sedgepitch.node.signals import SignalQueue
 
-SIGNALS = Signals() if __name__ == "__main__" else None  # before what takes long to load
+SIGNALS = SignalQueue() if __name__ == "__main__" else None  # before what takes long to load
 
 import gc  # noqa: E402
-import signal  # noqa: E402
 from typing import Any  # noqa: E402
 
 from sedgepitch.core.clock import unix_ahead  # noqa: E402
-from sedgepitch.node.config import BadConfig, Config, load  # noqa: E402
-from sedgepitch.node.lines import TRACE_VARIABLE, Lines  # noqa: E402
+from sedgepitch.net.twisted_types import Reactor  # noqa: E402
+from sedgepitch.node.config import NodeConfigError, load  # noqa: E402
+from sedgepitch.node.structured_log import TRACE_VARIABLE, StructuredLog  # noqa: E402
 
-READ_AGAIN, READINGS = 0.1, 20  # s between readings of a file that cannot be used, and how many
+EXIT_OK = 0
+EXIT_CANNOT_LISTEN = 1
+EXIT_BAD_CONFIG = 2
+# What lives at the start is frozen, so a full collection has little to look through.
+GC_THRESHOLDS = (5_000, 10, 5)
 
 
-def install_reactor() -> Any:
-    """The asyncio reactor on uvloop where it is there."""
+def install_reactor() -> Reactor:
+    """Install the asyncio reactor, on uvloop if that is there, and return it."""
     import asyncio
 
     from twisted.internet import asyncioreactor
@@ -40,61 +47,41 @@
     return reactor
 
 
-def main(signals: Signals) -> int:
-    """Serve until SIGTERM; returns the exit code."""
+def main(signals: SignalQueue) -> int:
+    """Serve until SIGTERM or SIGINT; return the exit code."""
     environment = dict(os.environ)
     tracing = bool(environment.get(TRACE_VARIABLE))
-    lines = Lines(environment.get("RELAY_NAME", "driver"), tracing=tracing)
-    wall = unix_ahead()
+    log = StructuredLog(environment.get("RELAY_NAME", "driver"), tracing=tracing)
+    unix_offset = unix_ahead()
     try:
-        config: Config = load(environment, wall)
-    except BadConfig as error:
-        lines.say("config.bad", why=str(error))
-        return 2
+        config = load(environment, unix_offset)
+    except NodeConfigError as error:
+        log.log_event("config.invalid", reason=str(error))
+        return EXIT_BAD_CONFIG
     reactor = install_reactor()
-    from sedgepitch.node.driver import Driver
+    from sedgepitch.node.proxy import Proxy
+    from sedgepitch.node.signal_actions import SignalActions
     from sedgepitch.node.twisted_log import forward_twisted_log
 
-    forward_twisted_log(lines.say)
-    driver = Driver(reactor, config, lines, wall)
-    stopping, reading, exit_code = False, 0, 0
-
-    def reload(count: int, number: int) -> None:
-        """Read the file again; one that is just being written is read once more a little later."""
-        if number != reading:
-            return  # told anew meanwhile
-        try:
-            driver.reload(load(environment, wall))
-        except BadConfig as error:
-            if count == 1:
-                lines.say("config.bad", why=str(error), kept="the old one")
-            if count < READINGS:
-                reactor.callLater(READ_AGAIN, reload, count + 1, number)
-
-    def cannot_listen() -> None:
+    forward_twisted_log(log.log_event)
+    proxy = Proxy(reactor, config, log, unix_offset)
+    actions = SignalActions(reactor, proxy, lambda: load(environment, unix_offset), log.log_event)
+    exit_code = EXIT_OK
+
+    def bind_failed() -> None:
         nonlocal exit_code
-        exit_code = 1
+        exit_code = EXIT_CANNOT_LISTEN
         reactor.callWhenRunning(reactor.stop)
 
-    def act(number: int) -> None:
-        nonlocal stopping, reading
-        if number == signal.SIGHUP:
-            reading += 1
-            reload(1, reading)
-        elif not stopping:
-            stopping = True
-            driver.stop(reactor.stop)
-
-    if signals.told_to_end:
-        return 0  # nobody was promised anything yet
-    driver.cannot_listen = cannot_listen
-    driver.start()
-    signals.to(lambda number: reactor.callFromThread(act, number))
+    if signals.shutdown_requested:
+        return EXIT_OK  # nothing has been accepted yet
+    proxy.start(bind_failed)
+    signals.deliver_to(lambda number: reactor.callFromThread(actions.handle, number))
     gc.collect()
     gc.freeze()
-    gc.set_threshold(5_000, 10, 5)  # what lives is small once frozen, so a whole collection takes little
+    gc.set_threshold(*GC_THRESHOLDS)
     reactor.run(installSignalHandlers=False)
-    signals.over()
+    signals.ignore_all()
     return exit_code
 
 
--- a/sedgepitch/node/config.py
+++ b/sedgepitch/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a driver: four variables and a JSON file; errors name the place."""
+"""The configuration of a proxy instance on the platform: a JSON file and four environment variables."""
 
 from __future__ import annotations
 
@@ -7,104 +7,119 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sedgepitch.decisions.discovery.list_versions import Address, Version
-from sedgepitch.discovery.client import BadVersion, read_address, read_version
-from sedgepitch.routing import messages as api
+from sedgepitch.decisions.discovery.list_versions import Address, ListVersion
+from sedgepitch.discovery.errors import MalformedListError
+from sedgepitch.discovery.list_format import read_address, read_version
+from sedgepitch.errors import ConfigurationError
+from sedgepitch.routing import messages
 from sedgepitch.settings import BadSettings, number, translate_settings
 
-MOST_BYTES = 16 * 1024 * 1024
-CONNECT_WITHIN, IDLE_FOR = 1.0, 60.0  # s, where the settings state none, or 0
+MAX_FILE_CHARS = 16 * 1024 * 1024
+# Used if the settings state none, or 0.
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
+DEFAULT_IDLE_CLOSE_S = 60.0
+SEED_BASE = 16
 
 
-class BadConfig(ValueError):
-    """The configuration cannot be used; the text says where and why."""
+class NodeConfigError(ConfigurationError):
+    """The configuration cannot be used; the message names the place."""
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
-    """One configuration. Times in seconds; `memory` in MB; a limit of 0 is none stated."""
+class NodeConfig:
+    """One configuration. A limit of 0 means that none is stated."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     cores: float
-    memory: float
+    memory: float  # MB
     sockets: int
-    known: Version | None
-    settings: api.Settings
-    connect_within: float
-    idle_for: float
+    known: ListVersion | None  # the endpoint list as this instance last had it; may be out of date
+    settings: messages.Settings
+    connect_within: float  # s
+    idle_for: float  # s after which endpoints close idle connections
 
 
-def _limit(raw: Mapping[str, Any], name: str) -> float:
-    value = raw.get(name, 0)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
-        raise BadConfig(f"limits.{name}: not a number of 0 or more")
-    return float(value)
-
-
-def parse(text: str, environment: Mapping[str, str], wall: float) -> Config:
-    """Read a configuration; variables stand in for what the file does not say. Raises BadConfig."""
-    try:
-        raw = json.loads(text)
-    except (ValueError, RecursionError):
-        raise BadConfig("the file is not JSON") from None
-    if not isinstance(raw, dict):
-        raise BadConfig("the file is not a JSON object")
+def parse(text: str, environment: Mapping[str, str], unix_offset: float) -> NodeConfig:
+    """Parse a configuration; environment variables stand in for what the file lacks.
 
-    def told(key: str, variable: str) -> str:
-        value = raw.get(key, environment.get(variable))
-        if not isinstance(value, str) or not value:
-            raise BadConfig(f"{key}: missing, and so is {variable}")
-        return value
-
-    limits, settings = raw.get("limits", {}), raw.get("settings")
+    `unix_offset` is Unix time minus the monotonic clock, in seconds. Raises NodeConfigError.
+    """
+    raw = _read_object(text)
+    limits = raw.get("limits", {})
+    settings = raw.get("settings")
     if not isinstance(limits, dict):
-        raise BadConfig("limits: not an object")
+        raise NodeConfigError("limits: not an object")
     if not isinstance(settings, dict):
-        raise BadConfig("settings: missing, or not an object")
-    seed = raw.get("seed", "0")
+        raise NodeConfigError("settings: missing, or not an object")
+    listen = _text(raw, "listen", environment, "RELAY_LISTEN")
+    discovery = _text(raw, "discovery", environment, "RELAY_DISCOVERY")
     try:
-        seeded = int(seed, 16) if isinstance(seed, str) else int(seed)
-        listen = read_address(told("listen", "RELAY_LISTEN"), "listen", least=0)
-        discovery = read_address(told("discovery", "RELAY_DISCOVERY"), "discovery")
-        known = None if raw.get("known") is None else read_version(raw["known"], wall, "known")
-        translated = translate_settings(settings)
-        stated = settings.get("limits", {})
-        connect_within = number(stated, "connectTimeoutS", 0.0, "limits") or CONNECT_WITHIN
-        idle = number(stated, "idleCloseS", 0.0, "limits") or IDLE_FOR
-    except BadVersion as error:
-        raise BadConfig(str(error)) from None
+        return NodeConfig(
+            seed=_seed(raw.get("seed", "0")),
+            listen=read_address(listen, "listen", min_port=0),
+            discovery=read_address(discovery, "discovery"),
+            known=None if raw.get("known") is None else read_version(raw["known"], unix_offset, "known"),
+            settings=translate_settings(settings),
+            connect_within=_timeout(settings, "connectTimeoutS") or DEFAULT_CONNECT_TIMEOUT_S,
+            idle_for=_timeout(settings, "idleCloseS") or DEFAULT_IDLE_CLOSE_S,
+            name=_text(raw, "name", environment, "RELAY_NAME"),
+            cores=_limit(limits, "cores"),
+            memory=_limit(limits, "memory_mb"),
+            sockets=int(_limit(limits, "sockets")),
+        )
+    except MalformedListError as error:
+        raise NodeConfigError(str(error)) from None
     except BadSettings as error:
-        raise BadConfig(f"settings: {error}") from None
+        raise NodeConfigError(f"settings: {error}") from None
     except (TypeError, ValueError, AttributeError, KeyError, OverflowError) as error:
-        raise BadConfig(f"a value of the wrong type: {error}") from None
-    return Config(
-        name=told("name", "RELAY_NAME"),
-        listen=listen,
-        discovery=discovery,
-        seed=seeded,
-        cores=_limit(limits, "cores"),
-        memory=_limit(limits, "memory_mb"),
-        sockets=int(_limit(limits, "sockets")),
-        known=known,
-        settings=translated,
-        connect_within=connect_within,
-        idle_for=idle,
-    )
-
-
-def load(environment: Mapping[str, str], wall: float) -> Config:
-    """Read the file that RELAY_CONFIG names. Raises BadConfig."""
+        raise NodeConfigError(f"a value of the wrong type: {error}") from None
+
+
+def load(environment: Mapping[str, str], unix_offset: float) -> NodeConfig:
+    """Read the file that RELAY_CONFIG names. Raises NodeConfigError; see `parse` for the parameters."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
-        raise BadConfig("RELAY_CONFIG: missing")
+        raise NodeConfigError("RELAY_CONFIG: missing")
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(MOST_BYTES + 1)
+            text = file.read(MAX_FILE_CHARS + 1)
     except (OSError, UnicodeDecodeError) as error:
-        raise BadConfig(f"{path}: {error}") from None
-    if len(text) > MOST_BYTES:
-        raise BadConfig(f"{path}: more than {MOST_BYTES} bytes")
-    return parse(text, environment, wall)
+        raise NodeConfigError(f"{path}: {error}") from None
+    if len(text) > MAX_FILE_CHARS:
+        raise NodeConfigError(f"{path}: more than {MAX_FILE_CHARS} bytes")
+    return parse(text, environment, unix_offset)
+
+
+def _read_object(text: str) -> dict[str, Any]:
+    try:
+        raw = json.loads(text)
+    except (ValueError, RecursionError):
+        raise NodeConfigError("the file is not JSON") from None
+    if not isinstance(raw, dict):
+        raise NodeConfigError("the file is not a JSON object")
+    return raw
+
+
+def _text(raw: Mapping[str, Any], key: str, environment: Mapping[str, str], variable: str) -> str:
+    value = raw.get(key, environment.get(variable))
+    if not isinstance(value, str) or not value:
+        raise NodeConfigError(f"{key}: missing, and so is {variable}")
+    return value
+
+
+def _seed(raw: object) -> int:
+    return int(raw, SEED_BASE) if isinstance(raw, str) else int(raw)  # type: ignore[call-overload]
+
+
+def _timeout(settings: Mapping[str, Any], name: str) -> float:
+    return number(settings.get("limits", {}), name, 0.0, "limits")
+
+
+def _limit(raw: Mapping[str, Any], name: str) -> float:
+    value = raw.get(name, 0)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
+        raise NodeConfigError(f"limits.{name}: not a number of 0 or more")
+    return float(value)
--- /dev/null
+++ b/sedgepitch/node/endpoint_snapshot.py
@@ -0,0 +1,69 @@
+"""What the router holds of each endpoint, beside what the connection pool shows of it, for the log."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from sedgepitch.decisions.discovery.list_versions import EndpointListVersions
+from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
+from sedgepitch.routing.router import Router
+
+MAX_LAG_SHOWN_S = 99.0
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointSnapshot:
+    """The state of one endpoint at one moment."""
+
+    name: str
+    state: str  # in the endpoint list
+    primary: bool
+    ejection: str  # why it gets no traffic, or "healthy"
+    in_flight: int  # attempts, as the router counts them
+    connections: int  # in the pool
+    idle_connections: int  # of these
+    connection_failures: int  # consecutive
+    ejected_for_s: float  # from now
+    concurrency_limit: float
+    latency_ratio: float  # mean latency over the objective
+    reported_load: float
+    position_age_s: float
+
+    def __str__(self) -> str:
+        """Return the fields as one word, for a log line."""
+        return (
+            f"{self.name}:{self.state}/{'primary' if self.primary else 'replica'}/{self.ejection}"
+            f"/in_flight={self.in_flight}/connections={self.connections}/idle={self.idle_connections}"
+            f"/connection_failures={self.connection_failures}/ejected_for_s={self.ejected_for_s:.1f}"
+            f"/limit={self.concurrency_limit:.1f}/latency_ratio={self.latency_ratio:.2f}"
+            f"/load={self.reported_load:.0f}/position_age_s={self.position_age_s:.2f}"
+        )
+
+
+def snapshot_endpoints(
+    router: Router, versions: EndpointListVersions, upstream: PostgresUpstream, now: float
+) -> list[EndpointSnapshot]:
+    """Return the listed endpoints as they stand at `now` (monotonic seconds)."""
+    found = []
+    for endpoint in router.endpoints.values():
+        if endpoint.id not in versions.present:
+            continue
+        link = upstream.links.get(endpoint.id)
+        found.append(
+            EndpointSnapshot(
+                name=versions.names.get(endpoint.id, str(endpoint.id)),
+                state=endpoint.state.value,
+                primary=router.groups[endpoint.group].primary is endpoint,
+                ejection=endpoint.suspect or "healthy",
+                in_flight=len(endpoint.out),
+                connections=len(link.pool.lanes) if link else 0,
+                idle_connections=len(link.pool.idle) if link else 0,
+                connection_failures=endpoint.breaks,
+                ejected_for_s=max(0.0, endpoint.rest_until - now),
+                concurrency_limit=endpoint.limit,
+                latency_ratio=endpoint.strain,
+                reported_load=endpoint.load,
+                position_age_s=min(MAX_LAG_SHOWN_S, now - endpoint.position),
+            )
+        )
+    return found
--- /dev/null
+++ b/sedgepitch/node/graceful_shutdown.py
@@ -0,0 +1,63 @@
+"""Carries out a graceful shutdown by its schedule: see decisions/connections/shutdown_schedule.py."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sedgepitch.core.engine import Engine
+from sedgepitch.core.types import Clock
+from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
+from sedgepitch.net.listener import Listener
+from sedgepitch.protocols.postgresql.client import Front
+
+CHECK_INTERVAL_S = 0.02
+
+
+class GracefulShutdown:
+    """One shutdown. `port` is the open listener, if there is one; `on_drained` is called once at the end."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        schedule: ShutdownSchedule,
+        clients: Front,
+        engine: Engine,
+        port: Listener | None,
+        on_drained: Callable[[], None],
+    ) -> None:
+        self._clock = clock
+        self._schedule = schedule
+        self._clients = clients
+        self._engine = engine
+        self._port = port
+        self._on_drained = on_drained
+
+    def begin(self) -> None:
+        """Cut all deadlines to the schedule, and follow it from now on."""
+        self._clients.ends(self._schedule)
+        self._engine.hurry(self._schedule.drain_deadline)
+        self._check()
+
+    def _check(self) -> None:
+        now = self._clock.now()
+        if now >= self._schedule.accept_until:
+            self._close_port(now)
+        self._clients.close_free()
+        may_exit = self._schedule.may_exit(
+            now,
+            listening=self._port is not None,
+            connections=len(self._clients.connections),
+            pending=self._engine.request_table.pending,
+        )
+        if may_exit:
+            self._on_drained()
+        else:
+            self._clock.call_later(CHECK_INTERVAL_S, self._check)
+
+    def _close_port(self, now: float) -> None:
+        """Accept the backlog and close the port; a shortage defers that until other connections close."""
+        if self._port is None:
+            return
+        if self._port.accept_all() or now >= self._schedule.close_idle_from:
+            port, self._port = self._port, None
+            port.stopListening()
--- /dev/null
+++ b/sedgepitch/node/runtime_statistics.py
@@ -0,0 +1,84 @@
+"""Runtime statistics of one proxy instance, as its log shows them every few seconds."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import asdict, dataclass
+
+from sedgepitch.core.engine import Engine
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.protocols.postgresql.client import Front
+from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
+
+MS_PER_S = 1000.0
+
+
+@dataclass(slots=True, frozen=True)
+class RuntimeStatistics:
+    """Counts are since the start, unless they are of what is open now."""
+
+    requests_completed: int
+    requests_pending: int  # now
+    requests_tracked: int  # now: pending, or answered with attempts still in flight
+    client_connections: int  # now
+    connections_accepted: int
+    idle: int  # client connections now, as are the next two
+    awaiting_first_byte: int
+    receiving: int
+    endpoint_connections: int  # now
+    descriptors_refused: int  # endpoint connections that the descriptor budget did not grant
+    protocol_errors: int  # messages and statements of clients that could not be read
+    timed_out: int  # client connections, as is the next one
+    evicted: int
+    malformed_responses: int  # of endpoints
+    unreadable_load_reports: int
+    deadline_margin_ms: float  # now: how much earlier deadlines are taken for the event loop's lag
+    max_lag_ms: float
+    rejected_for_load: int  # of this process
+    rejected_for_lag: int
+    answered_early: int  # when the event loop became late
+    overdue: int  # answered by the last guard; above 0 is a defect
+    callback_errors: int  # above 0 is a defect
+    cpu_s: float  # processor time of the process
+
+    def log_fields(self) -> dict[str, object]:
+        """Return the fields for a log event, in order."""
+        return asdict(self)
+
+
+def collect_statistics(
+    engine: Engine,
+    clients: Front,
+    upstream: PostgresUpstream,
+    descriptors: DescriptorBudget,
+    now: float,
+) -> RuntimeStatistics:
+    """Read the statistics as they stand at `now` (monotonic seconds)."""
+    requests = engine.request_table
+    connections = clients.visitors
+    lag = engine.event_loop_lag
+    return RuntimeStatistics(
+        requests_completed=requests.settled,
+        requests_pending=requests.pending,
+        requests_tracked=len(requests.accounts),
+        client_connections=descriptors.clients,
+        connections_accepted=clients.accepted,
+        idle=len(connections.idle),
+        awaiting_first_byte=len(connections.awaiting_first_byte),
+        receiving=len(connections.receiving),
+        endpoint_connections=descriptors.endpoints,
+        descriptors_refused=descriptors.refused,
+        protocol_errors=clients.bad_messages + clients.bad_statements,
+        timed_out=connections.timed_out,
+        evicted=connections.evicted,
+        malformed_responses=upstream.spoilt,
+        unreadable_load_reports=upstream.unread_reports,
+        deadline_margin_ms=round(lag.reserve(now) * MS_PER_S, 1),
+        max_lag_ms=round(lag.peak * MS_PER_S, 1),
+        rejected_for_load=engine.too_many,
+        rejected_for_lag=engine.too_slow,
+        answered_early=engine.hurried,
+        overdue=engine.overdue,
+        callback_errors=engine.faults,
+        cpu_s=round(time.process_time(), 2),
+    )
--- /dev/null
+++ b/sedgepitch/node/signal_actions.py
@@ -0,0 +1,52 @@
+"""What the platform's program does on a signal: reload the configuration, or shut down."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Callable
+
+from sedgepitch.net.twisted_types import Reactor
+from sedgepitch.node.config import NodeConfig, NodeConfigError
+from sedgepitch.node.proxy import Proxy
+
+RELOAD_RETRY_S = 0.1  # a file that is being written is read again
+MAX_RELOAD_ATTEMPTS = 20
+
+
+class SignalActions:
+    """Acts on signals in the reactor's thread. `read_config` raises NodeConfigError."""
+
+    def __init__(
+        self,
+        reactor: Reactor,
+        proxy: Proxy,
+        read_config: Callable[[], NodeConfig],
+        log_event: Callable[..., None],
+    ) -> None:
+        self._reactor = reactor
+        self._proxy = proxy
+        self._read_config = read_config
+        self._log_event = log_event
+        self._stopping = False
+        self._reload_number = 0
+
+    def handle(self, number: int) -> None:
+        """SIGHUP reloads the configuration, any other signal shuts down; a second one changes nothing."""
+        if number == signal.SIGHUP:
+            self._reload_number += 1
+            self._reload(self._reload_number, attempt=1)
+        elif not self._stopping:
+            self._stopping = True
+            self._proxy.stop(self._reactor.stop)
+
+    def _reload(self, reload_number: int, attempt: int) -> None:
+        """Read the file; one that cannot be used is read again a little later."""
+        if reload_number != self._reload_number:
+            return  # a later SIGHUP has taken over
+        try:
+            self._proxy.reload(self._read_config())
+        except NodeConfigError as error:
+            if attempt == 1:
+                self._log_event("config.invalid", reason=str(error), active="previous")
+            if attempt < MAX_RELOAD_ATTEMPTS:
+                self._reactor.callLater(RELOAD_RETRY_S, self._reload, reload_number, attempt + 1)
--- a/sedgepitch/node/signals.py
+++ b/sedgepitch/node/signals.py
@@ -1,46 +1,47 @@
-"""Signals from the first line of the program on: kept until somebody can act, never the end of the process.
+"""Handles signals from the first line of the program on: queued until somebody can act on them.
 
-Imported before anything heavy. A signal that comes while the program is loading, or between the reactor's
-last turn and the exit, has its default effect otherwise, and for SIGHUP that is a crash.
+Imported before anything heavy. A signal that arrives while the program is loading, or between the reactor's
+last turn and the exit, has its default effect otherwise, and for SIGHUP that ends the process.
 """
 
 from __future__ import annotations
 
 import signal
 from collections.abc import Callable
-from typing import Any
+from types import FrameType
 
-NUMBERS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+HANDLED = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+SHUTDOWN = (signal.SIGTERM, signal.SIGINT)
 
 
-class Signals:
-    """What came, in order. `act` is called for each in the signal handler: it must only pass it on."""
+class SignalQueue:
+    """The signals received, in order. The receiver runs in the signal handler: it may only pass them on."""
 
     def __init__(self) -> None:
-        self.kept: list[int] = []
-        self.act: Callable[[int], Any] | None = None
-        for number in NUMBERS:
-            signal.signal(number, self._came)
-
-    def _came(self, number: int, frame: Any) -> None:
-        if self.act is None:
-            self.kept.append(number)
+        self._queued: list[int] = []
+        self._receiver: Callable[[int], object] | None = None
+        for number in HANDLED:
+            signal.signal(number, self._received)
+
+    def _received(self, number: int, _frame: FrameType | None) -> None:
+        if self._receiver is None:
+            self._queued.append(number)
         else:
-            self.act(number)
+            self._receiver(number)
 
-    def to(self, act: Callable[[int], Any]) -> None:
-        """Pass on what was kept, and from now on at once."""
-        self.act = act
-        kept, self.kept = self.kept, []
-        for number in kept:
-            act(number)
+    def deliver_to(self, receiver: Callable[[int], object]) -> None:
+        """Deliver what is queued, and from now on each signal at once."""
+        self._receiver = receiver
+        queued, self._queued = self._queued, []
+        for number in queued:
+            receiver(number)
 
     @property
-    def told_to_end(self) -> bool:
-        """Whether what is kept asks for the end."""
-        return signal.SIGTERM in self.kept or signal.SIGINT in self.kept
+    def shutdown_requested(self) -> bool:
+        """Whether a queued signal requests the shutdown."""
+        return any(number in SHUTDOWN for number in self._queued)
 
-    def over(self) -> None:
-        """The program ends: nothing is acted on any more, also while the interpreter winds up."""
-        for number in NUMBERS:
+    def ignore_all(self) -> None:
+        """Ignore all further signals, also while the interpreter exits."""
+        for number in HANDLED:
             signal.signal(number, signal.SIG_IGN)
--- /dev/null
+++ b/sedgepitch/node/structured_log.py
@@ -0,0 +1,57 @@
+"""The log of the platform's program: one event per line on standard error, with a limit per second."""
+
+from __future__ import annotations
+
+import contextlib
+import sys
+import time
+from typing import TextIO
+
+MAX_LINES_PER_SECOND = 20
+TRACE_VARIABLE = "SEDGEPITCH_TRACE"  # environment variable that switches the trace on
+
+
+class LineLimiter:
+    """Limits lines per second, and reports how many were dropped when the next second begins."""
+
+    def __init__(self, name: str, sink: TextIO, max_lines_per_second: int) -> None:
+        self.name = name
+        self.sink = sink
+        self.max_lines_per_second = max_lines_per_second
+        self._second = 0
+        self._lines = 0
+        self._dropped = 0
+
+    def admit(self) -> bool:
+        """Count a line; return whether it may be written."""
+        second = int(time.monotonic())
+        if second != self._second:
+            if self._dropped:
+                self.sink.write(f"{self.name}: {self._dropped} lines dropped\n")
+            self._second = second
+            self._lines = 0
+            self._dropped = 0
+        self._lines += 1
+        if self._lines > self.max_lines_per_second:
+            self._dropped += 1
+            return False
+        return True
+
+
+class StructuredLog:
+    """Writes events as `time name: event key=value ...`; `tracing` says whether the trace is switched on."""
+
+    def __init__(self, name: str, sink: TextIO | None = None, tracing: bool = False) -> None:
+        self.name = name
+        self.sink = sink or sys.stderr
+        self.tracing = tracing
+        self._limiter = LineLimiter(name, self.sink, MAX_LINES_PER_SECOND)
+
+    def log_event(self, event: str, **fields: object) -> None:
+        """Write one event; a sink that cannot be written to is ignored."""
+        if not self._limiter.admit():
+            return
+        values = " ".join(f"{key}={value}" for key, value in fields.items())
+        with contextlib.suppress(OSError, ValueError):
+            self.sink.write(f"{time.time():.3f} {self.name}: {event} {values}".rstrip() + "\n")
+            self.sink.flush()
--- a/sedgepitch/node/twisted_log.py
+++ b/sedgepitch/node/twisted_log.py
@@ -1,7 +1,7 @@
-"""Twisted's own log events, forwarded to the log of this process.
+"""Forwards Twisted's own log events to the log of this process.
 
-Twisted reports what it handles itself (an exception in a transport callback, an `accept` that failed, what it
-closed because of that) to its log publisher alone. Without an observer those events only fill a buffer.
+Twisted reports what it handles itself (an exception in a transport callback, a failed `accept`) to its log
+publisher alone. Without an observer those events only fill a buffer.
 """
 
 from __future__ import annotations
@@ -13,24 +13,16 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-LONGEST_TEXT = 300  # characters of an event that are logged
+from sedgepitch.tracebacks import innermost_place
+
+MAX_TEXT_CHARS = 300
 # Twisted reports failed accepts at level info, beside the start and stop of each factory and port.
 ACCEPT_NAMESPACE = "twisted.internet.tcp"
 ACCEPT_WORDS = ("accept", "EMFILE")
 
 
-def failure_place(failure: Failure) -> str:
-    """Return file and line of the innermost frame of a failure, or "?"."""
-    trace = failure.getTracebackObject()
-    if trace is None:
-        return "?"
-    while trace.tb_next is not None:
-        trace = trace.tb_next
-    return f"{trace.tb_frame.f_code.co_filename.rpartition('/')[2]}:{trace.tb_lineno}"
-
-
-def is_worth_a_line(event: LogEvent) -> bool:
-    """Whether an event is a warning or worse, or tells of a failed accept."""
+def is_relevant(event: LogEvent) -> bool:
+    """Whether an event is a warning or worse, or reports a failed accept."""
     level = event.get("log_level")
     if level is not None and level >= LogLevel.warn:
         return True
@@ -44,29 +36,30 @@
 
 @implementer(ILogObserver)
 class TwistedLogForwarder:
-    """Writes one bounded line for each of Twisted's events that is worth it."""
+    """Logs each relevant event of Twisted's as one line of limited length."""
 
-    def __init__(self, say: Callable[..., None]) -> None:
-        self._say = say
+    def __init__(self, log_event: Callable[..., None]) -> None:
+        self._log_event = log_event
 
     def __call__(self, event: LogEvent) -> None:
         """Observe one event."""
-        if not is_worth_a_line(event):
+        if not is_relevant(event):
             return
         failure = event.get("log_failure")
         if isinstance(failure, Failure):
             text = f"{failure.type.__name__ if failure.type else 'failure'}: {failure.getErrorMessage()}"
-            self._say("twisted.failure", place=failure_place(failure), error=_one_line(text))
+            place = innermost_place(failure.getTracebackObject())
+            self._log_event("twisted.failure", place=place, error=_one_line(text))
             return
         level = event.get("log_level", LogLevel.info)
-        self._say("twisted", level=level.name, text=_one_line(formatEvent(event)))
+        self._log_event("twisted", level=level.name, text=_one_line(formatEvent(event)))
 
 
 def _one_line(text: str) -> str:
-    return " ".join(text.split())[:LONGEST_TEXT]
+    return " ".join(text.split())[:MAX_TEXT_CHARS]
 
 
-def forward_twisted_log(say: Callable[..., None]) -> None:
-    """Begin to forward Twisted's log events to `say`; to be called once in a process."""
-    observer: Any = TwistedLogForwarder(say)
+def forward_twisted_log(log_event: Callable[..., None]) -> None:
+    """Begin to forward Twisted's log events; to be called once in a process."""
+    observer: Any = TwistedLogForwarder(log_event)
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
--- a/sedgepitch/observe/__init__.py
+++ b/sedgepitch/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics."""
+"""Structured logs and metrics of the daemon."""
--- a/sedgepitch/observe/log.py
+++ b/sedgepitch/observe/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line, with ids; JSON or for a console; bounded in lines a second."""
+"""Structured logs: one event per line on standard error, as JSON or for a console, limited per second."""
 
 from __future__ import annotations
 
@@ -9,44 +9,57 @@
 
 import structlog
 
+NEVER_DROPPED = ("error", "critical")
+UNLIMITED = 1_000_000
 
-class _Bound:
-    """At most so many lines a second; what was left out is counted in the first line after."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.second, self.lines, self.left_out = most, 0, 0, 0
+class _LineLimiter:
+    """A structlog processor that limits lines per second; the next second's first line counts the dropped."""
 
-    def __call__(self, _: Any, method: str, event: structlog.types.EventDict) -> structlog.types.EventDict:
+    def __init__(self, max_lines_per_second: int) -> None:
+        self.max_lines_per_second = max_lines_per_second
+        self._second = 0
+        self._lines = 0
+        self._dropped = 0
+
+    def __call__(
+        self, _logger: object, method: str, event: structlog.types.EventDict
+    ) -> structlog.types.EventDict:
         second = int(time.monotonic())
-        if second != self.second:
-            self.second, self.lines = second, 0
-            if self.left_out:
-                event["lines_left_out"], self.left_out = self.left_out, 0
-        self.lines += 1
-        if self.lines > self.most and method not in ("error", "critical"):
-            self.left_out += 1
+        if second != self._second:
+            self._second = second
+            self._lines = 0
+            if self._dropped:
+                event["lines_left_out"] = self._dropped
+                self._dropped = 0
+        self._lines += 1
+        if self._lines > self.max_lines_per_second and method not in NEVER_DROPPED:
+            self._dropped += 1
             raise structlog.DropEvent
         return event
 
-    def full(self) -> bool:
-        """Whether a line now would be left out; it is counted as such. Asked before a line is made."""
-        if int(time.monotonic()) != self.second or self.lines < self.most:
+    def is_full(self) -> bool:
+        """Whether a line now would be dropped; counts it as dropped if so."""
+        if int(time.monotonic()) != self._second or self._lines < self.max_lines_per_second:
             return False
-        self.left_out += 1
+        self._dropped += 1
         return True
 
 
-_bound = _Bound(1_000_000)
+_limiter = _LineLimiter(UNLIMITED)
+
 
+def is_full() -> bool:
+    """Whether this second has no room for another line below error; counts that line as dropped if so.
 
-def full() -> bool:
-    """Whether this second has no room for another line that is no error; counts it as left out."""
-    return _bound.full()
+    Asked before a line is put together: in a flood, lines would cost more than the answers they report.
+    """
+    return _limiter.is_full()
 
 
-def set_up(level: str, form: str, lines_per_second: int) -> None:
-    """Send logs to standard error."""
-    _bound.most = lines_per_second
+def configure(level: str, form: str, lines_per_second: int) -> None:
+    """Send logs of at least `level` to standard error; `form` is "json" or "console"."""
+    _limiter.max_lines_per_second = lines_per_second
     renderer: Any = (
         structlog.processors.JSONRenderer()
         if form == "json"
@@ -54,7 +67,7 @@
     )
     structlog.configure(
         processors=[
-            _bound,
+            _limiter,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Plain metrics of one driver, for prometheus; one registry each, so that several fit in one process."""
+"""Prometheus metrics of one proxy instance; a registry for each, so that several fit in one process."""
 
 from __future__ import annotations
 
@@ -10,77 +10,80 @@
 from sedgepitch.core.request_table import PendingRequest
 from sedgepitch.core.types import Response
 
-BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
+RESPONSE_TIME_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
+NO_CLASS = "cursor"  # the class label of requests on open cursors, which have none of their own
 
 
-class _Gauges(Collector):
+class _EngineGauges(Collector):
+    """Reads the engine's counters when metrics are collected."""
+
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
 
     def collect(self) -> list[GaugeMetricFamily]:
-        """Read the ledger as it stands."""
-        request_table = self.engine.request_table
-        figures = {
-            "sedgepitch_owed": ("Requests that are owed an answer.", request_table.pending),
-            "sedgepitch_overdue": ("Answers that only the last guard gave.", self.engine.overdue),
-            "sedgepitch_answered_twice": ("Second answers that were held back.", request_table.twice),
-            "sedgepitch_left": ("Clients that left before their answer.", request_table.left),
-            "sedgepitch_reserve_seconds": (
-                "How much earlier answers are decided, for the driver's own delay.",
-                self.engine.event_loop_lag.reserve(self.engine.clock.now()),
-            ),
-            "sedgepitch_latest_seconds": (
-                "The longest that bytes or timers waited.",
-                self.engine.event_loop_lag.peak,
-            ),
-            "sedgepitch_too_slow": ("Requests refused for the driver's own delay.", self.engine.too_slow),
-            "sedgepitch_too_many": ("Requests refused for the driver's own load.", self.engine.too_many),
-            "sedgepitch_own_limit": ("How many may be inside for its sake.", self.engine.own.limit),
-            "sedgepitch_hurried": ("Answers given early since the driver became late.", self.engine.hurried),
-        }
-        return [GaugeMetricFamily(name, text, value=value) for name, (text, value) in figures.items()]
+        """Return the counters as they stand."""
+        engine = self.engine
+        requests = engine.request_table
+        lag = engine.event_loop_lag
+        deadline_margin = lag.reserve(engine.clock.now())
+        gauges: list[tuple[str, str, float]] = [
+            ("sedgepitch_owed", "Requests pending.", requests.pending),
+            ("sedgepitch_overdue", "Requests answered by the last guard only.", engine.overdue),
+            ("sedgepitch_answered_twice", "Second answers that were suppressed.", requests.twice),
+            ("sedgepitch_left", "Clients that disconnected before their answer.", requests.left),
+            ("sedgepitch_reserve_seconds", "Deadline margin for the event loop's lag.", deadline_margin),
+            ("sedgepitch_latest_seconds", "Longest lag of the event loop.", lag.peak),
+            ("sedgepitch_too_slow", "Requests rejected for the event loop's lag.", engine.too_slow),
+            ("sedgepitch_too_many", "Requests rejected for the load of this process.", engine.too_many),
+            ("sedgepitch_own_limit", "Concurrency limit of this process.", engine.own.limit),
+            ("sedgepitch_hurried", "Requests answered early since the loop was late.", engine.hurried),
+        ]
+        return [GaugeMetricFamily(name, text, value=value) for name, text, value in gauges]
 
 
 class Metrics:
-    """Counts answers by class and verdict, attempts by member, and the time to answer."""
+    """Counts final answers by class and verdict, attempts by endpoint, and the time to answer."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self._children: dict[tuple[str, str], tuple[Counter, Histogram]] = {}
-        self._members: dict[int, Counter] = {}
+        # Labelled children, since finding them costs most.
+        self._by_outcome: dict[tuple[str, str], tuple[Counter, Histogram]] = {}
+        self._by_endpoint: dict[int, Counter] = {}
         self.answers = Counter(
             "sedgepitch_answers", "Final answers.", ("class_name", "verdict"), registry=self.registry
         )
         self.attempts = Counter("sedgepitch_attempts", "Attempts.", ("member",), registry=self.registry)
         self.input_errors = Counter(
-            "sedgepitch_input_errors", "Bad input.", ("kind",), registry=self.registry
+            "sedgepitch_input_errors", "Malformed input.", ("kind",), registry=self.registry
         )
         self.faults = Counter(
-            "sedgepitch_faults", "Callbacks that raised inside a turn.", ("at",), registry=self.registry
+            "sedgepitch_faults", "Exceptions of callbacks.", ("at",), registry=self.registry
         )
         self.seconds = Histogram(
             "sedgepitch_answer_seconds",
             "Time to the final answer.",
             ("class_name",),
-            buckets=BUCKETS,
+            buckets=RESPONSE_TIME_BUCKETS_S,
             registry=self.registry,
         )
 
     def watch(self, engine: Engine) -> None:
-        """Show an engine's ledger, too."""
-        self.registry.register(_Gauges(engine))
+        """Export an engine's counters, too."""
+        self.registry.register(_EngineGauges(engine))
 
-    def answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
-        """Count one final answer; labelled children are kept, since finding them costs most."""
-        name = account.command.class_name or "cursor"
-        key = (name, answer.verdict.value)
-        children = self._children.get(key)
+    def answered(self, request: PendingRequest, response: Response, elapsed: float) -> None:
+        """Count one final answer, `elapsed` seconds after the request arrived, and its attempts."""
+        class_name = request.command.class_name or NO_CLASS
+        key = (class_name, response.verdict.value)
+        children = self._by_outcome.get(key)
         if children is None:
-            children = self._children[key] = (self.answers.labels(*key), self.seconds.labels(name))
-        children[0].inc()
-        children[1].observe(elapsed)
-        for endpoint in account.endpoints:
-            counter = self._members.get(endpoint)
-            if counter is None:
-                counter = self._members[endpoint] = self.attempts.labels(str(endpoint))
-            counter.inc()
+            children = (self.answers.labels(*key), self.seconds.labels(class_name))
+            self._by_outcome[key] = children
+        answers, seconds = children
+        answers.inc()
+        seconds.observe(elapsed)
+        for endpoint in request.endpoints:
+            attempts = self._by_endpoint.get(endpoint)
+            if attempts is None:
+                attempts = self._by_endpoint[endpoint] = self.attempts.labels(str(endpoint))
+            attempts.inc()
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -17,8 +17,8 @@
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.decisions.positions import GroupPositions, Sighting, Stamp
-from sedgepitch.net import transport
-from sedgepitch.net.connecting import Opening
+from sedgepitch.net import socket_state
+from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.protocols.mongodb import bsonwalk, codec
 from sedgepitch.protocols.mongodb.codec import Message, WireError
 from sedgepitch.protocols.mongodb.framing import FrameReceiver
@@ -161,7 +161,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next request."""
-        return transport.quiet(self.transport)
+        return socket_state.is_quiet(self.transport)
 
     def _write(self, payload: Any) -> None:
         self.number = self.number % 0x7FFFFFFF + 1
@@ -341,13 +341,13 @@
                 self._sighted(endpoint, group, asked, read_hello(message))
                 ready(connection)
 
-            opening = Opening(
+            opening = OutgoingConnection(
                 lambda: MemberConnection(self.app_name, greeted, failed, lost, self.heard),
                 failed,
                 self.limits.connect_within,
             )
             opening.open(self.reactor, address, max(1.0, self.limits.connect_within))
-            return opening.give_up
+            return opening.cancel
 
         def judge(exchange: Any, message: Message) -> AttemptOutcome:
             end = self._judge(endpoint, group, exchange, message)
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -23,7 +23,7 @@
 from sedgepitch.decisions.connections.client_connections import ClientConnections
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
-from sedgepitch.net import transport
+from sedgepitch.net import socket_state, transport
 from sedgepitch.protocols.postgresql import codec, statements
 from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason, CloseReport
 from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
@@ -61,7 +61,7 @@
         )  # s; 0 where none is told
         self.open_ids: dict[bytes, ClientConnection] = {}
         self.connections: set[ClientConnection] = set()
-        self.visitors: ClientConnections[ClientConnection] = ClientConnections(descriptors.clients_most)
+        self.visitors: ClientConnections[ClientConnection] = ClientConnections(descriptors.max_clients)
         self.accepted = self.bad_messages = self.bad_statements = 0
         self.far: set[ClientConnection] = set()  # that are read beyond READ_AHEAD
         self.unread: set[ClientConnection] = set()  # whose sockets are left unread for what they sent ahead
@@ -75,29 +75,29 @@
         self.clock.after_reading(self._look, self.clock.now())
 
     def _look(self, at: float) -> None:
-        for connection in self.visitors.too_slow(at):
+        for connection in self.visitors.remove_timed_out(at):
             connection.too_slow()
         for connection in list(self.unread):
-            if transport.left(connection.transport):
+            if socket_state.peer_has_closed(connection.transport):
                 self.left_unread += 1
                 connection.leave()
         self.clock.call_later(LOOK_EVERY, self._due)
 
     def ends(self, ending: ShutdownSchedule) -> None:
         """This driver ends: from now on times are cut to that."""
-        self.closing_from, self.answered_by = ending.closing_from, ending.answered_by
+        self.closing_from, self.answered_by = ending.close_idle_from, ending.drain_deadline
 
     def room_from(self, newcomer: ClientConnection, now: float) -> ClientConnection:
         """Who goes for a newcomer: never one whose request lies unread, which would be lost with it."""
-        while (goes := self.visitors.make_room(now)) is not None:
-            if transport.quiet(goes.transport):
+        while (goes := self.visitors.evict(now)) is not None:
+            if socket_state.is_quiet(goes.transport):
                 return goes
         return newcomer
 
     def free_descriptor(self) -> None:
         """Close the client that can best be spared; none that is busy or whose request lies unread."""
-        while (goes := self.visitors.make_room(self.clock.now())) is not None:
-            if transport.quiet(goes.transport):
+        while (goes := self.visitors.evict(self.clock.now())) is not None:
+            if socket_state.is_quiet(goes.transport):
                 goes.end(CloseReason.EVICTED)  # in order: its next request may be on its way
                 return
 
@@ -120,13 +120,13 @@
         """Too much is unsent."""
         connection = self.connection
         connection.clogged = True
-        connection.front.visitors.stuck(connection, connection.front.clock.now())
+        connection.front.visitors.write_paused(connection, connection.front.clock.now())
 
     def resumeProducing(self) -> None:
         """All of it has gone."""
         connection = self.connection
         connection.clogged = False
-        connection.front.visitors.unstuck(connection)
+        connection.front.visitors.write_resumed(connection)
         connection.advance()
 
     def stopProducing(self) -> None:
@@ -156,14 +156,14 @@
         front = self.front
         front.connections.add(self)
         now = front.clock.now()
-        if not front.descriptors.client_came():
+        if not front.descriptors.client_accepted():
             goes = front.room_from(self, now)
             goes.abort(CloseReason.EVICTED)
             if goes is self:
                 return
         self.transport.set_no_delay()
         self.transport.registerProducer(_Outlet(self), True)
-        front.visitors.came(self, now)
+        front.visitors.accepted(self, now)
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes; while a statement is under way they only gather."""
@@ -179,7 +179,7 @@
             front.engine.waited(self.transport.read_delay(now), now)
         if not self.reader.held:
             self.since = arrived or front.clock.now()
-            front.visitors.spoke(self)
+            front.visitors.bytes_received(self)
         self.reader.feed(data)
         self.advance()
         if self.busy and self.reader.held > READ_AHEAD and not self.stopped:
@@ -211,9 +211,9 @@
         if self.busy or self.ending:
             return
         if not self.greeted or self.reader.held:
-            front.visitors.unfinished(self, front.clock.now())
-        elif (goes := front.visitors.rests(self, front.clock.now())) is not None:
-            if transport.quiet(goes.transport):
+            front.visitors.message_incomplete(self, front.clock.now())
+        elif (goes := front.visitors.became_idle(self, front.clock.now())) is not None:
+            if socket_state.is_quiet(goes.transport):
                 goes.end(CloseReason.REST_LIMIT)
 
     def _greet(self) -> None:
@@ -252,7 +252,7 @@
         front = self.front
         self._closes(reason)
         self.ending = True
-        front.visitors.left(self)
+        front.visitors.closed(self)
         if last:
             self.transport.write(last)
         self.reader = Reader({})
@@ -279,7 +279,7 @@
 
         `last`: also where half of something has come, which nobody will wait for.
         """
-        if self.busy or self.ending or not transport.quiet(self.transport):
+        if self.busy or self.ending or not socket_state.is_quiet(self.transport):
             return
         if not self.reader.held:
             self.end(CloseReason.SHUTDOWN)
@@ -295,10 +295,10 @@
         front = self.front
         front.closes.closed(self._close_report(reason))
         front.connections.discard(self)
-        front.visitors.left(self)
+        front.visitors.closed(self)
         front.unread.discard(self)
         front.far.discard(self)
-        front.descriptors.client_left()
+        front.descriptors.client_closed()
         self._forget_request()
 
     def _close_report(self, lost: Failure) -> CloseReport:
@@ -350,7 +350,11 @@
         owner = self.front.open_ids.get(request)
         if owner is None:
             return True
-        if owner.account is None or owner.account.attempts or not transport.left(owner.transport):
+        if (
+            owner.account is None
+            or owner.account.attempts
+            or not socket_state.peer_has_closed(owner.transport)
+        ):
             return False
         owner.leave()
         return True
@@ -373,7 +377,7 @@
         arrived = min(now, self.since) if self.since else now
         # Guards against work for a client who left while its bytes lay unread, by this driver's own delay or
         # behind what it sent ahead. May hurt: one more system call for what was read late.
-        if (now - arrived > LEFT_AFTER or self.stopped) and transport.left(self.transport):
+        if (now - arrived > LEFT_AFTER or self.stopped) and socket_state.peer_has_closed(self.transport):
             front.left_waiting += 1
             self.leave()
             return
@@ -393,7 +397,7 @@
             self.number,
         )
         self.busy = True
-        front.visitors.busy(self)
+        front.visitors.request_started(self)
         front.open_ids[statement.id] = self
 
         def answered(answer: Response) -> None:
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -17,8 +17,8 @@
 
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits, Room
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
-from sedgepitch.net import transport
-from sedgepitch.net.connecting import Opening
+from sedgepitch.net import socket_state
+from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.protocols.postgresql import codec
 from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
 from sedgepitch.routing.messages import AttemptResult, EndpointEntry, EndpointState, LoadReport
@@ -118,7 +118,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next statement."""
-        return not self.broken and not self.reader.held and transport.quiet(self.transport)
+        return not self.broken and not self.reader.held and socket_state.is_quiet(self.transport)
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes."""
@@ -352,7 +352,7 @@
 
     def room_short(self) -> bool:
         """Whether descriptors for members are nearly out."""
-        return bool(getattr(self.room, "members_short", False))
+        return bool(getattr(self.room, "endpoints_nearly_exhausted", False))
 
     def close_longest_idle(self) -> bool:
         """Free a descriptor: close the connection that has been idle longest, of whatever member.
@@ -384,12 +384,12 @@
             made = MemberConnection(self.names, self.clock.now, ready, failed, lost, self.heard)
             if self.trace is not None:
                 made.note = self.trace(endpoint)
-            opening = Opening(lambda: made, failed, self.limits.connect_within)
+            opening = OutgoingConnection(lambda: made, failed, self.limits.connect_within)
             opening.open(self.reactor, address, self.limits.connect_within + 1.0)
 
             def give_up() -> None:
                 if made.transport is None:
-                    opening.give_up()
+                    opening.cancel()
                 else:  # up, but not greeted: its greeting must not count any more
                     made.close()
 
--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -420,11 +420,17 @@
                 if '"event": "stopped"' in line:
                     told.append(json.loads(line))
         if told:
-            longest = max(row["latest_ms"] for row in told) / 1000.0
-            mean = sum(row["mean_wait_ms"] for row in told) / len(told) / 1000.0
+            longest = max(row["max_lag_ms"] for row in told) / 1000.0
+            mean = sum(row["mean_lag_ms"] for row in told) / len(told) / 1000.0
             out["drivers"] = {"longest": longest, "mean": mean}
-            for name in ("too_slow", "hurried", "overdue", "faults"):
-                out["drivers"][name] = sum(row[name] for row in told)
+            counters = {
+                "too_slow": "rejected_for_lag",
+                "hurried": "answered_early",
+                "overdue": "overdue",
+                "faults": "callback_errors",
+            }
+            for name, field_name in counters.items():
+                out["drivers"][name] = sum(row[field_name] for row in told)
         return out
 
     def figures(self) -> Figures:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -51,6 +51,6 @@
     held = Platform(tmp_path)
     held.configure()
     held.start()
-    held.wait_for("list revision=1 complete=True remembered=False")
+    held.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
     yield held
     held.close()
--- a/tests/support/golden_discovery.py
+++ b/tests/support/golden_discovery.py
@@ -15,9 +15,11 @@
 from sedgepitch.decisions.connections.client_connections import ClientConnections
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
-from sedgepitch.decisions.discovery.list_versions import EndpointListVersions, Entry, Version
+from sedgepitch.decisions.discovery.list_versions import DiscoveredEndpoint, EndpointListVersions, ListVersion
 from sedgepitch.decisions.discovery.watch_streams import WatchStreams
-from sedgepitch.discovery.client import BadVersion, Objects, read_version
+from sedgepitch.discovery.errors import MalformedListError
+from sedgepitch.discovery.json_stream import JsonObjectSplitter
+from sedgepitch.discovery.list_format import read_version
 from sedgepitch.routing.messages import EndpointState
 
 WATCH_STEPS = 900
@@ -58,29 +60,37 @@
         if step == "wait":
             now += draw.choice((0.01, 0.3, 1.1, 2.0, 3.3)) * draw.random()
         elif step == "answered":
-            streams.answered(key, now)
+            streams.response_started(key, now)
         elif step == "heartbeat":
-            out.add("closed-by-heartbeat", streams.sign(key, now))
+            out.add("closed-by-heartbeat", streams.heartbeat(key, now))
         elif step == "partial":
-            streams.stirs(key, now - draw.uniform(0.0, 4.0), now)
+            streams.partial_object(key, now - draw.uniform(0.0, 4.0), now)
         elif step == "lost":
             streams.lost(key, now)
         elif draw.random() < 0.2:
-            out.add("closed-by-move", streams.moved())
-        if streams.opens(now):
+            out.add("closed-by-move", streams.source_moved())
+        if streams.should_open(now):
             number += 1
             out.add("closed-by-opening", number, streams.opened(number, now))
-        out.add("streams", now, streams.heard, streams.fresh, streams.all(), streams.due(), streams.open_at)
+        out.add(
+            "streams",
+            now,
+            streams.active,
+            streams.candidates,
+            streams.all(),
+            streams.next_open_at(),
+            streams.open_at,
+        )
 
 
-def _entries(draw: random.Random, names: list[str]) -> tuple[Entry, ...]:
+def _entries(draw: random.Random, names: list[str]) -> tuple[DiscoveredEndpoint, ...]:
     states = {
         "up": EndpointState.UP,
         "draining": EndpointState.DRAINING,
         "removed": EndpointState.GONE,
     }
     return tuple(
-        Entry(
+        DiscoveredEndpoint(
             name,
             (f"10.0.0.{draw.randrange(9)}", draw.randrange(1, 9999)),
             draw.choice("abc"),
@@ -104,7 +114,7 @@
         chosen = draw.sample(names, draw.randrange(9))
         complete = draw.random() < 0.4
         cached = draw.random() < 0.1
-        update = versions.take(Version(revision, complete, _entries(draw, chosen)), cached)
+        update = versions.apply(ListVersion(revision, complete, _entries(draw, chosen)), cached)
         if update is None:
             out.add("not-newer", revision)
         else:
@@ -120,7 +130,7 @@
             out.add("forgotten", endpoint, endpoint in versions.names)
         out.add(
             "list", versions.revision, sorted(versions.names.items()), sorted(versions.addresses.items()),
-            sorted(versions.present), sorted(versions.ending.items()),
+            sorted(versions.present), sorted(versions.departing.items()),
         )  # fmt: skip
 
 
@@ -130,15 +140,15 @@
     now, number = draw.uniform(0.0, 100.0), 0
     keys: list[int] = []
     steps: dict[str, Callable[[int], object]] = {
-        "bytes": lambda key: table.spoke(key),
-        "incomplete": lambda key: table.unfinished(key, now),
-        "request": lambda key: table.busy(key),
-        "idle": lambda key: table.rests(key, now),
-        "blocked": lambda key: table.stuck(key, now),
-        "unblocked": lambda key: table.unstuck(key),
-        "closed": lambda key: table.left(key),
-        "room": lambda key: table.make_room(now),
-        "overdue": lambda key: table.too_slow(now),
+        "bytes": lambda key: table.bytes_received(key),
+        "incomplete": lambda key: table.message_incomplete(key, now),
+        "request": lambda key: table.request_started(key),
+        "idle": lambda key: table.became_idle(key, now),
+        "blocked": lambda key: table.write_paused(key, now),
+        "unblocked": lambda key: table.write_resumed(key),
+        "closed": lambda key: table.closed(key),
+        "room": lambda key: table.evict(now),
+        "overdue": lambda key: table.remove_timed_out(now),
     }
     for _ in range(CONNECTION_STEPS):
         now += draw.random() * draw.choice((0.0, 0.05, 0.4))
@@ -146,32 +156,32 @@
         if step == "accepted" or not keys:
             number += 1
             keys = [*keys[-30:], number]
-            table.came(number, now)
+            table.accepted(number, now)
             out.add("accepted", number)
         else:
             key = draw.choice(keys)
             out.add(step, key, steps[step](key))
         out.add(
-            "connections", list(table.silent.items()), list(table.talking.items()),
-            list(table.clogged.items()), list(table.resting.items()), table.evicted, table.overdue,
+            "connections", list(table.awaiting_first_byte.items()), list(table.receiving.items()),
+            list(table.write_blocked.items()), list(table.idle.items()), table.evicted, table.timed_out,
         )  # fmt: skip
 
 
 def descriptor_budget(draw: random.Random, out: Transcript) -> None:
     """Take and give back descriptors for clients and endpoints."""
     budget = DescriptorBudget(draw.choice((0, 16, 40, 64, 256, 1024)))
-    out.add("budget", budget.clients_most, budget.members_most)
+    out.add("budget", budget.max_clients, budget.max_endpoints)
     for _ in range(BUDGET_STEPS):
         step = draw.choice(("accept", "accept", "close", "connect", "connect", "connect", "disconnect"))
         if step == "accept":
-            out.add("accept", budget.client_came())
+            out.add("accept", budget.client_accepted())
         elif step == "close" and budget.clients:
-            budget.client_left()
+            budget.client_closed()
         elif step == "connect":
-            out.add("connect", budget.take())
+            out.add("connect", budget.acquire())
         elif step == "disconnect" and budget.endpoints:
-            budget.give()
-        out.add("in-use", budget.clients, budget.endpoints, budget.refused, budget.members_short)
+            budget.release()
+        out.add("in-use", budget.clients, budget.endpoints, budget.refused, budget.endpoints_nearly_exhausted)
 
 
 def shutdown_schedule(draw: random.Random, out: Transcript) -> None:
@@ -179,7 +189,12 @@
     for _ in range(40):
         requested = draw.uniform(0.0, 1e5)
         schedule = ShutdownSchedule(requested, draw.choice((0.05, 0.5, 2.0, 3.0, 9.0, draw.random())))
-        times = (schedule.accepting_until, schedule.closing_from, schedule.answered_by, schedule.over_by)
+        times = (
+            schedule.accept_until,
+            schedule.close_idle_from,
+            schedule.drain_deadline,
+            schedule.exit_deadline,
+        )
         out.add("schedule", requested, times)
         for moment in (requested, *times, times[3] + 1.0):
             for listening, connections, pending in (
@@ -188,7 +203,10 @@
                 (False, 2, 0),
                 (False, 0, 1),
             ):
-                out.add("over", schedule.over(moment, listening, connections, pending))
+                out.add(
+                    "over",
+                    schedule.may_exit(moment, listening=listening, connections=connections, pending=pending),
+                )
 
 
 def _wire_object(draw: random.Random, revision: int) -> dict[str, object]:
@@ -222,25 +240,25 @@
         text += json.dumps(_wire_object(draw, revision), indent=draw.choice((None, 1))) + draw.choice(
             ("\n", " \r\n\n")
         )
-    splitter = Objects()
+    splitter = JsonObjectSplitter()
     for piece in _pieces(draw, text.encode() + draw.choice((b"", b"[1]", b'{"open":'))):
         try:
             for data in splitter.feed(piece):
                 try:
                     out.add("version", *_version(read_version(json.loads(data), WALL_S)))
-                except BadVersion as error:
+                except MalformedListError as error:
                     out.add("malformed-object", str(error))
-        except BadVersion as error:
+        except MalformedListError as error:
             out.add("malformed-stream", str(error))
             break
-        out.add("partial", splitter.begun)
+        out.add("partial", splitter.incomplete)
 
 
-def _version(version: Version) -> tuple[object, ...]:
+def _version(version: ListVersion) -> tuple[object, ...]:
     return (
         version.revision, version.complete,
         [
-            (x.name, x.address, x.zone, x.group, x.state.name, x.size, x.started, x.primary)
+            (x.name, x.address, x.zone, x.group, x.state.name, x.size, x.started_at, x.primary)
             for x in version.entries
         ],
     )  # fmt: skip
--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -10,7 +10,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from sedgepitch.cli.daemon import group_finder
+from sedgepitch.cli.group_lookup import group_finder
 from sedgepitch.config.load import parse
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.core.engine import Engine
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -7,13 +7,12 @@
 import pytest
 
 from sedgepitch.net.accepting import (
-    FIRST_PAUSE,
-    LASTING,
-    LONGEST_PAUSE,
-    MOST_SKIPPED,
+    LASTING_SHORTAGE_S,
+    MAX_CONSECUTIVE_SKIPS,
     AcceptFailure,
     AcceptRetry,
 )
+from sedgepitch.net.shortage import PAUSE_MAX_S, PAUSE_MIN_S
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, 0, 9999])
@@ -24,31 +23,31 @@
 @pytest.mark.parametrize(
     "error", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EINTR, errno.ENETDOWN]
 )
-def test_the_failure_of_one_connection_is_followed_by_the_next_but_not_without_end(error):
+def test_a_failed_connection_is_skipped_but_only_so_many_in_a_row(error):
     retry = AcceptRetry()
-    judged = [retry.failed(error) for _ in range(MOST_SKIPPED + 1)]
-    assert judged == [AcceptFailure.NEXT] * MOST_SKIPPED + [AcceptFailure.SHORTAGE]
+    judged = [retry.failed(error) for _ in range(MAX_CONSECUTIVE_SKIPS + 1)]
+    assert judged == [AcceptFailure.NEXT] * MAX_CONSECUTIVE_SKIPS + [AcceptFailure.SHORTAGE]
 
 
-def test_nothing_waits_is_no_failure():
+def test_an_empty_backlog_is_no_failure():
     retry = AcceptRetry()
-    assert retry.failed(errno.EAGAIN) is AcceptFailure.NOTHING_WAITS
+    assert retry.failed(errno.EAGAIN) is AcceptFailure.BACKLOG_EMPTY
     assert retry.failures == 0
 
 
-def test_pauses_double_up_to_a_bound_and_begin_anew_after_a_success():
+def test_pauses_double_up_to_a_bound_and_start_over_after_a_success():
     retry = AcceptRetry()
     pauses = [retry.next_pause() for _ in range(8)]
-    assert pauses[:3] == [FIRST_PAUSE, 2 * FIRST_PAUSE, 4 * FIRST_PAUSE] and pauses[-1] == LONGEST_PAUSE
+    assert pauses[:3] == [PAUSE_MIN_S, 2 * PAUSE_MIN_S, 4 * PAUSE_MIN_S] and pauses[-1] == PAUSE_MAX_S
     retry.succeeded()
-    assert retry.next_pause() == FIRST_PAUSE
+    assert retry.next_pause() == PAUSE_MIN_S
 
 
-def test_a_shortage_is_lasting_after_a_time_of_pauses_and_no_more_after_a_success():
+def test_a_shortage_is_lasting_after_half_a_second_of_pauses_until_a_success():
     retry = AcceptRetry()
     paused = 0.0
     while not retry.lasting:
         paused += retry.next_pause()
-    assert LASTING <= paused < LASTING + LONGEST_PAUSE + FIRST_PAUSE
+    assert LASTING_SHORTAGE_S <= paused < LASTING_SHORTAGE_S + PAUSE_MAX_S + PAUSE_MIN_S
     retry.succeeded()
     assert not retry.lasting
--- a/tests/test_arrival_stamps.py
+++ b/tests/test_arrival_stamps.py
@@ -1,4 +1,4 @@
-"""Stamps of arrival under a wall clock that is set ahead or back, or slewed; and on a real socket."""
+"""Receive timestamps under a wall clock that is set ahead or back, or slewed; and on a real socket."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from sedgepitch.core.clock import unix_ahead
 from sedgepitch.net import transport
-from sedgepitch.net.stamps import Stamps
+from sedgepitch.net.receive_timestamps import ReceiveTimestamps
 
 EVENTS = st.lists(
     st.one_of(
@@ -28,8 +28,8 @@
 @given(EVENTS, st.integers(0, 40), st.floats(-3600.0, 3600.0))
 def test_whatever_the_clock_does_nothing_is_taken_for_older_than_it_is(events, when, step):
     """One step anywhere among reads; slewing as fast as the system does it."""
-    stamps, now, ahead, lying = Stamps(), 100.0, 1e9, []
-    stamps.arrived(now + ahead, now + ahead, now)
+    timestamps, now, ahead, lying = ReceiveTimestamps(), 100.0, 1e9, []
+    timestamps.arrival_time(now + ahead, now + ahead, now)
     for number, (what, amount) in enumerate(events):
         if number == when:
             ahead += step
@@ -42,7 +42,7 @@
             lying.append((now, now + ahead))
         elif lying:
             came, stamp = lying.pop(amount % len(lying))
-            told = stamps.arrived(stamp, now + ahead, now)
+            told = timestamps.arrival_time(stamp, now + ahead, now)
             assert told <= now
             assert told >= came - 0.06  # what is slewed meanwhile, and a step too small to be known for one
             if number < when:
@@ -50,26 +50,26 @@
 
 
 def test_a_step_of_the_clock_while_bytes_lie_unread_is_seen_and_lateness_is_known_again_after_it():
-    stamps = Stamps()
-    assert stamps.arrived(1005.0, 1005.2, 5.2) == pytest.approx(5.0)
-    assert stamps.arrived(1005.3, 4605.5, 5.5) == pytest.approx(5.3)  # an hour ahead meanwhile
-    assert stamps.arrived(1005.4, 4605.6, 5.6) == pytest.approx(5.4)  # of another connection
-    assert stamps.arrived(4606.0, 4606.3, 6.3) == pytest.approx(6.0)
-    assert stamps.arrived(4606.2, 4606.2 - 90.0, 6.4) == 6.4  # back
-    assert stamps.arrived(4517.0, 4517.2, 7.4) == pytest.approx(7.2)
+    timestamps = ReceiveTimestamps()
+    assert timestamps.arrival_time(1005.0, 1005.2, 5.2) == pytest.approx(5.0)
+    assert timestamps.arrival_time(1005.3, 4605.5, 5.5) == pytest.approx(5.3)  # an hour ahead meanwhile
+    assert timestamps.arrival_time(1005.4, 4605.6, 5.6) == pytest.approx(5.4)  # of another connection
+    assert timestamps.arrival_time(4606.0, 4606.3, 6.3) == pytest.approx(6.0)
+    assert timestamps.arrival_time(4606.2, 4606.2 - 90.0, 6.4) == 6.4  # back
+    assert timestamps.arrival_time(4517.0, 4517.2, 7.4) == pytest.approx(7.2)
 
 
 def test_a_request_that_lay_unread_while_the_clock_was_set_ahead_has_not_waited_for_it(monkeypatch):
-    monkeypatch.setattr(transport, "_stamps", Stamps())
+    monkeypatch.setattr(transport, "_timestamps", ReceiveTimestamps())
     server = socket.create_server(("127.0.0.1", 0))
     theirs = socket.create_connection(server.getsockname())
     ours, _ = server.accept()
     ours.setblocking(False)
     got: list[float] = []
-    read = transport._Stamped(ours, None)
+    read = transport.TimestampedConnection(ours, None)
     read.connected = True
     read.protocol = SimpleNamespace(dataReceived=lambda data: got.append(read.arrived))
-    read._stamp_reads()
+    read._start_timestamps()
     read._read_at -= 1000.0  # it has been idle for long
     wall, stepped = time.time, [0.0]
     monkeypatch.setattr(transport.time, "time", lambda: wall() + stepped[0])
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,7 +5,7 @@
 import signal
 import time
 
-from sedgepitch.decisions.discovery import watch_streams as watches
+from sedgepitch.decisions.discovery import watch_streams
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState
 from tests.support.platform import WITHIN, EmulatedEndpoint, Platform, look
@@ -101,9 +101,9 @@
     platform.configure()
     platform.start()
     try:
-        platform.wait_for("list revision=1 complete=True remembered=False")
+        platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
-        platform.wait_for("discovery.lost why=discovery is silent")  # no empty line each 2 s comes
+        platform.wait_for("discovery.lost reason=discovery is silent")  # no empty line each 2 s comes
         assert client.ask(look(1)) == ("value", b"value of 1")
         end = time.monotonic() + WITHIN
         while len(platform.agent.asked) < 2 and time.monotonic() < end:
@@ -119,14 +119,14 @@
     platform.start()
     old = platform.endpoints[1]
     try:
-        platform.wait_for("list revision=1 complete=True remembered=False")
+        platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
         for number in range(1, 12):
             assert client.ask(look(number))[0] == "value"
         assert old.statements
         moved = platform.endpoints[1] = EmulatedEndpoint("s-2", "reader")
         platform.agent.say(platform.version(2, complete=False))
-        platform.wait_for("list revision=2")
+        platform.wait_for("endpoint_list.updated revision=2")
         before = len(old.statements)
         for number in range(20, 60):
             assert client.ask(look(number))[0] == "value"
@@ -141,14 +141,14 @@
     platform.configure()
     platform.start()
     try:
-        platform.wait_for("list revision=1 complete=True remembered=False")
+        platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         whole = platform.version(2, complete=False, s_2="draining")
         platform.agent.first = platform.version(3, complete=False, s_2="draining")
         platform.agent.say(whole[: len(whole) // 2])
         watch = platform.agent.watches[0]
         time.sleep(0.2)
         platform.agent.server.shutdown_request(watch)
-        platform.wait_for("list revision=3")
+        platform.wait_for("endpoint_list.updated revision=3")
         assert "revision=2" not in platform.log.read_text()
         assert platform.agent.asked[1].endswith("index=1")
         client = platform.client()
@@ -163,5 +163,6 @@
 
 
 def test_a_silence_is_longer_than_a_beat_and_two_more_watches_are_asked_before_it_counts_as_told():
-    assert watches.QUIET * watches.BEAT > 1.25 * watches.BEAT
-    assert watches.QUIET * watches.BEAT + 2.0 * watches.ANSWER_WITHIN < 6.0  # the platform's page
+    assert watch_streams.HEARTBEAT_TIMEOUT_S > 1.25 * watch_streams.HEARTBEAT_INTERVAL_S
+    # The platform counts a change as notified after 6 s.
+    assert watch_streams.HEARTBEAT_TIMEOUT_S + 2.0 * watch_streams.RESPONSE_TIMEOUT_S < 6.0
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -1,4 +1,4 @@
-"""A connection that this process's own shortage holds up is opened a little later, and blamed on nobody."""
+"""A local shortage delays an outgoing connection and is not reported as a failure of the other side."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from sedgepitch.net.connecting import FIRST_PAUSE, LOCAL_SHORTAGE, Opening
+from sedgepitch.net.connecting import OutgoingConnection
+from sedgepitch.net.shortage import LOCAL_SHORTAGE, PAUSE_MIN_S
 
 
 class Connector:
@@ -35,35 +36,35 @@
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
 @pytest.mark.parametrize("error", sorted(LOCAL_SHORTAGE), ids=errno.errorcode.get)
-def test_a_shortage_is_tried_again_after_a_pause_and_fails_once_its_time_is_over(error, call):
+def test_a_local_shortage_is_retried_after_a_pause_until_its_time_is_over(error, call):
     failed = []
-    opening, connector = Opening(lambda: None, failed.append, within=0.1), Connector()
-    opening.clientConnectionFailed(connector, failure(error, call))
-    connector.reactor.advance(FIRST_PAUSE / 2)
+    outgoing, connector = OutgoingConnection(lambda: None, failed.append, retry_within_s=0.1), Connector()
+    outgoing.clientConnectionFailed(connector, failure(error, call))
+    connector.reactor.advance(PAUSE_MIN_S / 2)
     assert connector.connects == 0 and not failed
-    connector.reactor.advance(FIRST_PAUSE)
+    connector.reactor.advance(PAUSE_MIN_S)
     assert connector.connects == 1
     for _ in range(100):
-        opening.clientConnectionFailed(connector, failure(error, call))
+        outgoing.clientConnectionFailed(connector, failure(error, call))
         if failed:
             break
         connector.reactor.advance(1.0)
     assert len(failed) == 1 and 2 < connector.connects < 100
 
 
-def test_what_the_other_side_says_fails_at_once():
+def test_a_failure_of_the_other_side_is_reported_at_once():
     failed = []
-    opening, connector = Opening(lambda: None, failed.append, within=10.0), Connector()
-    opening.clientConnectionFailed(connector, Failure(ConnectionRefusedError(errno.ECONNREFUSED)))
+    outgoing, connector = OutgoingConnection(lambda: None, failed.append, retry_within_s=10.0), Connector()
+    outgoing.clientConnectionFailed(connector, Failure(ConnectionRefusedError(errno.ECONNREFUSED)))
     connector.reactor.advance(20.0)
     assert len(failed) == 1 and connector.connects == 0
 
 
-def test_given_up_while_it_pauses_it_does_not_connect():
+def test_cancelled_during_a_pause_it_does_not_connect():
     failed = []
-    opening, connector = Opening(lambda: None, failed.append, within=10.0), Connector()
-    opening.connector = connector
-    opening.clientConnectionFailed(connector, failure(errno.EMFILE, "socket"))
-    opening.give_up()
+    outgoing, connector = OutgoingConnection(lambda: None, failed.append, retry_within_s=10.0), Connector()
+    outgoing.connector = connector
+    outgoing.clientConnectionFailed(connector, failure(errno.EMFILE, "socket"))
+    outgoing.cancel()
     connector.reactor.advance(20.0)
     assert not failed and connector.connects == 0
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -18,10 +18,10 @@
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import AttemptOutcome, ClientRequest, ResponseStatus
-from sedgepitch.decisions.connections.client_connections import TALK_WITHIN
+from sedgepitch.decisions.connections.client_connections import RECEIVE_TIMEOUT_S
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
-from sedgepitch.node.driver import Driver
+from sedgepitch.node.graceful_shutdown import GracefulShutdown
 from sedgepitch.protocols.postgresql import client, codec
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
@@ -154,7 +154,7 @@
 
 def test_no_resting_client_whose_request_lies_unread_goes_for_a_newcomer():
     stage = Stage(sockets=40)
-    for number in range(stage.descriptors.clients_most - 2):
+    for number in range(stage.descriptors.max_clients - 2):
         stage.client()[0].dataReceived(read(number + 1))
     stage.turn()
     (_, first), (_, second) = stage.client(), stage.client()
@@ -191,8 +191,8 @@
     stage.turn()
     ending = ShutdownSchedule(stage.clock.now(), 0.5)
     stage.front.ends(ending)
-    stage.engine.hurry(ending.answered_by)
-    while stage.clock.now() < ending.over_by:
+    stage.engine.hurry(ending.drain_deadline)
+    while stage.clock.now() < ending.exit_deadline:
         stage.front.close_free()
         stage.turn(0.02)
     assert len(errors(wire)) == 3 and wire.half_closed and not stage.engine.request_table.pending
@@ -213,11 +213,11 @@
 @pytest.mark.parametrize("longest", [0.05, 0.3, 1.0, 3.0, 60.0])
 def test_the_times_of_an_end_come_in_order_for_every_deadline(longest):
     ending = ShutdownSchedule(100.0, longest)
-    times = [100.0, ending.accepting_until, ending.closing_from, ending.answered_by, ending.over_by]
+    times = [100.0, ending.accept_until, ending.close_idle_from, ending.drain_deadline, ending.exit_deadline]
     assert times == sorted(times) and times[-1] < 100.0 + min(3.0, longest) + 0.7
-    assert not ending.over(ending.over_by + 9.0, False, 0, pending=1)
-    assert ending.over(101.0, listening=False, connections=0, pending=0)
-    assert not ending.over(100.1, listening=True, connections=0, pending=0)
+    assert not ending.may_exit(ending.exit_deadline + 9.0, listening=False, connections=0, pending=1)
+    assert ending.may_exit(101.0, listening=False, connections=0, pending=0)
+    assert not ending.may_exit(100.1, listening=True, connections=0, pending=0)
 
 
 # Waiting for a connection to a member
@@ -385,7 +385,7 @@
     connection, wire = stage.client(greet=False)
     whole = codec.startup("web", "orders") + read(1, d="60000")
     connection.dataReceived(whole[:begun])
-    up = stage.clock.now() + TALK_WITHIN
+    up = stage.clock.now() + RECEIVE_TIMEOUT_S
     while stage.clock.now() + client.LOOK_EVERY < up - 1e-6:
         stage.turn(client.LOOK_EVERY)
     stage.task.callLater(client.LOOK_EVERY, connection.dataReceived, whole[begun:])
@@ -653,19 +653,6 @@
 def test_in_every_order_a_driver_that_ends_answers_all_it_has_read_and_then_is_over(steps):
     stage, callers, done = Stage(), [], []
     admission = Door(lambda: callers.append(Caller(stage)))
-    driver = SimpleNamespace(
-        clock=stage.clock,
-        config=SimpleNamespace(settings=SETTINGS),
-        front=stage.front,
-        engine=stage.engine,
-        lines=SimpleNamespace(say=lambda *_, **__: None),
-        port=admission,
-        opening=None,
-        catalog=SimpleNamespace(stop=lambda: None),
-        endpoints=SimpleNamespace(close=lambda: None),
-        figures=dict,
-        _say_closes=lambda: None,
-    )
     numbers, told, stopped = itertools.count(1), [], []
     for what, which in [*steps, ("stop", 0)]:
         caller = callers[which % len(callers)] if callers else None
@@ -680,7 +667,15 @@
         elif what == "stop":
             if not stopped:
                 stopped.append(True)
-                Driver.stop(driver, lambda: done.append(stage.clock.now()))
+                longest = max(c.deadline for c in SETTINGS.classes)
+                GracefulShutdown(
+                    stage.clock,
+                    ShutdownSchedule(stage.clock.now(), longest),
+                    stage.front,
+                    stage.engine,
+                    admission,
+                    lambda: done.append(stage.clock.now()),
+                ).begin()
         elif what == "list":
             drains = (entry(1 + which % 3, state=api.EndpointState.DRAINING),)
             stage.engine.list_changed(api.EndpointListUpdate(drains, complete=False))
