--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -9,86 +9,87 @@
 from hypothesis import strategies as st
 
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
-from sedgepitch.decisions.discovery.list_versions import EndpointListVersions, Entry, Version
-from sedgepitch.discovery.client import BadVersion, read_version
+from sedgepitch.decisions.discovery.list_versions import DiscoveredEndpoint, EndpointListVersions, ListVersion
+from sedgepitch.discovery.errors import MalformedListError
+from sedgepitch.discovery.list_format import read_version
 from sedgepitch.routing.messages import EndpointState
 
 
-def entry(name: str, state: EndpointState = EndpointState.UP, port: int = 1) -> Entry:
-    return Entry(name, ("127.0.0.1", port), "a", 1, state, 1.0, 0.0, False)
+def entry(name: str, state: EndpointState = EndpointState.UP, port: int = 1) -> DiscoveredEndpoint:
+    return DiscoveredEndpoint(name, ("127.0.0.1", port), "a", 1, state, 1.0, 0.0, False)
 
 
-def version(revision: int, complete: bool, *entries: Entry) -> Version:
-    return Version(revision, complete, entries)
+def version(revision: int, complete: bool, *entries: DiscoveredEndpoint) -> ListVersion:
+    return ListVersion(revision, complete, entries)
 
 
 def test_changes_count_once_and_a_whole_list_always():
     held = EndpointListVersions()
-    assert held.take(version(5, True, entry("a"))).complete
-    assert held.take(version(5, False, entry("b"))) is None
-    assert held.take(version(6, False, entry("b"))) is not None
-    assert held.take(version(2, True, entry("c"))) is not None, "a source that lost its memory"
+    assert held.apply(version(5, True, entry("a"))).complete
+    assert held.apply(version(5, False, entry("b"))) is None
+    assert held.apply(version(6, False, entry("b"))) is not None
+    assert held.apply(version(2, True, entry("c"))) is not None, "a source that lost its memory"
     assert held.revision == 2 and len(held.present) == 1
 
 
 def told(held: EndpointListVersions, *args) -> dict[str, EndpointState]:
     """What the module hears, by name."""
-    return {held.names[x.endpoint]: x.state for x in held.take(version(*args)).entries}
+    return {held.names[x.endpoint]: x.state for x in held.apply(version(*args)).entries}
 
 
 def test_a_list_that_lags_behind_does_not_take_back_what_was_told_ending():
     held = EndpointListVersions()
-    held.take(version(1, True, entry("a"), entry("b")))
-    held.take(version(7, False, entry("a", EndpointState.DRAINING)))
+    held.apply(version(1, True, entry("a"), entry("b")))
+    held.apply(version(7, False, entry("a", EndpointState.DRAINING)))
     assert told(held, 5, True, entry("a"), entry("b")) == {"a": EndpointState.DRAINING, "b": EndpointState.UP}
     assert told(held, 6, False, entry("a")) == {"a": EndpointState.UP}, "a change names it"
 
 
 def test_a_member_that_started_again_is_up_whatever_version_says_so():
     held = EndpointListVersions()
-    held.take(version(7, True, entry("a", EndpointState.DRAINING)))
-    again = Entry("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
+    held.apply(version(7, True, entry("a", EndpointState.DRAINING)))
+    again = DiscoveredEndpoint("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
     assert told(held, 3, True, again) == {"a": EndpointState.UP}
-    assert not held.ending
+    assert not held.departing
 
 
 def test_a_later_whole_list_is_taken_as_it_is():
     held = EndpointListVersions()
-    held.take(version(7, True, entry("a", EndpointState.DRAINING)))
+    held.apply(version(7, True, entry("a", EndpointState.DRAINING)))
     assert told(held, 8, True, entry("a")) == {"a": EndpointState.UP}
 
 
 def test_a_remembered_list_gives_members_but_no_version():
     held = EndpointListVersions()
-    assert held.take(version(41, True, entry("a")), remembered=True).remembered
+    assert held.apply(version(41, True, entry("a")), cached=True).remembered
     assert held.revision == 0
 
 
 def test_a_name_keeps_its_number_and_takes_its_new_address():
     held, other = EndpointListVersions(), EndpointListVersions()
-    first = held.take(version(1, True, entry("a", port=1))).entries[0].endpoint
-    again = held.take(version(2, False, entry("a", port=2))).entries[0].endpoint
-    assert first == again == other.take(version(9, True, entry("a"))).entries[0].endpoint
+    first = held.apply(version(1, True, entry("a", port=1))).entries[0].endpoint
+    again = held.apply(version(2, False, entry("a", port=2))).entries[0].endpoint
+    assert first == again == other.apply(version(9, True, entry("a"))).entries[0].endpoint
     assert held.addresses[first] == ("127.0.0.1", 2)
 
 
 def test_what_is_gone_is_forgotten_and_what_is_listed_is_not():
     held = EndpointListVersions()
-    number = held.take(version(1, True, entry("a"))).entries[0].endpoint
+    number = held.apply(version(1, True, entry("a"))).entries[0].endpoint
     held.forget(number)
     assert number in held.names
-    held.take(version(2, False, entry("a", EndpointState.GONE)))
+    held.apply(version(2, False, entry("a", EndpointState.GONE)))
     held.forget(number)
-    assert not (held.names or held.numbers or held.addresses or held.present)
+    assert not (held.names or held.ids or held.addresses or held.present)
 
 
 def test_a_hundred_thousand_names_leave_nothing_behind():
     held = EndpointListVersions()
     for n in range(100_000):
-        told = held.take(version(2 * n + 1, False, entry(f"s-{n}")))
-        held.take(version(2 * n + 2, False, entry(f"s-{n}", EndpointState.GONE)))
+        told = held.apply(version(2 * n + 1, False, entry(f"s-{n}")))
+        held.apply(version(2 * n + 2, False, entry(f"s-{n}", EndpointState.GONE)))
         held.forget(told.entries[0].endpoint)
-    assert not (held.names or held.numbers or held.addresses or held.present)
+    assert not (held.names or held.ids or held.addresses or held.present)
 
 
 GOOD = {
@@ -110,12 +111,12 @@
 
 
 def test_an_object_is_read_into_the_drivers_units():
-    told = read_version(GOOD, wall=1_000_000.0)
+    told = read_version(GOOD, unix_offset=1_000_000.0)
     (one,) = told.entries
     assert (told.revision, told.complete) == (43, False)
     assert (one.name, one.address, one.state) == ("s-5be2", ("127.1.0.18", 6432), EndpointState.DRAINING)
     assert (one.group, one.size, one.primary) == (3, 1.5, True)
-    assert one.started == pytest.approx(1000.5)
+    assert one.started_at == pytest.approx(1000.5)
 
 
 def broken(**changes):
@@ -142,7 +143,7 @@
     ],
 )
 def test_what_is_no_list_is_an_error_that_names_the_place(raw):
-    with pytest.raises(BadVersion, match="discovery"):
+    with pytest.raises(MalformedListError, match="discovery"):
         read_version(raw, 0.0)
 
 
@@ -158,15 +159,15 @@
 def test_any_json_is_a_list_or_an_error(raw):
     try:
         read_version(json.loads(json.dumps(raw)), 0.0)
-    except BadVersion:
+    except MalformedListError:
         pass
 
 
 def test_clients_cannot_take_the_room_that_members_need():
     account = DescriptorBudget(256)
-    came = [account.client_came() for _ in range(500)]
-    assert came.count(True) == account.clients_most
-    assert [account.take() for _ in range(500)].count(True) == account.members_most
-    assert account.clients_most + account.members_most < 256 and account.refused
-    account.give()
-    assert account.take()
+    came = [account.client_accepted() for _ in range(500)]
+    assert came.count(True) == account.max_clients
+    assert [account.acquire() for _ in range(500)].count(True) == account.max_endpoints
+    assert account.max_clients + account.max_endpoints < 256 and account.refused
+    account.release()
+    assert account.acquire()
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,8 +11,8 @@
 from twisted.internet.task import Clock
 
 from sedgepitch.net import listener as listening
-from sedgepitch.net.accepting import FIRST_PAUSE
-from sedgepitch.net.listener import SET_UP_TRIES, Listener
+from sedgepitch.net.listener import SET_UP_ATTEMPTS, Listener
+from sedgepitch.net.shortage import PAUSE_MIN_S
 
 
 class Reactor(Clock):
@@ -107,7 +107,7 @@
     held.port.doRead()
     assert held.port not in held.reactor.readers and freed == [False]
     assert [problem.name for problem in held.problems] == ["EMFILE"]
-    held.reactor.advance(FIRST_PAUSE)
+    held.reactor.advance(PAUSE_MIN_S)
     assert held.port in held.reactor.readers
     held.port.doRead()
     assert held.accepted() == 2
@@ -144,8 +144,8 @@
 
     monkeypatch.setattr(held.port, "transport", transport)
     held.port.doRead()
-    held.reactor.pump([1.0] * (SET_UP_TRIES + 1))
-    assert len(held.problems) == SET_UP_TRIES and held.clients[0].recv(1) == b""
+    held.reactor.pump([1.0] * (SET_UP_ATTEMPTS + 1))
+    assert len(held.problems) == SET_UP_ATTEMPTS and held.clients[0].recv(1) == b""
 
 
 def test_a_protocol_that_raises_ends_its_connection_and_not_the_listener(stage, monkeypatch):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -102,7 +102,7 @@
 def test_a_drained_member_gets_nothing_more_and_the_watch_goes_on_from_its_version(platform):
     client, (writer, reader) = platform.client(), platform.endpoints
     platform.agent.say(platform.version(2, complete=False, s_2="draining"))
-    platform.wait_for("list revision=2")
+    platform.wait_for("endpoint_list.updated revision=2")
     before = len(reader.statements)
     for number in range(1, 20):
         assert client.ask(look(number))[0] == "value"
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("noise", [b"not json\n", b'{"revision": "x"}\n', b"[]\n"])
 def test_discovery_that_talks_nonsense_is_asked_afresh(platform, noise):
     platform.agent.say(noise)
-    platform.wait_for("discovery.lost why=discovery")
+    platform.wait_for("discovery.lost reason=discovery")
     end = time.monotonic() + WITHIN
     while len(platform.agent.asked) < 2 and time.monotonic() < end:
         time.sleep(0.02)
@@ -129,12 +129,12 @@
 def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(platform):
     (platform.folder / "config.json").write_text("{")
     platform.signal(signal.SIGHUP)
-    platform.wait_for("config.bad why=the file is not JSON kept=the old one")
+    platform.wait_for("config.invalid reason=the file is not JSON active=previous")
     other = Agent()
     other.first = platform.version(7)
     platform.configure(other)
     platform.signal(signal.SIGHUP)
-    platform.wait_for("list revision=7")
+    platform.wait_for("endpoint_list.updated revision=7")
     assert other.asked[0].endswith("index=1")
     assert platform.client().ask(look(4)) == ("value", b"value of 4")
     other.close()
@@ -177,7 +177,7 @@
 def test_the_driver_imports_only_what_it_has_room_for():
     code = (
         "import sys, json; import sedgepitch.node.__main__ as m; m.install_reactor();"
-        "import sedgepitch.node.driver; print(json.dumps(sorted(sys.modules)))"
+        "import sedgepitch.node.proxy; print(json.dumps(sorted(sys.modules)))"
     )
     ran = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
     loaded = set(json.loads(ran.stdout))
@@ -194,6 +194,7 @@
     }
     assert not loaded & heavy
     own = {name for name in loaded if name.startswith("sedgepitch.")}
-    assert not any("mongo" in n or "standins" in n or "decide.door" in n or ".load" in n for n in own)
+    unwanted = ("mongo", "emulator", "decisions.admission.controller", ".scenarios")
+    assert not any(word in name for name in own for word in unwanted)
     # The platform's settings refuse peers: nothing of them is there to open a socket.
     assert not any("peers" in n or "gossip" in n or "replay" in n for n in own)
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -191,7 +191,8 @@
     stage.answer()
     front = stage.front
     held = front.visitors
-    assert not (front.open_ids or front.connections or held.resting or held.talking or held.silent)
+    assert not (front.open_ids or front.connections)
+    assert not (held.idle or held.receiving or held.awaiting_first_byte)
     assert not stage.engine.request_table.accounts and stage.descriptors.clients == 0
 
 
@@ -205,7 +206,7 @@
 
 def test_the_longest_idle_client_goes_when_room_is_needed():
     stage = Stage(sockets=40)
-    held = fill(stage, busy=stage.descriptors.clients_most - 2)
+    held = fill(stage, busy=stage.descriptors.max_clients - 2)
     stage.client(greet=False)
     assert [wire.aborted for wire in held] == [True, False]
 
@@ -217,7 +218,7 @@
     connection.dataReceived(read(1))
     stage.turn()
     assert not stage.endpoints.sent
-    stage.pass_by(visitors.TAKE_WITHIN + 1.0)
+    stage.pass_by(visitors.WRITE_TIMEOUT_S + 1.0)
     assert wire.aborted
 
 
@@ -268,11 +269,11 @@
 
 def test_a_newcomer_that_has_not_spoken_yet_does_not_go_for_the_next_while_others_are_idle():
     stage = Stage(sockets=40)
-    held = fill(stage, busy=stage.descriptors.clients_most - 3)
+    held = fill(stage, busy=stage.descriptors.max_clients - 3)
     _, newcomer = stage.client(greet=False)
     stage.client(greet=False)
     assert held[0].aborted and not newcomer.aborted
-    stage.pass_by(visitors.SPARED + 0.1)
+    stage.pass_by(visitors.FIRST_BYTE_GRACE_S + 0.1)
     stage.client(greet=False)
     assert newcomer.aborted and not held[1].aborted
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -53,7 +53,7 @@
     told = json.dumps(json.loads(platform.version(2, complete=False, s_2="draining")), indent=4)
     for at in range(0, len(told), 7):
         platform.agent.say(told[at : at + 7].encode())
-    platform.wait_for("list revision=2")
+    platform.wait_for("endpoint_list.updated revision=2")
     assert "discovery.lost" not in platform.log.read_text()
 
 
@@ -63,7 +63,7 @@
     platform.agent.first = b""  # whoever asks now is answered, and then hears nothing
     until(lambda: len(platform.agent.watches) > 1)
     first.sendall(b"%x\r\n%b\r\n" % (len(told := platform.version(2, complete=False)), told))
-    platform.wait_for("list revision=2")
+    platform.wait_for("endpoint_list.updated revision=2")
     platform.agent.first = mute
 
 
@@ -73,14 +73,14 @@
     platform.signal(signal.SIGHUP)
     until(lambda: len(new.asked) > 2)  # more than a second later: the old one is all there is
     platform.agent.say(platform.version(2, complete=False, s_2="draining"))
-    platform.wait_for("list revision=2")
+    platform.wait_for("endpoint_list.updated revision=2")
     assert len(new.watches) - new.asked.count("") <= len(new.asked)
     new.close()
 
 
 def test_two_reloads_in_a_row_end_at_the_last_place_and_its_lower_version_counts(platform):
     platform.agent.say(platform.version(50, complete=False))
-    platform.wait_for("list revision=50")
+    platform.wait_for("endpoint_list.updated revision=50")
     never, new = Mute(), Agent()
     new.first = platform.version(7)
     platform.configure(never)
@@ -88,10 +88,10 @@
     until(lambda: never.asked)
     platform.configure(new)
     platform.signal(signal.SIGHUP)
-    platform.wait_for("list revision=7 complete=True")
+    platform.wait_for("endpoint_list.updated revision=7 complete=True")
     platform.agent.say(platform.version(51, complete=False, s_2="draining"))  # the old one, late
     new.say(platform.version(8, complete=False, s_2="draining"))
-    platform.wait_for("list revision=8")
+    platform.wait_for("endpoint_list.updated revision=8")
     assert "revision=51" not in platform.log.read_text()
     never.close()
     new.close()
@@ -104,10 +104,10 @@
     text = whole.read_text()
     whole.write_text(text[: len(text) // 2])
     platform.signal(signal.SIGHUP)
-    platform.wait_for("config.bad")
+    platform.wait_for("config.invalid")
     platform.configure(new)
-    platform.wait_for("list revision=7")
-    assert platform.log.read_text().count("config.bad") == 1
+    platform.wait_for("endpoint_list.updated revision=7")
+    assert platform.log.read_text().count("config.invalid") == 1
     new.close()
 
 
@@ -117,7 +117,7 @@
     settings["rules"]["drainGraceS"] = 0.1
     platform.configure(settings=settings, limits={**platform.limits, "sockets": 300})
     platform.signal(signal.SIGHUP)
-    said = platform.wait_for("reload.kept fields=(.*) why")[1]
+    said = platform.wait_for("reload.ignored fields=(.*) reason")[1]
     assert said == "sockets,settings,connect_within"
 
 
@@ -131,7 +131,7 @@
     platform.signal(signal.SIGHUP)
     until(lambda: len(bad.asked) > 6)
     platform.agent.say(platform.version(2, complete=False))
-    platform.wait_for("list revision=2")
+    platform.wait_for("endpoint_list.updated revision=2")
     assert platform.client().ask(look(1)) == ("value", b"value of 1")
     assert "Traceback" not in platform.log.read_text()
     bad.close()
@@ -235,8 +235,8 @@
     assert platform.process.wait(timeout=WITHIN) == 0
     for thread in threads:
         thread.join(WITHIN)
-    figures = platform.wait_for(r"stopped (.*)")[1]
-    assert not unanswered and "owed=0" in figures and "faults=0" in figures
+    statistics = platform.wait_for(r"stopped (.*)")[1]
+    assert not unanswered and "requests_pending=0" in statistics and "callback_errors=0" in statistics
 
 
 # Clients that leave
@@ -252,7 +252,7 @@
     for number in range(2, 3000):
         client.held.sendall(codec.query(look(number)))
     client.close()
-    until(lambda: re.search(r"state .*clients=0 ", platform.log.read_text()))
+    until(lambda: re.search(r"runtime_statistics .*client_connections=0 ", platform.log.read_text()))
     hang.set()
     other = platform.client()
     for number in range(5000, 5010):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sedgepitch.node.config import BadConfig, parse
+from sedgepitch.node.config import NodeConfigError, parse
 from sedgepitch.routing import messages as api
 from sedgepitch.settings import BadSettings, translate_settings
 from tests.support.platform import SETUP
@@ -45,7 +45,7 @@
     for step in path[:-1]:
         part = part[step]
     part[path[-1]] = value
-    with pytest.raises(BadConfig) as told:
+    with pytest.raises(NodeConfigError) as told:
         parse(with_settings(settings), {}, 0.0)
     assert says in str(told.value) and "\n" not in str(told.value)
 
--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -36,7 +36,7 @@
     held.environment = faults.environment
     held.configure()
     held.start()
-    held.wait_for("list revision=1 complete=True remembered=False")
+    held.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
     yield held
     held.close()
 
--- a/tests/test_syscall_filter.py
+++ b/tests/test_syscall_filter.py
@@ -50,7 +50,7 @@
     platform.configure()
     platform.start()
     try:
-        platform.wait_for("list revision=1 complete=True remembered=False")
+        platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
         for number in range(1, 10):
             assert client.ask(look(number)) == ("value", f"value of {number:x}".encode())
--- a/tests/test_syscall_storm.py
+++ b/tests/test_syscall_storm.py
@@ -128,7 +128,7 @@
     platform.environment = faults.environment
     platform.configure()
     platform.start()
-    platform.wait_for("list revision=1 complete=True remembered=False")
+    platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
     dice = [random.Random(seed * 100 + number) for number in range(CLIENTS)]
     callers = [Caller(platform, number, dice[number], arm) for number in range(CLIENTS)]
     threads = [threading.Thread(target=caller.run, daemon=True) for caller in callers]
@@ -143,7 +143,7 @@
         assert platform.process.poll() is None
         platform.signal(signal.SIGTERM)
         assert platform.process.wait(timeout=WITHIN) == 0
-        closes = re.findall(r"closes .*reasons=(\S+)", platform.log.read_text())[-1]
+        closes = re.findall(r"client_closes .*reasons=(\S+)", platform.log.read_text())[-1]
         evicted = re.search(r"evicted:(\d+)", closes)
         assert sum(caller.crossed for caller in callers) <= (int(evicted[1]) if evicted else 0), closes
         log = platform.log.read_text()
--- a/tests/test_twisted_log.py
+++ b/tests/test_twisted_log.py
@@ -6,7 +6,7 @@
 from twisted.logger import LogLevel
 from twisted.python.failure import Failure
 
-from sedgepitch.node.twisted_log import LONGEST_TEXT, TwistedLogForwarder
+from sedgepitch.node.twisted_log import MAX_TEXT_CHARS, TwistedLogForwarder
 
 
 @pytest.fixture
@@ -26,7 +26,7 @@
     event, fields = lines[0]
     assert event == "twisted.failure"
     assert fields["place"].startswith("test_twisted_log.py:")
-    assert fields["error"].startswith("ValueError: two lines") and len(fields["error"]) == LONGEST_TEXT
+    assert fields["error"].startswith("ValueError: two lines") and len(fields["error"]) == MAX_TEXT_CHARS
 
 
 def test_a_failed_accept_is_a_line_though_twisted_calls_it_information(forwarded):
--- a/tests/test_watch_streams.py
+++ b/tests/test_watch_streams.py
@@ -8,9 +8,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sedgepitch.decisions.discovery.watch_streams import BEAT, FRESH, PAUSE, QUIET, WatchStreams
-from sedgepitch.discovery import client as catalog
-from sedgepitch.discovery.client import BadVersion, Objects
+from sedgepitch.decisions.discovery.watch_streams import (
+    BACKOFF_MAX_S,
+    HEARTBEAT_INTERVAL_S,
+    HEARTBEAT_TIMEOUT_S,
+    MAX_CANDIDATES,
+    WatchStreams,
+)
+from sedgepitch.discovery import json_stream
+from sedgepitch.discovery.errors import MalformedListError
+from sedgepitch.discovery.json_stream import JsonObjectSplitter
 
 OBJECTS = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text() | st.sampled_from(['"', "\\", "{", "}", '\\"']),
@@ -30,33 +37,33 @@
 )
 def test_objects_come_whole_whatever_the_white_space_and_the_pieces(told, indent, between, cuts):
     data = "".join(between + json.dumps(x, indent=indent, ensure_ascii=False) + between for x in told)
-    raw, held, found = data.encode("utf-8", "surrogatepass"), Objects(), []
+    raw, held, found = data.encode("utf-8", "surrogatepass"), JsonObjectSplitter(), []
     for size in [*cuts, len(raw)]:
         piece, raw = raw[:size], raw[size:]
         found += [json.loads(x) for x in held.feed(piece)]
-    assert found == told and not held.begun
+    assert found == told and not held.incomplete
 
 
 @pytest.mark.parametrize("junk", [b"not json", b"[1]", b'"x"', b"}", b"\0", b'{"a":1},{"a":2}'])
 def test_what_is_no_object_is_an_error_and_what_came_before_it_counts(junk):
-    held, found = Objects(), []
-    with pytest.raises(BadVersion):
+    held, found = JsonObjectSplitter(), []
+    with pytest.raises(MalformedListError):
         for whole in held.feed(b'{"a":1}\n' + junk):
             found.append(whole)
     assert found[0] == b'{"a":1}'
 
 
 def test_an_object_without_end_is_an_error_at_its_bound(monkeypatch):
-    monkeypatch.setattr(catalog, "MOST_OBJECT", 1000)
-    held = Objects()
+    monkeypatch.setattr(json_stream, "MAX_OBJECT_BYTES", 1000)
+    held = JsonObjectSplitter()
     assert list(held.feed(b'{"a":"')) == []
-    with pytest.raises(BadVersion, match="1000"):
+    with pytest.raises(MalformedListError, match="1000"):
         for _ in range(1001):
             list(held.feed(b"x"))
 
 
 def test_each_byte_is_looked_at_once():
-    held, looked = Objects(), 0
+    held, looked = JsonObjectSplitter(), 0
 
     class Counting:
         def __init__(self, pattern):
@@ -69,7 +76,7 @@
             return found
 
     for name in ("_INSIDE", "_STRING", "_OUTSIDE"):
-        setattr(held, name, Counting(getattr(Objects, name)))
+        setattr(held, name, Counting(getattr(JsonObjectSplitter, name)))
     data = json.dumps({"members": [{"id": "s" * 50, "n": [1, {}]} for _ in range(200)]}, indent=2).encode()
     for byte in data:
         list(held.feed(bytes([byte])))
@@ -82,54 +89,54 @@
 def test_a_silent_watch_is_held_until_another_has_spoken():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
-    assert held.sign("a", 0.0) == []
-    due = held.due()
-    assert due == QUIET * BEAT and held.opens(due) and not held.opens(due - 0.01)
+    assert held.heartbeat("a", 0.0) == []
+    due = held.next_open_at()
+    assert due == HEARTBEAT_TIMEOUT_S and held.should_open(due) and not held.should_open(due - 0.01)
     assert held.opened("b", due) == []
     assert held.holds("a") and held.holds("b")
-    assert held.sign("b", due + 0.1) == ["a"] and held.heard == "b"
+    assert held.heartbeat("b", due + 0.1) == ["a"] and held.active == "b"
 
 
 def test_a_silent_watch_that_speaks_again_ends_nothing():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
-    held.sign("a", 0.0)
+    held.heartbeat("a", 0.0)
     held.opened("b", 3.0)
-    assert held.sign("a", 3.1) == []
+    assert held.heartbeat("a", 3.1) == []
     assert held.holds("a") and held.holds("b")
 
 
 def test_one_that_is_answered_but_has_nothing_to_say_is_given_a_beat():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
-    held.answered("a", 0.1)
-    assert held.due() >= 0.1 + BEAT
+    held.response_started("a", 0.1)
+    assert held.next_open_at() >= 0.1 + HEARTBEAT_INTERVAL_S
 
 
 def test_part_of_an_object_is_a_sign_but_not_for_ever():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
-    held.sign("a", 0.0)
-    held.stirs("a", 1.0, 2.0)
-    assert held.due() == 2.0 + QUIET * BEAT
-    held.stirs("a", 1.0, 1.0 + QUIET * BEAT)
-    assert held.due() == 2.0 + QUIET * BEAT
+    held.heartbeat("a", 0.0)
+    held.partial_object("a", 1.0, 2.0)
+    assert held.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
+    held.partial_object("a", 1.0, 1.0 + HEARTBEAT_TIMEOUT_S)
+    assert held.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
 
 
 def test_moved_keeps_the_one_that_is_heard_and_drops_those_that_wait_at_the_old_place():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
-    held.sign("a", 0.0)
+    held.heartbeat("a", 0.0)
     held.opened("b", 3.0)
-    assert held.moved() == ["b"] and held.holds("a") and held.opens(3.0)
+    assert held.source_moved() == ["b"] and held.holds("a") and held.should_open(3.0)
     held.opened("c", 3.0)
     held.lost("c", 3.1)  # the new place refuses
-    assert held.holds("a") and held.due() < 3.5
+    assert held.holds("a") and held.next_open_at() < 3.5
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["answered", "sign", "stirs", "lost", "moved", "wait", "wait", "wait"]),
+        st.sampled_from(["response", "heartbeat", "partial", "lost", "moved", "wait", "wait", "wait"]),
         st.integers(0, 3),
         st.floats(0.0, 2.5),
     ),
@@ -146,29 +153,29 @@
     for step, which, seconds in steps:
         keys = held.all()
         key = keys[which % len(keys)] if keys else -1
-        before, spoke = set(keys), held.heard
-        if step == "answered":
-            held.answered(key, now)
-        elif step == "sign":
-            gone = held.sign(key, now)
-            assert not gone or held.heard == key, "nothing goes but for one that has spoken"
-        elif step == "stirs":
-            held.stirs(key, now - seconds, now)
+        before, spoke = set(keys), held.active
+        if step == "response":
+            held.response_started(key, now)
+        elif step == "heartbeat":
+            gone = held.heartbeat(key, now)
+            assert not gone or held.active == key, "nothing goes but for one that has spoken"
+        elif step == "partial":
+            held.partial_object(key, now - seconds, now)
         elif step == "lost":
             held.lost(key, now)
         elif step == "moved":
-            assert spoke not in held.moved()
+            assert spoke not in held.source_moved()
         else:
             now += seconds
-        while held.opens(now):
+        while held.should_open(now):
             number += 1
             opened_at.append(now)
             gone = held.opened(number, now)
-            assert held.heard not in gone and not (set(gone) - before)
-        assert len(held.all()) <= FRESH + 1
-        assert held.all() or held.due() <= now + PAUSE[1], "one that can hear, or soon another"
-        assert held.due() > now
-        assert held.due() <= now + QUIET * BEAT
+            assert held.active not in gone and not (set(gone) - before)
+        assert len(held.all()) <= MAX_CANDIDATES + 1
+        assert held.all() or held.next_open_at() <= now + BACKOFF_MAX_S, "one that can hear, or soon another"
+        assert held.next_open_at() > now
+        assert held.next_open_at() <= now + HEARTBEAT_TIMEOUT_S
     asked = sum(step in ("lost", "moved") for step, _, _ in steps)
     assert len(opened_at) <= asked + now / 0.05 + 2, "asked again by loss or time alone"
 
@@ -178,7 +185,7 @@
     held: WatchStreams[int] = WatchStreams()
     now, opened = 0.0, 0
     while now < 20.0:
-        if held.opens(now):
+        if held.should_open(now):
             opened += 1
             held.opened(opened, now)
             if after < 0.9:
