--- /dev/null
+++ b/sedgepitch/cli/assembly.py
@@ -0,0 +1,72 @@
+"""Builds the MongoDB sides of a proxy instance from its settings."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sedgepitch.cli.group_lookup import group_finder
+from sedgepitch.config.models import Settings
+from sedgepitch.core.connection_pool import PoolLimits
+from sedgepitch.core.engine import Engine
+from sedgepitch.core.types import Clock
+from sedgepitch.decisions.cursors import CursorTable
+from sedgepitch.net.twisted_types import Reactor
+from sedgepitch.protocols.mongodb.client import Context
+from sedgepitch.protocols.mongodb.upstream import MongoUpstream
+from sedgepitch.routing.messages import Freshness
+
+SESSION_TOKEN_AGE_SHARE = 0.25  # of the tightest staleness bound, for which a session token serves
+
+
+def session_token_age(settings: Settings) -> float:
+    """Return for how many seconds a session token serves.
+
+    That is a share of the tightest staleness bound, or of the lowest latency objective without one.
+    """
+    bounds = [c.max_age for c in settings.classes if c.freshness is Freshness.BOUNDED]
+    return min(bounds, default=min(c.aim for c in settings.classes)) * SESSION_TOKEN_AGE_SHARE
+
+
+def make_upstream(settings: Settings, reactor: Reactor, clock: Clock) -> MongoUpstream:
+    """Return the side of the endpoints, with the configured ones that have an address."""
+    limits = settings.limits
+    return MongoUpstream(
+        reactor,
+        clock,
+        {m.id: m.address for m in settings.members if m.address[1]},
+        settings.driver.name,
+        PoolLimits(limits.member_connections, limits.connect_within, limits.member_idle),
+        limits.probe_within,
+        mark_age=session_token_age(settings),
+    )
+
+
+def make_context(
+    settings: Settings,
+    engine: Engine,
+    endpoints: MongoUpstream,
+    clock: Clock,
+    seed: int,
+    log_event: Callable[..., None],
+    count_input_error: Callable[[str], None],
+) -> Context:
+    """Return what all client connections share."""
+    limits = settings.limits
+    admission = settings.door
+    return Context(
+        engine=engine,
+        endpoints=endpoints,
+        clock=clock,
+        classifier=settings.classifier(),
+        cursors=CursorTable(limits.cursors, limits.cursor_idle, seed),
+        group_of=group_finder(settings),
+        answer_margin=limits.answer_margin,
+        drain_grace=settings.rules.drain_grace,
+        shard_field=tuple(p.encode() for p in settings.shard_field.split(".") if p),
+        most_frame=limits.frame,
+        tenant_of=tuple(admission.tenant) if admission else (),
+        client_of=tuple(admission.client) if admission else (),
+        most_connections=limits.connections,
+        log=log_event,
+        counted=count_input_error,
+    )
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -10,23 +10,20 @@
 
 import structlog
 
-from sedgepitch.cli.group_lookup import group_finder
+from sedgepitch.cli.assembly import make_context, make_upstream
 from sedgepitch.cli.status_pages import make_site
 from sedgepitch.config.models import Settings
 from sedgepitch.core.clock import ReactorClock
-from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.request_table import PendingRequest
 from sedgepitch.core.types import Response, ResponseStatus
 from sedgepitch.decisions.admission.controller import AdmissionController
-from sedgepitch.decisions.cursors import CursorTable
 from sedgepitch.discovery.control_socket import ControlSocketClient, ControlSocketList
 from sedgepitch.net import listener
 from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.observe import log
 from sedgepitch.observe.metrics import Metrics
-from sedgepitch.protocols.mongodb.client import ClientFactory, Context, close_at_members
-from sedgepitch.protocols.mongodb.upstream import MongoUpstream
+from sedgepitch.protocols.mongodb.client import ClientFactory, close_at_members
 from sedgepitch.routing import messages
 from sedgepitch.routing.router import Router
 from sedgepitch.tracebacks import describe, innermost_place
@@ -40,7 +37,6 @@
 CURSOR_CHECK_INTERVAL_S = 5.0
 SHUTDOWN_CHECK_INTERVAL_S = 0.02
 LAST_WRITES_S = 0.05  # between closing the connections and the end, for what is still unsent
-SESSION_TOKEN_AGE_SHARE = 0.25  # of the tightest staleness bound, for which a session token serves
 SEED_BITS = 32
 MS_PER_S = 1000.0
 
@@ -61,11 +57,19 @@
         self.metrics = Metrics()
         stated_seed = settings.driver.seed
         seed = stated_seed if stated_seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
-        self.endpoints = self._make_upstream()
+        self.endpoints = make_upstream(settings, reactor, self.clock)
         self.endpoint_list = self._make_list_client()
         self.engine = self._make_engine(seed)
         self.metrics.watch(self.engine)
-        self.context = self._make_context(seed)
+        self.context = make_context(
+            settings,
+            self.engine,
+            self.endpoints,
+            self.clock,
+            seed,
+            log_event=self._log_event,
+            count_input_error=lambda kind: self.metrics.input_errors.labels(kind).inc(),
+        )
         self.endpoints.heard = self.context.read
         self.peers = self._make_peers()
         self.zones = self._make_zones()
@@ -74,24 +78,6 @@
 
     # Assembly
 
-    def _make_upstream(self) -> MongoUpstream:
-        limits = self.settings.limits
-        return MongoUpstream(
-            self.reactor,
-            self.clock,
-            {m.id: m.address for m in self.settings.members if m.address[1]},
-            self.settings.driver.name,
-            PoolLimits(limits.member_connections, limits.connect_within, limits.member_idle),
-            limits.probe_within,
-            mark_age=self._session_token_age(),
-        )
-
-    def _session_token_age(self) -> float:
-        """Return for how many seconds a session token serves: a share of the tightest staleness bound."""
-        classes = self.settings.classes
-        bounds = [c.max_age for c in classes if c.freshness is messages.Freshness.BOUNDED]
-        return min(bounds, default=min(c.aim for c in classes)) * SESSION_TOKEN_AGE_SHARE
-
     def _make_list_client(self) -> ControlSocketClient | None:
         if self.settings.follow is None:
             return None
@@ -123,27 +109,6 @@
             on_fault=self._callback_failed,
         )
 
-    def _make_context(self, seed: int) -> Context:
-        settings = self.settings
-        limits = settings.limits
-        return Context(
-            engine=self.engine,
-            endpoints=self.endpoints,
-            clock=self.clock,
-            classifier=settings.classifier(),
-            cursors=CursorTable(limits.cursors, limits.cursor_idle, seed),
-            group_of=group_finder(settings),
-            answer_margin=limits.answer_margin,
-            drain_grace=settings.rules.drain_grace,
-            shard_field=tuple(p.encode() for p in settings.shard_field.split(".") if p),
-            most_frame=limits.frame,
-            tenant_of=tuple(settings.door.tenant) if settings.door else (),
-            client_of=tuple(settings.door.client) if settings.door else (),
-            most_connections=limits.connections,
-            log=self._log_event,
-            counted=lambda kind: self.metrics.input_errors.labels(kind).inc(),
-        )
-
     def _make_peers(self) -> Peers | None:
         if self.settings.peers is None:
             return None
--- a/sedgepitch/decisions/discovery/watch_streams.py
+++ b/sedgepitch/decisions/discovery/watch_streams.py
@@ -44,8 +44,8 @@
 @dataclass(slots=True)
 class _Stream:
     opened_at: float
-    last_heard: float  # `opened_at` until something has come
-    silence_limit_s: float  # after `last_heard`, until another candidate is opened
+    last_activity: float  # `opened_at` until something has come
+    silence_limit_s: float  # after `last_activity`, until another candidate is opened
 
 
 class WatchStreams(Generic[Key]):
@@ -79,10 +79,10 @@
             return self.open_at  # also while the active one is silent: a source that refuses has its backoff
         if self.candidates:
             newest = self._streams[self.candidates[-1]]
-            return newest.last_heard + newest.silence_limit_s
+            return newest.last_activity + newest.silence_limit_s
         if self.active is None:
             return NEVER
-        return self._streams[self.active].last_heard + HEARTBEAT_TIMEOUT_S
+        return self._streams[self.active].last_activity + HEARTBEAT_TIMEOUT_S
 
     def opened(self, key: Key, now: float) -> list[Key]:
         """Record that a candidate is being opened; return the candidates to close for it."""
@@ -95,7 +95,7 @@
         """Record that the source accepted the watch; its first object or heartbeat may take an interval."""
         stream = self._streams.get(key)
         if stream is not None:
-            stream.last_heard = now
+            stream.last_activity = now
             stream.silence_limit_s = HEARTBEAT_TIMEOUT_S
 
     def heartbeat(self, key: Key, now: float) -> list[Key]:
@@ -103,7 +103,7 @@
         stream = self._streams.get(key)
         if stream is None:
             return []
-        stream.last_heard = now
+        stream.last_activity = now
         if key is self.active:
             return []
         replaced = [] if self.active is None else [self.active]
@@ -116,7 +116,7 @@
         """Record part of an object begun at `started_at`; it counts as a heartbeat for a limited time."""
         stream = self._streams.get(key)
         if stream is not None and now - started_at < HEARTBEAT_TIMEOUT_S:
-            stream.last_heard = now
+            stream.last_activity = now
 
     def lost(self, key: Key, now: float) -> None:
         """Record that a stream ended, could not be opened, or sent what cannot be read."""
--- a/sedgepitch/node/twisted_log.py
+++ b/sedgepitch/node/twisted_log.py
@@ -18,7 +18,7 @@
 MAX_TEXT_CHARS = 300
 # Twisted reports failed accepts at level info, beside the start and stop of each factory and port.
 ACCEPT_NAMESPACE = "twisted.internet.tcp"
-ACCEPT_WORDS = ("accept", "EMFILE")
+ACCEPT_MARKERS = ("accept", "EMFILE")
 
 
 def is_relevant(event: LogEvent) -> bool:
@@ -31,7 +31,7 @@
     if event.get("log_namespace") != ACCEPT_NAMESPACE:
         return False
     text = str(event.get("log_format", ""))
-    return any(word in text for word in ACCEPT_WORDS)
+    return any(marker in text for marker in ACCEPT_MARKERS)
 
 
 @implementer(ILogObserver)
