--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def platform(tmp_path):
-    """One driver on a played platform, its list known."""
+    """One proxy process on an emulated platform, its endpoint list known."""
     held = Platform(tmp_path)
     held.configure()
     held.start()
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -1,4 +1,4 @@
-"""A small platform on loopback for the tests: scripted members, a discovery agent, and one driver process."""
+"""A small platform on loopback: scripted endpoints, a discovery agent, and one proxy process."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from sedgepitch.protocols.postgresql import codec
 
 ROOT = Path(__file__).parent.parent.parent
-WITHIN = 30.0  # s; generous, nothing waits for it unless something is broken
-SETUP = {
+TIMEOUT_S = 30.0  # generous: nothing waits that long unless something is broken
+SETTINGS = {
     "az": "a",
     "classes": [
         {"name": "look", "objectiveS": 5.0, "deadlineS": 20.0, "effect": "idempotent", "importance": 3.0},
@@ -63,11 +63,11 @@
     request_queue_size = 256
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Peers that vanish are what the tests do."""
+        """Ignore it: peers that vanish are part of the tests."""
 
 
 class EmulatedEndpoint:
-    """A member that writes what its script says for each statement, and keeps what it was sent."""
+    """An endpoint that answers each statement by its script, and keeps the statements it got."""
 
     def __init__(self, name: str, role: str) -> None:
         self.name, self.role = name, role
@@ -85,16 +85,16 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def row(self, value: bytes) -> bytes:
-        """A whole good answer."""
+        """Return a complete response of one row."""
         return codec.row_description() + codec.data_row(value) + codec.complete("SELECT 1") + self.end()
 
     def end(self) -> bytes:
-        """What stands behind every answer."""
+        """Return the messages that end every response."""
         usage = f"x0={time.time():.3f},x1={int(self.role == 'writer')},queue=0"
         return codec.parameter("server_role", self.role) + codec.parameter("usage", usage) + codec.READY
 
     def serve(self, held: socket.socket) -> None:
-        """One connection."""
+        """Serve one connection."""
         stream = held.makefile("rb")
         length = struct.unpack("!i", stream.read(4))[0]
         stream.read(length - 4)
@@ -115,33 +115,33 @@
                 return
 
     def close(self) -> None:
-        """End it."""
+        """Close it."""
         self.server.shutdown()
         self.server.server_close()
 
 
 def value_of(statement: str) -> bytes:
-    """The value that belongs to a statement."""
+    """Return the value that belongs to a statement."""
     return b"value of " + re.search(r"id=([^,]*)", statement)[1].encode()
 
 
-class Agent:
-    """The discovery agent: a watch that says what the test says."""
+class DiscoveryAgent:
+    """The discovery agent: watches that send what the test passes to `send`."""
 
     def __init__(self) -> None:
-        self.first: bytes = b""
-        self.asked: list[str] = []
+        self.first_object: bytes = b""
+        self.targets: list[str] = []
         self.watches: list[socket.socket] = []
         outer = self
 
         class Handler(socketserver.BaseRequestHandler):
             def handle(self) -> None:
                 stream = self.request.makefile("rb")
-                outer.asked.append(stream.readline().decode().split()[1])
+                outer.targets.append(stream.readline().decode().split()[1])
                 while stream.readline().strip():
                     pass
                 self.request.sendall(
-                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(outer.first)
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(outer.first_object)
                 )
                 outer.watches.append(self.request)
                 while self.request.recv(1024):
@@ -151,8 +151,8 @@
         self.port = self.server.server_address[1]
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
-    def say(self, data: bytes) -> None:
-        """Write to all watches."""
+    def send(self, data: bytes) -> None:
+        """Send to all watches."""
         for watch in list(self.watches):
             try:
                 watch.sendall(chunk(data))
@@ -160,32 +160,32 @@
                 self.watches.remove(watch)
 
     def close(self) -> None:
-        """End it."""
+        """Close it."""
         self.server.shutdown()
         self.server.server_close()
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of HTTP/1.1."""
+    """Return one chunk of HTTP/1.1."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
 class Platform:
-    """Two members, an agent and a driver."""
+    """Two endpoints, a discovery agent and a proxy process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.endpoints = [EmulatedEndpoint("s-1", "writer"), EmulatedEndpoint("s-2", "reader")]
-        self.agent = Agent()
-        self.agent.first = self.version(1)
+        self.agent = DiscoveryAgent()
+        self.agent.first_object = self.version(1)
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
         self.process: subprocess.Popen[bytes] | None = None
         self.program = "sedgepitch.node"
-        self.environment: dict[str, str] = {}  # added to the driver's
+        self.environment: dict[str, str] = {}  # added to the process's
         self.log = folder / "driver.txt"
 
     def entries(self, complete: bool = True, **changes: str) -> list[dict[str, Any]]:
-        """The members as discovery lists them; `changes` are phases by name with _ for -."""
+        """Return the endpoints as discovery lists them; `changes` are phases by name with _ for -."""
         return [
             {
                 "id": m.name,
@@ -201,11 +201,11 @@
         ]
 
     def version(self, revision: int, complete: bool = True, **changes: str) -> bytes:
-        """One line of discovery's."""
+        """Return one list version as discovery sends it."""
         told = {"revision": revision, "complete": complete, "members": self.entries(**changes)}
         return json.dumps(told).encode() + b"\n"
 
-    def configure(self, agent: Agent | None = None, **changes: Any) -> None:
+    def configure(self, agent: DiscoveryAgent | None = None, **changes: Any) -> None:
         """Write the configuration file."""
         told = {
             "name": "n1",
@@ -214,7 +214,7 @@
             "seed": "8c1f30d27a5be964",
             "limits": self.limits,
             "known": {"revision": 0, "complete": True, "members": self.entries()},
-            "settings": SETUP,
+            "settings": SETTINGS,
             **changes,
         }
         path = self.folder / "config.json"
@@ -222,7 +222,7 @@
         path.with_suffix(".new").replace(path)
 
     def start(self) -> None:
-        """Start the driver and wait until it listens."""
+        """Start the process and wait until it listens."""
         environment = {
             "PATH": os.environ["PATH"],
             "RELAY_CONFIG": str(self.folder / "config.json"),
@@ -237,27 +237,27 @@
         self.port = int(self.wait_for(r"listening address=127\.0\.0\.1:(\d+)")[1])
 
     def wait_for(self, pattern: str) -> re.Match[str]:
-        """Wait until the driver has said so."""
-        end = time.monotonic() + WITHIN
+        """Wait until a line of the log matches."""
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             if found := re.search(pattern, self.log.read_text()):
                 return found
             if self.process is not None and self.process.poll() is not None:
                 break
             time.sleep(0.02)
-        raise AssertionError(f"never said {pattern!r}: {self.log.read_text()}")
+        raise AssertionError(f"never logged {pattern!r}: {self.log.read_text()}")
 
     def client(self) -> Client:
-        """A client past its startup."""
+        """Return a client past its startup."""
         return Client(self.port)
 
     def signal(self, number: int) -> None:
-        """Send the driver a signal."""
+        """Send the process a signal."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def close(self) -> None:
-        """End all of it."""
+        """Kill the process and close everything."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
@@ -268,15 +268,15 @@
 class Client:
     """A blocking client."""
 
-    def __init__(self, port: int, greet: bool = True) -> None:
-        self.held = socket.create_connection(("127.0.0.1", port), timeout=WITHIN)
-        self.stream = self.held.makefile("rb")
-        if greet:
-            self.held.sendall(codec.startup("web", "orders"))
-            self.until_ready()
+    def __init__(self, port: int, startup: bool = True) -> None:
+        self.socket = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
+        self.stream = self.socket.makefile("rb")
+        if startup:
+            self.socket.sendall(codec.startup("web", "orders"))
+            self.read_until_ready()
 
-    def until_ready(self) -> list[tuple[bytes, bytes]]:
-        """All messages up to the next that says ready, or to the end."""
+    def read_until_ready(self) -> list[tuple[bytes, bytes]]:
+        """Return the messages up to the next ReadyForQuery, or to the end."""
         found = []
         while head := self.stream.read(5):
             body = self.stream.read(struct.unpack("!i", head[1:])[0] - 4)
@@ -285,10 +285,10 @@
                 break
         return found
 
-    def ask(self, statement: bytes) -> tuple[str, Any]:
-        """One statement: ('value', bytes) or ('error', fields)."""
-        self.held.sendall(codec.query(statement))
-        for kind, raw in self.until_ready():
+    def query(self, statement: bytes) -> tuple[str, Any]:
+        """Send one statement; return ("value", bytes), ("error", fields) or ("closed", None)."""
+        self.socket.sendall(codec.query(statement))
+        for kind, raw in self.read_until_ready():
             if kind == b"D":
                 return "value", codec.one_value(raw)
             if kind == b"E":
@@ -296,20 +296,20 @@
         return "closed", None
 
     def close(self) -> None:
-        """End it."""
+        """Close it."""
         self.stream.close()
-        self.held.close()
+        self.socket.close()
 
 
-def look(number: int, d: int = 15000) -> bytes:
-    """A read."""
+def read_statement(number: int, d: int = 15000) -> bytes:
+    """Return a read."""
     return (
         f"SELECT payload FROM entries WHERE ref = '7f3a' /* id={number:x},c=look,d={d},cluster=1 */".encode()
     )
 
 
-def change(number: int, d: int = 15000) -> bytes:
-    """A write."""
+def write_statement(number: int, d: int = 15000) -> bytes:
+    """Return a write."""
     return (
         "INSERT INTO entries (ref, payload) VALUES ('7f3a', '\\x9f03') RETURNING payload "
         f"/* id={number:x},c=change,d={d},k=5c0f{number:x},cluster=1 */"
--- a/tests/test_arrival_stamps.py
+++ b/tests/test_arrival_stamps.py
@@ -26,7 +26,7 @@
 
 
 @given(EVENTS, st.integers(0, 40), st.floats(-3600.0, 3600.0))
-def test_whatever_the_clock_does_nothing_is_taken_for_older_than_it_is(events, when, step):
+def test_no_clock_step_makes_bytes_look_older_than_they_are(events, when, step):
     """One step anywhere among reads; slewing as fast as the system does it."""
     timestamps, now, ahead, lying = ReceiveTimestamps(), 100.0, 1e9, []
     timestamps.arrival_time(now + ahead, now + ahead, now)
@@ -49,7 +49,7 @@
                 assert told <= came + 0.06
 
 
-def test_a_step_of_the_clock_while_bytes_lie_unread_is_seen_and_lateness_is_known_again_after_it():
+def test_a_clock_step_while_bytes_lie_unread_is_detected_once():
     timestamps = ReceiveTimestamps()
     assert timestamps.arrival_time(1005.0, 1005.2, 5.2) == pytest.approx(5.0)
     assert timestamps.arrival_time(1005.3, 4605.5, 5.5) == pytest.approx(5.3)  # an hour ahead meanwhile
@@ -59,7 +59,7 @@
     assert timestamps.arrival_time(4517.0, 4517.2, 7.4) == pytest.approx(7.2)
 
 
-def test_a_request_that_lay_unread_while_the_clock_was_set_ahead_has_not_waited_for_it(monkeypatch):
+def test_a_clock_step_adds_nothing_to_the_wait_of_an_unread_request(monkeypatch):
     monkeypatch.setattr(transport, "_timestamps", ReceiveTimestamps())
     server = socket.create_server(("127.0.0.1", 0))
     theirs = socket.create_connection(server.getsockname())
@@ -86,7 +86,7 @@
 
 
 @given(st.lists(st.sampled_from([0.0, 1e-7, 0.004, 0.5]), min_size=15, max_size=15))
-def test_a_process_kept_from_running_at_its_start_takes_no_position_for_newer_than_it_is(stops):
+def test_a_process_suspended_at_its_start_takes_no_position_for_newer_than_it_is(stops):
     """Stops before each look at a clock; by the shortest of five looks at most too old, never too new."""
     now, left = [50.0], list(stops)
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Nothing grows with fresh ids, and discovery's odd moments: silence, a moved member, a line cut in two."""
+"""Nothing grows with new ids; discovery's silence, a moved endpoint, an object cut in two."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sedgepitch.decisions.discovery import watch_streams
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState
-from tests.support.platform import WITHIN, EmulatedEndpoint, Platform, look
+from tests.support.platform import TIMEOUT_S, EmulatedEndpoint, Platform, read_statement
 from tests.support.postgresql_harness import Stage, read, write
 from tests.support.router_harness import Rig, entry, sends
 
@@ -31,7 +31,7 @@
     return total + sum(sizes(part, seen, depth - 1) for part in parts)
 
 
-def test_fresh_ids_and_sessions_by_the_hundred_thousand_leave_nothing_in_the_module():
+def test_a_hundred_thousand_ids_and_sessions_leave_nothing_in_the_router():
     rig = Rig()
     names = ("any", "session", "bounded", "write", "fresh")
     marks = []
@@ -57,7 +57,7 @@
     assert marks[2] <= marks[0] * 1.1 + 50, marks
 
 
-def test_members_replaced_without_end_are_forgotten_by_the_module():
+def test_endpoints_replaced_without_end_are_forgotten_by_the_router():
     rig = Rig()
     marks = []
     for number in range(1, 2_000):
@@ -75,7 +75,7 @@
     assert marks[-1] <= marks[0] + 5 and len(rig.router.groups[1].order) <= marks[0] + 5
 
 
-def test_fresh_ids_keys_and_connections_by_the_ten_thousand_leave_nothing_in_the_front():
+def test_thousands_of_ids_keys_and_connections_leave_nothing_on_the_client_side():
     stage = Stage()
     connection, wire = stage.client()
     marks = []
@@ -96,7 +96,7 @@
     assert marks[1] <= marks[0] * 1.1 + 50, marks
 
 
-def test_a_watch_that_says_nothing_is_left_and_the_list_serves_on(tmp_path):
+def test_a_silent_watch_is_replaced_and_the_list_stays_in_force(tmp_path):
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
@@ -104,16 +104,16 @@
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
         platform.wait_for("discovery.lost reason=discovery is silent")  # no empty line each 2 s comes
-        assert client.ask(look(1)) == ("value", b"value of 1")
-        end = time.monotonic() + WITHIN
-        while len(platform.agent.asked) < 2 and time.monotonic() < end:
+        assert client.query(read_statement(1)) == ("value", b"value of 1")
+        end = time.monotonic() + TIMEOUT_S
+        while len(platform.agent.targets) < 2 and time.monotonic() < end:
             time.sleep(0.02)
-        assert platform.agent.asked[1].endswith("index=1")
+        assert platform.agent.targets[1].endswith("index=1")
     finally:
         platform.close()
 
 
-def test_a_member_that_moved_under_its_id_is_spoken_to_at_its_new_address(tmp_path):
+def test_an_endpoint_that_moved_under_its_id_is_used_at_its_new_address(tmp_path):
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
@@ -122,47 +122,47 @@
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
         for number in range(1, 12):
-            assert client.ask(look(number))[0] == "value"
+            assert client.query(read_statement(number))[0] == "value"
         assert old.statements
         moved = platform.endpoints[1] = EmulatedEndpoint("s-2", "reader")
-        platform.agent.say(platform.version(2, complete=False))
+        platform.agent.send(platform.version(2, complete=False))
         platform.wait_for("endpoint_list.updated revision=2")
         before = len(old.statements)
         for number in range(20, 60):
-            assert client.ask(look(number))[0] == "value"
+            assert client.query(read_statement(number))[0] == "value"
         assert moved.statements and len(old.statements) == before
     finally:
         platform.close()
         old.close()
 
 
-def test_a_watch_cut_within_a_line_takes_nothing_of_it_and_asks_from_its_version(tmp_path):
+def test_a_watch_cut_within_an_object_applies_nothing_of_it_and_resumes_from_its_revision(tmp_path):
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
     try:
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         whole = platform.version(2, complete=False, s_2="draining")
-        platform.agent.first = platform.version(3, complete=False, s_2="draining")
-        platform.agent.say(whole[: len(whole) // 2])
+        platform.agent.first_object = platform.version(3, complete=False, s_2="draining")
+        platform.agent.send(whole[: len(whole) // 2])
         watch = platform.agent.watches[0]
         time.sleep(0.2)
         platform.agent.server.shutdown_request(watch)
         platform.wait_for("endpoint_list.updated revision=3")
         assert "revision=2" not in platform.log.read_text()
-        assert platform.agent.asked[1].endswith("index=1")
+        assert platform.agent.targets[1].endswith("index=1")
         client = platform.client()
         before = len(platform.endpoints[1].statements)
         for number in range(1, 20):
-            assert client.ask(look(number))[0] == "value"
+            assert client.query(read_statement(number))[0] == "value"
         assert len(platform.endpoints[1].statements) == before
         platform.signal(signal.SIGTERM)
-        assert platform.process.wait(timeout=WITHIN) == 0
+        assert platform.process.wait(timeout=TIMEOUT_S) == 0
     finally:
         platform.close()
 
 
-def test_a_silence_is_longer_than_a_beat_and_two_more_watches_are_asked_before_it_counts_as_told():
+def test_two_more_streams_are_tried_before_a_silence_counts_as_notified():
     assert watch_streams.HEARTBEAT_TIMEOUT_S > 1.25 * watch_streams.HEARTBEAT_INTERVAL_S
     # The platform counts a change as notified after 6 s.
     assert watch_streams.HEARTBEAT_TIMEOUT_S + 2.0 * watch_streams.RESPONSE_TIMEOUT_S < 6.0
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -1,4 +1,4 @@
-"""The list of members: versions, numbers for names, what is forgotten, and the account of descriptors."""
+"""Endpoint list versions: what applies, ids for names, what is forgotten; and the descriptor budget."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return ListVersion(revision, complete, entries)
 
 
-def test_changes_count_once_and_a_whole_list_always():
+def test_a_change_applies_once_and_a_complete_list_always():
     held = EndpointListVersions()
     assert held.apply(version(5, True, entry("a"))).complete
     assert held.apply(version(5, False, entry("b"))) is None
@@ -33,11 +33,11 @@
 
 
 def told(held: EndpointListVersions, *args) -> dict[str, EndpointState]:
-    """What the module hears, by name."""
+    """Return the states of the update for the router, by name."""
     return {held.names[x.endpoint]: x.state for x in held.apply(version(*args)).entries}
 
 
-def test_a_list_that_lags_behind_does_not_take_back_what_was_told_ending():
+def test_an_older_complete_list_does_not_take_back_a_drain():
     held = EndpointListVersions()
     held.apply(version(1, True, entry("a"), entry("b")))
     held.apply(version(7, False, entry("a", EndpointState.DRAINING)))
@@ -45,7 +45,7 @@
     assert told(held, 6, False, entry("a")) == {"a": EndpointState.UP}, "a change names it"
 
 
-def test_a_member_that_started_again_is_up_whatever_version_says_so():
+def test_a_restarted_endpoint_is_up_whatever_the_revision():
     held = EndpointListVersions()
     held.apply(version(7, True, entry("a", EndpointState.DRAINING)))
     again = DiscoveredEndpoint("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
@@ -53,19 +53,19 @@
     assert not held.departing
 
 
-def test_a_later_whole_list_is_taken_as_it_is():
+def test_a_newer_complete_list_is_applied_as_it_is():
     held = EndpointListVersions()
     held.apply(version(7, True, entry("a", EndpointState.DRAINING)))
     assert told(held, 8, True, entry("a")) == {"a": EndpointState.UP}
 
 
-def test_a_remembered_list_gives_members_but_no_version():
+def test_a_cached_list_gives_endpoints_but_no_revision():
     held = EndpointListVersions()
     assert held.apply(version(41, True, entry("a")), cached=True).remembered
     assert held.revision == 0
 
 
-def test_a_name_keeps_its_number_and_takes_its_new_address():
+def test_a_name_keeps_its_id_and_gets_its_new_address():
     held, other = EndpointListVersions(), EndpointListVersions()
     first = held.apply(version(1, True, entry("a", port=1))).entries[0].endpoint
     again = held.apply(version(2, False, entry("a", port=2))).entries[0].endpoint
@@ -73,7 +73,7 @@
     assert held.addresses[first] == ("127.0.0.1", 2)
 
 
-def test_what_is_gone_is_forgotten_and_what_is_listed_is_not():
+def test_a_removed_endpoint_is_forgotten_and_a_listed_one_is_not():
     held = EndpointListVersions()
     number = held.apply(version(1, True, entry("a"))).entries[0].endpoint
     held.forget(number)
@@ -110,7 +110,7 @@
 }
 
 
-def test_an_object_is_read_into_the_drivers_units():
+def test_an_object_is_translated_into_the_proxys_units():
     told = read_version(GOOD, unix_offset=1_000_000.0)
     (one,) = told.entries
     assert (told.revision, told.complete) == (43, False)
@@ -142,7 +142,7 @@
         broken(cell=None),
     ],
 )
-def test_what_is_no_list_is_an_error_that_names_the_place(raw):
+def test_a_malformed_list_is_an_error_that_names_the_place(raw):
     with pytest.raises(MalformedListError, match="discovery"):
         read_version(raw, 0.0)
 
@@ -163,7 +163,7 @@
         pass
 
 
-def test_clients_cannot_take_the_room_that_members_need():
+def test_clients_cannot_use_up_the_descriptors_of_endpoints():
     account = DescriptorBudget(256)
     came = [account.client_accepted() for _ in range(500)]
     assert came.count(True) == account.max_clients
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""A listener whose calls fail: nothing that waits in its backlog is closed, or forgotten at its end."""
+"""A listener whose calls fail: nothing in its backlog is closed or forgotten."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reactor(Clock):
-    """Time, and who is read."""
+    """A clock, and the set of readers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -89,18 +89,18 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENOBUFS, errno.EAGAIN], ids=errno.errorcode.get)
-def test_accepting_all_is_not_done_while_somebody_waits(stage, error):
+def test_accept_all_is_not_done_while_the_backlog_waits(stage, error):
     held = stage(3, [error])
     assert not held.port.accept_all() and held.accepted() == 0
     assert held.port.accept_all() and held.accepted() == 3
 
 
-def test_accepting_all_ends_where_every_call_fails(stage):
+def test_accept_all_returns_if_every_call_fails(stage):
     held = stage(1, [errno.ECONNABORTED] * 1000)
     assert not held.port.accept_all() and held.accepted() == 0
 
 
-def test_a_shortage_pauses_the_listener_and_it_goes_on(stage):
+def test_a_shortage_pauses_the_listener_for_a_while(stage):
     held = stage(2, [errno.EMFILE])
     freed = []
     held.port.on_descriptors_out = freed.append
@@ -113,13 +113,13 @@
     assert held.accepted() == 2
 
 
-def test_one_connections_failure_leaves_the_others_to_the_same_turn(stage):
+def test_after_one_connections_failure_the_others_are_accepted_in_the_same_turn(stage):
     held = stage(2, [errno.ECONNABORTED, errno.EPROTO])
     held.port.doRead()
     assert held.accepted() == 2 and held.port in held.reactor.readers
 
 
-def test_an_accepted_connection_that_cannot_be_set_up_is_kept_and_tried_again(stage, monkeypatch):
+def test_an_accepted_connection_that_cannot_be_set_up_is_retried(stage, monkeypatch):
     held = stage(1, [])
     failures = [OSError(errno.ENOMEM, "no memory")] * 2
     whole = held.port.transport
@@ -136,7 +136,7 @@
     assert held.accepted() == 1 and held.port.accept_all()
 
 
-def test_an_accepted_connection_that_can_never_be_set_up_is_closed_in_the_end(stage, monkeypatch):
+def test_an_accepted_connection_that_can_never_be_set_up_is_closed(stage, monkeypatch):
     held = stage(1, [])
 
     def transport(*args):
@@ -148,7 +148,7 @@
     assert len(held.problems) == SET_UP_ATTEMPTS and held.clients[0].recv(1) == b""
 
 
-def test_a_protocol_that_raises_ends_its_connection_and_not_the_listener(stage, monkeypatch):
+def test_a_protocol_that_raises_loses_its_connection_and_not_the_listener(stage, monkeypatch):
     held = stage(2, [])
     told = []
     monkeypatch.setattr(listening.log, "err", lambda *args: told.append(args))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""One driver process on the platform's sockets, between scripted members and a scripted discovery agent."""
+"""One proxy process on the platform's sockets, between scripted endpoints and a scripted discovery agent."""
 
 from __future__ import annotations
 
@@ -13,22 +13,30 @@
 import pytest
 
 from sedgepitch.protocols.postgresql import codec
-from tests.support.platform import ROOT, WITHIN, Agent, Client, change, look, value_of
+from tests.support.platform import (
+    ROOT,
+    TIMEOUT_S,
+    Client,
+    DiscoveryAgent,
+    read_statement,
+    value_of,
+    write_statement,
+)
 
 
-def test_reads_and_writes_go_through_and_statements_arrive_unchanged_but_for_d(platform):
+def test_reads_and_writes_are_served_and_statements_forwarded_unchanged_but_for_d(platform):
     client = platform.client()
-    assert client.ask(b"") == ("closed", None)  # an empty query has no row
-    assert client.ask(look(0x1A)) == ("value", b"value of 1a")
-    assert client.ask(change(0x2B)) == ("value", b"value of 2b")
+    assert client.query(b"") == ("closed", None)  # an empty query has no row
+    assert client.query(read_statement(0x1A)) == ("value", b"value of 1a")
+    assert client.query(write_statement(0x2B)) == ("value", b"value of 2b")
     writer, reader = platform.endpoints
     (write,) = [s for s in writer.statements if s.startswith("INSERT")]
     digits = re.search(r",d=(\d+)", write)[1]
-    assert write == change(0x2B).decode().replace("d=15000", f"d={digits}") and int(digits) <= 15000
+    assert write == write_statement(0x2B).decode().replace("d=15000", f"d={digits}") and int(digits) <= 15000
     assert not any(s.startswith("INSERT") for s in reader.statements)
 
 
-def test_a_spoilt_answer_is_never_passed_on_and_the_read_is_tried_elsewhere(platform):
+def test_a_malformed_response_is_never_forwarded_and_the_read_is_retried_elsewhere(platform):
     spoilt = codec.row_description() + struct.pack("!ci", b"D", 2**31 - 1) + b"x" * 1000
     for endpoint in platform.endpoints:
         endpoint.script = (
@@ -36,121 +44,121 @@
         )
     client = platform.client()
     for number in range(1, 30):
-        assert client.ask(look(number)) == ("value", f"value of {number:x}".encode())
+        assert client.query(read_statement(number)) == ("value", f"value of {number:x}".encode())
 
 
-def test_a_member_that_hangs_up_under_a_keyed_write_gets_it_again(platform):
+def test_a_keyed_write_is_retried_after_its_endpoint_closed_the_connection(platform):
     writer = platform.endpoints[0]
     writer.script = (
         lambda s: b"HANG UP" if len([x for x in writer.statements if "INSERT" in x]) == 1 else None
     )
-    kind, told = platform.client().ask(change(5))
+    kind, told = platform.client().query(write_statement(5))
     writes = [s for s in writer.statements if "INSERT" in s]
     assert (kind, told) == ("value", b"value of 5") or (kind == "error" and told["C"] != "53300")
     assert 1 <= len(writes) <= 6 and len({re.search(r"k=\w+", s)[0] for s in writes}) == 1
 
 
-def test_dirt_behind_an_answer_never_becomes_the_next_answer(platform):
+def test_bytes_behind_a_response_never_become_the_next_response(platform):
     for endpoint in platform.endpoints:
         endpoint.script = lambda s, m=endpoint: m.row(value_of(s)) + m.row(b"not asked for")
     client = platform.client()
     for number in range(1, 40):
-        assert client.ask(look(number)) == ("value", f"value of {number:x}".encode())
+        assert client.query(read_statement(number)) == ("value", f"value of {number:x}".encode())
 
 
-def test_bad_clients_get_an_error_or_a_close_and_members_nothing_of_it(platform):
+def test_misbehaving_clients_get_an_error_or_a_close_and_endpoints_nothing_of_it(platform):
     sends = [
         b"GET / HTTP/1.1\r\n\r\n",
         struct.pack("!ii", 2**31 - 1, 196608),
         codec.startup("web", "orders") + struct.pack("!ci", b"Q", 60_000_000) + b"x" * 100_000,
         codec.startup("web", "orders") + codec.message(b"P", b"\0select 1\0\0\0"),
         codec.startup("web", "orders") + 50 * codec.query(b"SELECT 1"),
-        codec.startup("web", "orders") + codec.query(look(1).replace(b"d=15000", b"d=nan")),
-        codec.startup("web", "orders") + codec.query(look(1))[:-9],
+        codec.startup("web", "orders") + codec.query(read_statement(1).replace(b"d=15000", b"d=nan")),
+        codec.startup("web", "orders") + codec.query(read_statement(1))[:-9],
         b"",
     ]
-    bad = [Client(platform.port, greet=False) for _ in sends]
+    bad = [Client(platform.port, startup=False) for _ in sends]
     for client, data in zip(bad, sends, strict=True):
         try:
-            client.held.sendall(data)
+            client.socket.sendall(data)
         except ConnectionError:
             pass  # closed already, which is an answer
     for client in bad:
         told = b""
         try:
-            while b"E\0" not in told and (more := client.held.recv(65536)):
+            while b"E\0" not in told and (more := client.socket.recv(65536)):
                 told += more
         except ConnectionError:
             pass
         client.close()
-    assert platform.client().ask(look(7)) == ("value", b"value of 7")
+    assert platform.client().query(read_statement(7)) == ("value", b"value of 7")
     assert {s.split("id=")[1][0] for m in platform.endpoints for s in m.statements} == {"7"}
 
 
-def test_hundreds_of_silent_connections_leave_room_and_go(platform):
-    silent = [Client(platform.port, greet=False) for _ in range(300)]
-    assert platform.client().ask(look(3)) == ("value", b"value of 3")
+def test_hundreds_of_silent_connections_keep_no_client_out_and_are_closed(platform):
+    silent = [Client(platform.port, startup=False) for _ in range(300)]
+    assert platform.client().query(read_statement(3)) == ("value", b"value of 3")
     for client in silent:
         try:
-            while client.held.recv(4096):
+            while client.socket.recv(4096):
                 pass
         except ConnectionError:
             pass
         client.close()
 
 
-def test_a_drained_member_gets_nothing_more_and_the_watch_goes_on_from_its_version(platform):
+def test_a_draining_endpoint_gets_no_request_and_the_watch_resumes_from_its_revision(platform):
     client, (writer, reader) = platform.client(), platform.endpoints
-    platform.agent.say(platform.version(2, complete=False, s_2="draining"))
+    platform.agent.send(platform.version(2, complete=False, s_2="draining"))
     platform.wait_for("endpoint_list.updated revision=2")
     before = len(reader.statements)
     for number in range(1, 20):
-        assert client.ask(look(number))[0] == "value"
+        assert client.query(read_statement(number))[0] == "value"
     assert len(reader.statements) == before and writer.statements
     platform.agent.watches[0].close()
     platform.agent.server.shutdown_request(platform.agent.watches[0])
-    end = time.monotonic() + WITHIN
-    while len(platform.agent.asked) < 2 and time.monotonic() < end:
+    end = time.monotonic() + TIMEOUT_S
+    while len(platform.agent.targets) < 2 and time.monotonic() < end:
         time.sleep(0.02)
-    assert platform.agent.asked[-1].endswith("index=2")
+    assert platform.agent.targets[-1].endswith("index=2")
 
 
 @pytest.mark.parametrize("noise", [b"not json\n", b'{"revision": "x"}\n', b"[]\n"])
-def test_discovery_that_talks_nonsense_is_asked_afresh(platform, noise):
-    platform.agent.say(noise)
+def test_the_complete_list_is_requested_after_a_malformed_object(platform, noise):
+    platform.agent.send(noise)
     platform.wait_for("discovery.lost reason=discovery")
-    end = time.monotonic() + WITHIN
-    while len(platform.agent.asked) < 2 and time.monotonic() < end:
+    end = time.monotonic() + TIMEOUT_S
+    while len(platform.agent.targets) < 2 and time.monotonic() < end:
         time.sleep(0.02)
-    assert platform.agent.asked[-1].endswith("index=0")
-    assert platform.client().ask(look(9)) == ("value", b"value of 9")
+    assert platform.agent.targets[-1].endswith("index=0")
+    assert platform.client().query(read_statement(9)) == ("value", b"value of 9")
 
 
-def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(platform):
+def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(platform):
     (platform.folder / "config.json").write_text("{")
     platform.signal(signal.SIGHUP)
     platform.wait_for("config.invalid reason=the file is not JSON active=previous")
-    other = Agent()
-    other.first = platform.version(7)
+    other = DiscoveryAgent()
+    other.first_object = platform.version(7)
     platform.configure(other)
     platform.signal(signal.SIGHUP)
     platform.wait_for("endpoint_list.updated revision=7")
-    assert other.asked[0].endswith("index=1")
-    assert platform.client().ask(look(4)) == ("value", b"value of 4")
+    assert other.targets[0].endswith("index=1")
+    assert platform.client().query(read_statement(4)) == ("value", b"value of 4")
     other.close()
 
 
-def test_sigterm_answers_what_was_taken_serves_what_still_comes_and_exits(platform):
+def test_sigterm_answers_pending_requests_serves_new_connections_and_exits(platform):
     for endpoint in platform.endpoints:
         endpoint.script = lambda s: time.sleep(0.3)
     held = platform.client()
-    held.held.sendall(codec.query(look(1)))
+    held.socket.sendall(codec.query(read_statement(1)))
     platform.signal(signal.SIGTERM)
     platform.wait_for("stopping")
     late = platform.client()
-    assert late.ask(look(2)) == ("value", b"value of 2")
-    assert any(kind == b"D" for kind, _ in held.until_ready())
-    assert platform.process.wait(timeout=WITHIN) == 0
+    assert late.query(read_statement(2)) == ("value", b"value of 2")
+    assert any(kind == b"D" for kind, _ in held.read_until_ready())
+    assert platform.process.wait(timeout=TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize(
@@ -163,7 +171,7 @@
         ('{"settings": {}, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}', "classes"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_one_line(tmp_path, config, place):
+def test_an_invalid_configuration_is_one_line_that_names_the_place(tmp_path, config, place):
     environment = {"PYTHONPATH": str(ROOT), "PATH": ""}
     if config is not None:
         (tmp_path / "c.json").write_text(config)
@@ -174,7 +182,7 @@
     assert ran.returncode == 2 and ran.stderr.count("\n") == 1 and place in ran.stderr
 
 
-def test_the_driver_imports_only_what_it_has_room_for():
+def test_the_program_imports_nothing_heavy():
     code = (
         "import sys, json; import sedgepitch.node.__main__ as m; m.install_reactor();"
         "import sedgepitch.node.proxy; print(json.dumps(sorted(sys.modules)))"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from sedgepitch.node.config import NodeConfigError, parse
 from sedgepitch.routing import messages as api
 from sedgepitch.settings import BadSettings, translate_settings
-from tests.support.platform import SETUP
+from tests.support.platform import SETTINGS
 
 BAD = [
     (("classes", 0, "deadlineS"), -1, "setup.classes[0]: field 'deadlineS'"),
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize(("path", "value", "says"), BAD)
 def test_a_wrong_setting_is_one_line_with_its_place(path, value, says):
-    settings = copy.deepcopy(SETUP)
+    settings = copy.deepcopy(SETTINGS)
     part = settings
     for step in path[:-1]:
         part = part[step]
@@ -51,7 +51,7 @@
 
 
 def test_what_is_missing_or_null_has_its_default_and_unknown_words_are_the_strictest():
-    settings = copy.deepcopy(SETUP)
+    settings = copy.deepcopy(SETTINGS)
     settings["limits"] = {"mostTries": None, "idleCloseS": 0}
     settings["rules"] = settings["stats"] = None
     settings["specifics"] |= {"behind": "somehow", "sessionMarks": None}
@@ -68,7 +68,7 @@
 
 
 def test_an_effect_and_a_freshness_are_read_each_by_itself():
-    settings = copy.deepcopy(SETUP)
+    settings = copy.deepcopy(SETTINGS)
     settings["classes"][0]["effect"] = "at_most_once"
     settings["classes"][1]["effect"] = "idempotent"
     read, write = translate_settings(settings).classes
--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment under one driver process: no request that was taken goes unanswered.
+"""System calls of one proxy process that fail for a moment: no request that it took goes unanswered.
 
 Order is forced, never timed: the process is suspended while clients connect and send, a rule is armed, and
 the process goes on; the rule's hits show that the fault met what it was meant for.
@@ -18,7 +18,7 @@
 
 from sedgepitch.protocols.postgresql import codec
 from sedgepitch.protocols.postgresql.client import LEFT_AFTER
-from tests.support.platform import WITHIN, Client, Platform, look
+from tests.support.platform import TIMEOUT_S, Client, Platform, read_statement
 from tests.support.syscall_faults import UNBOUNDED, Call, Kind, Rule, SystemCallFaults, name_of
 
 CLIENTS = 5
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def faulty(tmp_path, faults):
-    """One driver on a played platform whose system calls the test can fault."""
+    """One proxy process on an emulated platform whose system calls the test can fault."""
     held = Platform(tmp_path)
     held.environment = faults.environment
     held.configure()
@@ -54,7 +54,7 @@
 def suspend(platform: Platform) -> None:
     """Stop the process and wait until it stands."""
     platform.signal(signal.SIGSTOP)
-    end = time.monotonic() + WITHIN
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         with open(f"/proc/{platform.process.pid}/stat") as stat:
             if stat.read().rpartition(")")[2].split()[0] == "T":
@@ -69,16 +69,16 @@
 
 def waiting_client(platform: Platform, number: int) -> Client:
     """A client whose connection waits in the backlog, its startup and first request sent."""
-    client = Client(platform.port, greet=False)
-    client.held.sendall(codec.startup("web", "orders") + codec.query(look(number)))
+    client = Client(platform.port, startup=False)
+    client.socket.sendall(codec.startup("web", "orders") + codec.query(read_statement(number)))
     return client
 
 
 def answer_of(client: Client) -> tuple[str, object]:
     """The answer to the one request of a `waiting_client`; ("closed", ...) where the connection ended."""
     try:
-        client.until_ready()
-        for kind, raw in client.until_ready():
+        client.read_until_ready()
+        for kind, raw in client.read_until_ready():
             if kind == b"D":
                 return "value", codec.one_value(raw)
             if kind == b"E":
@@ -116,12 +116,12 @@
 
 
 @pytest.mark.parametrize("idle_clients", [0, 12])
-def test_a_client_is_served_though_the_process_has_no_descriptor_left(faulty, idle_clients):
+def test_clients_are_answered_though_no_descriptor_is_left(faulty, idle_clients):
     first = faulty.client()
-    assert first.ask(look(1)) == value(1)  # leaves an idle connection to a server
+    assert first.query(read_statement(1)) == value(1)  # leaves an idle connection to a server
     kept = [faulty.client() for _ in range(idle_clients)]
     for number, client in enumerate(kept, 10):
-        assert client.ask(look(number)) == value(number)
+        assert client.query(read_statement(number)) == value(number)
     pid = faulty.process.pid
     highest = max(int(name) for name in os.listdir(f"/proc/{pid}/fd"))
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (highest + 1, highest + 1))
@@ -135,20 +135,20 @@
 # Time that a request waits in the backlog is the client's time
 
 
-def test_a_request_whose_time_is_over_in_the_backlog_is_answered_and_sent_to_no_server(faulty):
+def test_a_request_whose_deadline_passed_in_the_backlog_is_answered_and_not_forwarded(faulty):
     suspend(faulty)
-    client = Client(faulty.port, greet=False)
-    client.held.sendall(codec.startup("web", "orders") + codec.query(look(1, d=1000)))
+    client = Client(faulty.port, startup=False)
+    client.socket.sendall(codec.startup("web", "orders") + codec.query(read_statement(1, d=1000)))
     time.sleep(1.2)  # more is fine: its time is over by then
     resume(faulty)
     assert answer_of(client)[0] == "error"
     assert not [text for endpoint in faulty.endpoints for text in endpoint.statements]
 
 
-def test_a_server_is_told_only_what_is_left_after_the_wait_in_the_backlog(faulty):
+def test_the_wait_in_the_backlog_is_taken_from_the_forwarded_deadline(faulty):
     suspend(faulty)
-    client = Client(faulty.port, greet=False)
-    client.held.sendall(codec.startup("web", "orders") + codec.query(look(1, d=15000)))
+    client = Client(faulty.port, startup=False)
+    client.socket.sendall(codec.startup("web", "orders") + codec.query(read_statement(1, d=15000)))
     time.sleep(1.0)  # more is fine: less is left then
     resume(faulty)
     assert answer_of(client) == value(1)
@@ -173,7 +173,7 @@
 def test_a_read_from_a_client_that_fails_for_a_moment_loses_no_request(faulty, faults, error):
     client = faulty.client()
     rule = faults.arm(Rule(Call.READ, Kind.ACCEPTED, error, times=3))
-    assert client.ask(look(1)) == value(1)
+    assert client.query(read_statement(1)) == value(1)
     assert faults.hits(rule) == 3
 
 
@@ -181,17 +181,17 @@
 def test_a_write_to_a_client_that_fails_for_a_moment_loses_no_answer(faulty, faults, error):
     client = faulty.client()
     rule = faults.arm(Rule(Call.WRITE, Kind.ACCEPTED, error, times=3))
-    assert client.ask(look(1)) == value(1)
+    assert client.query(read_statement(1)) == value(1)
     assert faults.hits(rule) == 3
 
 
 @pytest.mark.parametrize("call", [Call.READ, Call.WRITE], ids=lambda call: call.name.lower())
 @pytest.mark.parametrize("kind", [Kind.ACCEPTED, Kind.OPENED], ids=lambda kind: kind.name.lower())
-def test_short_counts_down_to_one_byte_change_no_answer(faulty, faults, call, kind):
+def test_partial_reads_and_writes_down_to_one_byte_change_no_answer(faulty, faults, call, kind):
     rule = faults.arm(Rule(call, kind, byte_limit=1, times=UNBOUNDED))
     client = faulty.client()
     for number in range(1, 4):
-        assert client.ask(look(number)) == value(number)
+        assert client.query(read_statement(number)) == value(number)
     assert faults.hits(rule) > 10
 
 
@@ -219,22 +219,20 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM], ids=name_of)
-def test_a_late_request_is_answered_though_the_look_at_its_client_fails(faulty, faults, error):
+def test_a_late_request_is_answered_though_polling_its_client_fails(faulty, faults, error):
     client = faulty.client()
     suspend(faulty)
-    client.held.sendall(codec.query(look(1)))
+    client.socket.sendall(codec.query(read_statement(1)))
     time.sleep(2 * LEFT_AFTER)  # so that it is read late, which has the client looked at
     rule = faults.arm(Rule(Call.POLL, error=error))
     resume(faulty)
-    messages = client.until_ready()
+    messages = client.read_until_ready()
     assert faults.hits(rule) == 1
     assert [codec.one_value(raw) for kind, raw in messages if kind == b"D"] == [value(1)[1]]
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EAGAIN], ids=name_of)
-def test_what_waits_in_the_backlog_is_answered_though_accept_fails_while_the_process_shuts_down(
-    faulty, faults, error
-):
+def test_the_backlog_is_answered_though_accept_fails_during_a_shutdown(faulty, faults, error):
     suspend(faulty)
     clients = [waiting_client(faulty, number) for number in range(1, CLIENTS + 1)]
     rule = faults.arm(Rule(Call.ACCEPT, Kind.LISTENER, error, times=3))
@@ -246,15 +244,15 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE], ids=name_of)
-def test_a_shutdown_answers_and_ends_though_accept_never_works_again(faulty, faults, error):
+def test_a_shutdown_ends_though_accept_never_works_again(faulty, faults, error):
     held = faulty.client()
     faults.arm(Rule(Call.ACCEPT, Kind.LISTENER, error, times=UNBOUNDED))
-    waiting = Client(faulty.port, greet=False)
+    waiting = Client(faulty.port, startup=False)
     faulty.signal(signal.SIGTERM)
     faulty.wait_for("stopping")
-    assert held.ask(look(1)) == value(1)
+    assert held.query(read_statement(1)) == value(1)
     held.close()
-    assert faulty.process.wait(timeout=WITHIN) == 0
+    assert faulty.process.wait(timeout=TIMEOUT_S) == 0
     waiting.close()
 
 
@@ -276,7 +274,7 @@
 ):
     rule = faults.arm(Rule(call, error=error))
     client = faulty.client()
-    assert client.ask(look(1)) == value(1)
+    assert client.query(read_statement(1)) == value(1)
     assert faults.hits(rule) <= 1
 
 
@@ -303,24 +301,24 @@
     rule = faults.arm(Rule(call, error=error, times=3))
     starting.start()
     assert faults.hits(rule) == 3
-    assert starting.client().ask(look(1)) == value(1)
+    assert starting.client().query(read_statement(1)) == value(1)
 
 
-def test_a_process_whose_address_stays_taken_says_so_and_ends_with_an_exit_code(starting):
+def test_an_address_that_stays_in_use_is_logged_and_ends_with_an_exit_code(starting):
     taken = socket.create_server(("127.0.0.1", 0))
     starting.configure(listen=f"127.0.0.1:{taken.getsockname()[1]}")
     with pytest.raises(AssertionError, match=r"listen.failed"):
         starting.start()
-    assert starting.process.wait(timeout=WITHIN) == 1
+    assert starting.process.wait(timeout=TIMEOUT_S) == 1
     assert "Traceback" not in starting.log.read_text()
     taken.close()
 
 
-def test_a_connection_whose_reads_keep_failing_is_ended_with_its_cause_in_the_log(faulty, faults):
+def test_a_connection_whose_reads_keep_failing_is_closed_and_its_cause_logged(faulty, faults):
     client = faulty.client()
     rule = faults.arm(Rule(Call.READ, Kind.ACCEPTED, errno.ETIMEDOUT, times=UNBOUNDED))
-    assert client.ask(look(1)) == ("closed", None)
+    assert client.query(read_statement(1)) == ("closed", None)
     faults.disarm(rule)
     line = faulty.wait_for(r"client\.closed .*reason=connection_failed.*")[0]
     assert "Connection timed out" in line
-    assert faulty.client().ask(look(2)) == value(2)
+    assert faulty.client().query(read_statement(2)) == value(2)
--- a/tests/test_syscall_filter.py
+++ b/tests/test_syscall_filter.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.support.platform import ROOT, WITHIN, Platform, change, look
+from tests.support.platform import ROOT, TIMEOUT_S, Platform, read_statement, write_statement
 from tests.support.syscall_filter import supported
 
 TRIED = """
@@ -44,7 +44,7 @@
     ]  # fmt: skip
 
 
-def test_the_driver_starts_serves_moves_and_stops_under_the_filter(tmp_path):
+def test_the_program_starts_serves_reloads_and_stops_under_the_filter(tmp_path):
     platform = Platform(tmp_path)
     platform.program = "tests.support.syscall_filter"
     platform.configure()
@@ -53,15 +53,15 @@
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
         for number in range(1, 10):
-            assert client.ask(look(number)) == ("value", f"value of {number:x}".encode())
-        assert client.ask(change(0x2B)) == ("value", b"value of 2b")
+            assert client.query(read_statement(number)) == ("value", f"value of {number:x}".encode())
+        assert client.query(write_statement(0x2B)) == ("value", b"value of 2b")
         platform.signal(signal.SIGHUP)
         platform.wait_for("reloaded")
-        assert client.ask(look(99)) == ("value", b"value of 63")
+        assert client.query(read_statement(99)) == ("value", b"value of 63")
         assert platform.process is not None
         assert not children(platform.process.pid)
         platform.signal(signal.SIGTERM)
-        assert platform.process.wait(timeout=WITHIN) == 0
+        assert platform.process.wait(timeout=TIMEOUT_S) == 0
         assert "engine.fault" not in platform.log.read_text()
     finally:
         platform.close()
@@ -76,7 +76,7 @@
     return found
 
 
-def test_run_becomes_the_driver_by_exec():
+def test_run_becomes_the_program_by_exec():
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["run"].startswith("exec ") and not set(deploy["run"]) & set(";&|<>`$\n")
 
--- a/tests/test_syscall_storm.py
+++ b/tests/test_syscall_storm.py
@@ -17,7 +17,7 @@
 import pytest
 
 from sedgepitch.protocols.postgresql import codec
-from tests.support.platform import WITHIN, Client, Platform, change, look
+from tests.support.platform import TIMEOUT_S, Client, Platform, read_statement, write_statement
 from tests.support.syscall_faults import Call, Kind, Rule, SystemCallFaults
 
 CLIENTS, REQUESTS = 6, 40
@@ -71,13 +71,13 @@
         """Ask all."""
         for index in range(REQUESTS):
             self.arm(random_rule(self.dice))
-            self.ask(self.number * 1000 + index + 1)
+            self.query(self.number * 1000 + index + 1)
         if self.kept is not None:
             self.kept.close()
 
-    def ask(self, number: int) -> None:
+    def query(self, number: int) -> None:
         """Ask once."""
-        statement = change(number) if self.dice.random() < 0.3 else look(number)
+        statement = write_statement(number) if self.dice.random() < 0.3 else read_statement(number)
         kinds: list[bytes] = []
         if self.kept is not None and self.dice.random() >= FRESH_CONNECTION:
             kinds = self.ask_kept(statement)
@@ -92,8 +92,8 @@
         """Ask on the kept connection; empty where it was closed between requests, as the protocol allows."""
         kinds: list[bytes] = []
         try:
-            self.kept.held.sendall(codec.query(statement))
-            kinds = [kind for kind, _ in self.kept.until_ready()]
+            self.kept.socket.sendall(codec.query(statement))
+            kinds = [kind for kind, _ in self.kept.read_until_ready()]
         except (BrokenPipeError, ConnectionResetError):
             pass
         if not kinds:
@@ -104,10 +104,10 @@
 
     def ask_fresh(self, statement: bytes) -> list[bytes]:
         """Ask on a new connection, which has to answer."""
-        client = Client(self.platform.port, greet=False)
-        client.held.sendall(codec.startup("web", "orders") + codec.query(statement))
-        greeted = bool(client.until_ready())
-        kinds = [kind for kind, _ in client.until_ready()] if greeted else []
+        client = Client(self.platform.port, startup=False)
+        client.socket.sendall(codec.startup("web", "orders") + codec.query(statement))
+        greeted = bool(client.read_until_ready())
+        kinds = [kind for kind, _ in client.read_until_ready()] if greeted else []
         if self.kept is None:
             self.kept = client
         else:
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_every_request_has_one_answer_whatever_system_calls_fail_for_a_moment(tmp_path, seed):
+def test_every_request_has_one_answer_while_system_calls_fail(tmp_path, seed):
     faults = SystemCallFaults(tmp_path)
     lock = threading.Lock()
 
@@ -142,7 +142,7 @@
         assert faults.total_hits() > 20
         assert platform.process.poll() is None
         platform.signal(signal.SIGTERM)
-        assert platform.process.wait(timeout=WITHIN) == 0
+        assert platform.process.wait(timeout=TIMEOUT_S) == 0
         closes = re.findall(r"client_closes .*reasons=(\S+)", platform.log.read_text())[-1]
         evicted = re.search(r"evicted:(\d+)", closes)
         assert sum(caller.crossed for caller in callers) <= (int(evicted[1]) if evicted else 0), closes
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -5,7 +5,7 @@
 import time
 
 from benchmarks.in_flight_check import compare, read_trace
-from tests.support.platform import WITHIN, Platform, look
+from tests.support.platform import TIMEOUT_S, Platform, read_statement
 
 REQUESTS = 20
 
@@ -19,9 +19,9 @@
         platform.wait_for("endpoint_list.updated revision=1")
         client = platform.client()
         for number in range(1, REQUESTS + 1):
-            assert client.ask(look(number))[0] == "value"
+            assert client.query(read_statement(number))[0] == "value"
         platform.wait_for("endpoint_states endpoints=s-")
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:  # a hedged request may still be in flight
             endpoints = compare(read_trace(platform.log.read_text().splitlines())).values()
             if all(endpoint.router_count == len(endpoint.busy_connections) == 0 for endpoint in endpoints):
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""The transports on each reactor: resets that hide behind data, arrivals, writes at once, back-pressure."""
+"""The transports on each reactor: resets behind data, arrival times, immediate writes, back-pressure."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("reactor", REACTORS)
 @pytest.mark.parametrize("case", ["reset_behind_data", "reset", "half_close"])
-def test_a_lost_connection_is_told_once_and_a_later_write_does_nothing(reactor, case):
+def test_a_lost_connection_is_reported_once_and_a_later_write_does_nothing(reactor, case):
     seen = play(reactor, case)
     assert seen["lost"] == 1
     assert seen["raised"] == ""
@@ -35,16 +35,16 @@
 
 
 @pytest.mark.parametrize("reactor", REACTORS)
-def test_a_read_says_when_the_bytes_came_and_not_when_they_were_read(reactor):
+def test_arrival_is_when_the_bytes_arrived_and_not_when_they_were_read(reactor):
     assert play(reactor, "arrival")["waited"] > 0.25
 
 
 @pytest.mark.parametrize("reactor", REACTORS)
-def test_an_answer_leaves_before_the_turn_ends(reactor):
+def test_a_write_is_sent_before_the_turn_ends(reactor):
     assert play(reactor, "answer_leaves_at_once")["answered_before_the_turn_ended"]
 
 
-def test_a_reader_that_stops_pauses_its_producer_and_gets_every_byte_later():
+def test_a_stopped_reader_pauses_its_producer_and_gets_every_byte_later():
     seen = play("uvloop", "stopped_reader")
     assert seen["paused"] and seen["resumed"]
     assert seen["whole"]
--- a/tests/test_twisted_log.py
+++ b/tests/test_twisted_log.py
@@ -29,7 +29,7 @@
     assert fields["error"].startswith("ValueError: two lines") and len(fields["error"]) == MAX_TEXT_CHARS
 
 
-def test_a_failed_accept_is_a_line_though_twisted_calls_it_information(forwarded):
+def test_a_failed_accept_is_logged_though_twisted_reports_it_at_level_info(forwarded):
     forwarder, lines = forwarded
     forwarder(
         {
--- a/tests/test_watch_streams.py
+++ b/tests/test_watch_streams.py
@@ -1,4 +1,4 @@
-"""Watches on the list: none is let go that can hear, few are held, and a source that is down is asked on."""
+"""Watch streams: the active one is never closed early, few are open, a source that is down is retried."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     st.sampled_from(["", "\n", " \r\n\t"]),
     st.lists(st.integers(1, 9), max_size=30),
 )
-def test_objects_come_whole_whatever_the_white_space_and_the_pieces(told, indent, between, cuts):
+def test_objects_are_complete_whatever_the_white_space_and_the_pieces(told, indent, between, cuts):
     data = "".join(between + json.dumps(x, indent=indent, ensure_ascii=False) + between for x in told)
     raw, held, found = data.encode("utf-8", "surrogatepass"), JsonObjectSplitter(), []
     for size in [*cuts, len(raw)]:
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("junk", [b"not json", b"[1]", b'"x"', b"}", b"\0", b'{"a":1},{"a":2}'])
-def test_what_is_no_object_is_an_error_and_what_came_before_it_counts(junk):
+def test_anything_else_is_an_error_and_the_objects_before_it_count(junk):
     held, found = JsonObjectSplitter(), []
     with pytest.raises(MalformedListError):
         for whole in held.feed(b'{"a":1}\n' + junk):
@@ -53,7 +53,7 @@
     assert found[0] == b'{"a":1}'
 
 
-def test_an_object_without_end_is_an_error_at_its_bound(monkeypatch):
+def test_an_object_above_the_size_limit_is_an_error(monkeypatch):
     monkeypatch.setattr(json_stream, "MAX_OBJECT_BYTES", 1000)
     held = JsonObjectSplitter()
     assert list(held.feed(b'{"a":"')) == []
@@ -83,10 +83,10 @@
     assert looked <= 2 * len(data)
 
 
-# Which watches are held
+# Which streams are held
 
 
-def test_a_silent_watch_is_held_until_another_has_spoken():
+def test_a_silent_stream_stays_until_another_sent_a_heartbeat():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     assert held.heartbeat("a", 0.0) == []
@@ -97,7 +97,7 @@
     assert held.heartbeat("b", due + 0.1) == ["a"] and held.active == "b"
 
 
-def test_a_silent_watch_that_speaks_again_ends_nothing():
+def test_a_silent_stream_that_resumes_closes_nothing():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.heartbeat("a", 0.0)
@@ -106,14 +106,14 @@
     assert held.holds("a") and held.holds("b")
 
 
-def test_one_that_is_answered_but_has_nothing_to_say_is_given_a_beat():
+def test_an_accepted_stream_has_a_heartbeat_interval_for_its_first_object():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.response_started("a", 0.1)
     assert held.next_open_at() >= 0.1 + HEARTBEAT_INTERVAL_S
 
 
-def test_part_of_an_object_is_a_sign_but_not_for_ever():
+def test_a_partial_object_counts_as_a_heartbeat_for_a_limited_time():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.heartbeat("a", 0.0)
@@ -123,7 +123,7 @@
     assert held.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
 
 
-def test_moved_keeps_the_one_that_is_heard_and_drops_those_that_wait_at_the_old_place():
+def test_a_move_keeps_the_active_stream_and_closes_the_candidates():
     held: WatchStreams[str] = WatchStreams()
     held.opened("a", 0.0)
     held.heartbeat("a", 0.0)
@@ -145,8 +145,8 @@
 
 
 @given(STEPS)
-def test_every_order_of_events_leaves_a_watch_that_can_hear_or_one_about_to_be_opened(steps):
-    """The owner as it is: opens when told, closes what it is told to. Judged after each event."""
+def test_in_any_order_of_events_a_stream_is_open_or_about_to_be_opened(steps):
+    """With an owner that opens and closes as it should. Checked after each event."""
     held: WatchStreams[int] = WatchStreams()
     now, number, opened_at = 0.0, 0, []
     held.opened(number, now)
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("after", [0.0, 0.01, 0.9])
-def test_a_source_that_refuses_or_says_nothing_is_asked_steadily_and_not_without_pause(after):
+def test_a_source_that_refuses_or_is_silent_is_tried_at_a_steady_rate(after):
     held: WatchStreams[int] = WatchStreams()
     now, opened = 0.0, 0
     while now < 20.0:
