--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -184,7 +184,7 @@
         self.environment: dict[str, str] = {}  # added to the process's
         self.log = folder / "driver.txt"
 
-    def entries(self, complete: bool = True, **changes: str) -> list[dict[str, Any]]:
+    def entries(self, **changes: str) -> list[dict[str, Any]]:
         """Return the endpoints as discovery lists them; `changes` are phases by name with _ for -."""
         return [
             {
--- a/tests/support/transport_case.py
+++ b/tests/support/transport_case.py
@@ -1,6 +1,6 @@
-"""One case on its own reactor.
+"""One case of the transports on its own reactor, since a process has one.
 
-`python -m tests.support.transport_case REACTOR CASE` prints what came of it.
+`python -m tests.support.transport_case REACTOR CASE` prints what was observed as JSON.
 """
 
 from __future__ import annotations
@@ -11,126 +11,185 @@
 import sys
 import threading
 import time
+from collections.abc import Callable
+from dataclasses import asdict, dataclass
+from typing import Any
 
 from sedgepitch.cli.reactors import install
 
-WITHIN = 20.0  # s; nothing here waits so long unless it fails
+TIMEOUT_S = 20.0  # nothing here waits so long unless it fails
+POLL_INTERVAL_S = 0.02
 RESET = struct.pack("ii", 1, 0)
+PATTERN = bytes(range(256))
+PATTERN_REPEATS = 1 << 15  # more than the socket takes
+BACKLOG = 50
+WAITING_CLIENTS = 40
+
+
+@dataclass
+class Observed:
+    """What the server's side saw."""
+
+    lost: int = 0
+    data: int = 0  # bytes received
+    paused: int = 0
+    resumed: int = 0
+    raised: str = ""  # what a write after the loss raised
+    waited: float = 0.0  # s between arrival and read
+    answered_before_the_turn_ended: bool = False
+    accepted: int = 0
+    whole: bool | None = None  # whether a reader that stopped got every byte
+
+
+class TransportCase:
+    """A listener, one client connection, and the cases as methods named after them."""
+
+    def __init__(self, reactor: Any, name: str) -> None:
+        from twisted.internet.protocol import Factory
+
+        from sedgepitch.net.listener import listen
+
+        self.reactor = reactor
+        self.name = name
+        self.observed = Observed()
+        self.connections: list[Any] = []
+        self.answered = threading.Event()
+        self.writing_paused = threading.Event()
+        self.port = listen(reactor, 0, Factory.forProtocol(_server_protocol(self)), "127.0.0.1", BACKLOG)
+        self.address = ("127.0.0.1", self.port.getHost().port)
+        self.client = socket.create_connection(self.address, timeout=TIMEOUT_S)
+
+    def run(self) -> Observed:
+        """Run the case to its end; return what was observed."""
+        self.when(lambda: self.connections, getattr(self, self.name))
+        self.reactor.callLater(TIMEOUT_S * 2, self.reactor.stop)
+        self.reactor.run()
+        return self.observed
+
+    def when(
+        self, condition: Callable[[], object], then: Callable[[], object], left_s: float = TIMEOUT_S
+    ) -> None:
+        """Call `then` once the condition holds, or when the time is up."""
+        if condition() or left_s <= 0:
+            then()
+        else:
+            self.reactor.callLater(POLL_INTERVAL_S, self.when, condition, then, left_s - POLL_INTERVAL_S)
+
+    def finish(self) -> None:
+        """Stop the reactor a little later."""
+        self.reactor.callLater(0.1, self.reactor.stop)
+
+    # The server's side
+
+    def received(self, connection: Any, data: bytes) -> None:
+        """Record data, and answer where the case asks for it."""
+        self.observed.data += len(data)
+        self.observed.waited = time.monotonic() - connection.transport.arrived
+        if self.name == "answer_leaves_at_once":
+            connection.transport.write(b"answer")
+            self.observed.answered_before_the_turn_ended = self.answered.wait(TIMEOUT_S)
+        elif self.name == "stopped_reader":
+            connection.transport.write(PATTERN * PATTERN_REPEATS)
+
+    # The cases
+
+    def reset(self) -> None:
+        """The client resets its connection, in this very turn."""
+        self.client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        self.client.close()
+        self.when(lambda: self.observed.lost, self.write_after_loss)
+
+    def reset_behind_data(self) -> None:
+        """The same behind a request: both are there when the server reads."""
+        self.client.sendall(b"request")
+        self.reset()
+
+    def write_after_loss(self) -> None:
+        """Write to the lost connection."""
+        try:
+            self.connections[0].transport.write(b"more")
+        except Exception as error:
+            self.observed.raised = repr(error)
+        self.finish()
+
+    def half_close(self) -> None:
+        """The client ends its sending."""
+        self.client.sendall(b"request")
+        self.client.shutdown(socket.SHUT_WR)
+        self.when(lambda: self.observed.lost, self.finish)
+
+    def arrival(self) -> None:
+        """The process stands still while the bytes are here."""
+        self.client.sendall(b"request")
+        time.sleep(0.3)
+        self.when(lambda: self.observed.data, self.finish)
+
+    def answer_leaves_at_once(self) -> None:
+        """The client waits for the answer in a thread, the server for the client in its turn."""
+
+        def ask() -> None:
+            self.client.sendall(b"request")
+            if self.client.recv(6) == b"answer":
+                self.answered.set()
+
+        threading.Thread(target=ask, daemon=True).start()
+        self.when(lambda: self.observed.data, self.finish)
+
+    def accept_all(self) -> None:
+        """Clients connect and the port accepts all and closes, in this very turn."""
+        before = len(self.connections)
+        waiting = [socket.create_connection(self.address) for _ in range(WAITING_CLIENTS)]
+        self.port.accepts_per_turn = 16
+        assert self.port.accept_all()
+        self.port.stopListening()
+        self.observed.accepted = len(self.connections) - before
+        for one in waiting:
+            one.close()
+        self.finish()
+
+    def stopped_reader(self) -> None:
+        """The client reads only once the server has more than the socket takes."""
+
+        def read() -> None:
+            self.client.sendall(b"request")
+            self.writing_paused.wait(TIMEOUT_S)
+            got = bytearray()
+            while len(got) < len(PATTERN) * PATTERN_REPEATS:
+                got += self.client.recv(1 << 20)
+            self.observed.whole = bytes(got) == PATTERN * PATTERN_REPEATS
+
+        threading.Thread(target=read, daemon=True).start()
+        self.when(lambda: self.observed.whole is not None and self.observed.resumed, self.finish)
+
+
+def _server_protocol(case: TransportCase) -> type:
+    from twisted.internet.protocol import Protocol
+
+    class ServerProtocol(Protocol):
+        transport: Any
 
-
-def main(name: str, case: str) -> None:
-    """Run one case."""
-    reactor = install(name)
-    from twisted.internet.protocol import Factory, Protocol
-
-    from sedgepitch.net.listener import listen
-
-    seen: dict = {"lost": 0, "data": 0, "paused": 0, "resumed": 0, "raised": ""}
-    held: list = []
-
-    class Served(Protocol):
         def connectionMade(self) -> None:
-            held.append(self)
+            case.connections.append(self)
             self.transport.registerProducer(self, True)
 
         def dataReceived(self, data: bytes) -> None:
-            seen["data"] += len(data)
-            seen["waited"] = time.monotonic() - self.transport.arrived
-            if case == "answer_leaves_at_once":
-                self.transport.write(b"answer")
-                seen["answered_before_the_turn_ended"] = answered.wait(WITHIN)
-            elif case == "stopped_reader":
-                self.transport.write(bytes(range(256)) * (1 << 15))
+            case.received(self, data)
 
         def pauseProducing(self) -> None:
-            seen["paused"] += 1
-            go_on.set()
+            case.observed.paused += 1
+            case.writing_paused.set()
 
         def resumeProducing(self) -> None:
-            seen["resumed"] += 1
+            case.observed.resumed += 1
 
         def stopProducing(self) -> None:
             pass
 
-        def connectionLost(self, reason) -> None:
-            seen["lost"] += 1
-
-    answered, go_on = threading.Event(), threading.Event()
-    port = listen(reactor, 0, Factory.forProtocol(Served), "127.0.0.1", 50)
-    client = socket.create_connection(("127.0.0.1", port.getHost().port), timeout=WITHIN)
+        def connectionLost(self, _reason: object) -> None:
+            case.observed.lost += 1
 
-    def write_later() -> None:
-        try:
-            held[0].transport.write(b"more")
-        except Exception as error:
-            seen["raised"] = repr(error)
-
-    def when(condition, then, left: float = WITHIN) -> None:
-        if condition() or left <= 0:
-            then()
-        else:
-            reactor.callLater(0.02, when, condition, then, left - 0.02)
-
-    def finish(after: float = 0.1) -> None:
-        reactor.callLater(after, reactor.stop)
-
-    def begin() -> None:
-        if case in ("reset_behind_data", "reset"):
-            if case == "reset_behind_data":
-                client.sendall(b"request")
-            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            client.close()  # in this very turn: both are there when the server looks
-
-            def over() -> None:
-                write_later()
-                finish()
-
-            when(lambda: seen["lost"], over)
-        elif case == "half_close":
-            client.sendall(b"request")
-            client.shutdown(socket.SHUT_WR)
-            when(lambda: seen["lost"], finish)
-        elif case == "arrival":
-            client.sendall(b"request")
-            time.sleep(0.3)  # the process stands still while the bytes are here
-            when(lambda: seen["data"], finish)
-        elif case == "answer_leaves_at_once":
-
-            def ask() -> None:
-                client.sendall(b"request")
-                if client.recv(6) == b"answer":
-                    answered.set()
-
-            threading.Thread(target=ask, daemon=True).start()
-            when(lambda: seen["data"], finish)
-        elif case == "accept_all":
-            before = len(held)
-            waiting = [socket.create_connection(("127.0.0.1", port.getHost().port)) for _ in range(40)]
-            port.accepts_per_turn = 16
-            assert port.accept_all()  # in this very turn, all of them wait
-            port.stopListening()
-            seen["accepted"] = len(held) - before
-            for one in waiting:
-                one.close()
-            finish()
-        elif case == "stopped_reader":
-
-            def read() -> None:
-                client.sendall(b"request")
-                go_on.wait(WITHIN)  # until the server has more than the socket takes
-                got = bytearray()
-                while len(got) < 256 << 15:
-                    got += client.recv(1 << 20)
-                seen["whole"] = bytes(got) == bytes(range(256)) * (1 << 15)
-
-            threading.Thread(target=read, daemon=True).start()
-            when(lambda: "whole" in seen and seen["resumed"], finish)
-
-    when(lambda: held, begin)
-    reactor.callLater(WITHIN * 2, reactor.stop)
-    reactor.run()
-    print(json.dumps(seen))
+    return ServerProtocol
 
 
 if __name__ == "__main__":
-    main(sys.argv[1], sys.argv[2])
+    print(json.dumps(asdict(TransportCase(install(sys.argv[1]), sys.argv[2]).run())))
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -47,4 +47,4 @@
 def test_a_stopped_reader_pauses_its_producer_and_gets_every_byte_later():
     seen = play("uvloop", "stopped_reader")
     assert seen["paused"] and seen["resumed"]
-    assert seen["whole"]
+    assert seen["whole"] is True
