--- a/sedgepitch/cli/status_pages.py
+++ b/sedgepitch/cli/status_pages.py
@@ -22,7 +22,7 @@
 
 
 class StatusPage(Resource):
-    """A part of the proxy's state as JSON, for `sedgepitch door`, `peers status` and `zone`."""
+    """A part of the proxy's state as JSON, for `sedgepitch admission`, `peers status` and `zone`."""
 
     isLeaf = True  # noqa: N815 (Twisted's name)
 
