--- a/sedgepitch/net/socket_state.py
+++ b/sedgepitch/net/socket_state.py
@@ -54,11 +54,12 @@
 def peer_has_closed(transport: object) -> bool:
     """Whether the peer has ended its connection, though what it sent before may lie unread.
 
-    A connection that is not being read does not show its end otherwise, since it stands behind the bytes.
+    A connection that is not being read does not show its end otherwise, since it stands behind the bytes. A
+    transport without a socket (in tests) may state it by its attribute `left`.
     """
     connected = getattr(transport, "socket", None)
     if connected is None or connected.fileno() < 0:
-        return False
+        return bool(getattr(transport, "left", False))
     poller = select.poll()
     poller.register(connected.fileno(), select.POLLRDHUP)
     try:
