--- a/sedgepitch/net/transport.py
+++ b/sedgepitch/net/transport.py
@@ -24,14 +24,13 @@
 import socket
 import struct
 import time
-from typing import Any
 
 from twisted.internet import error, main, tcp
 from twisted.internet.interfaces import IProtocol
 
 from sedgepitch.net.receive_timestamps import ReceiveTimestamps
 from sedgepitch.net.socket_state import has_nothing_unread, seconds_since_received
-from sedgepitch.net.twisted_types import Reactor
+from sedgepitch.net.twisted_types import Reactor, ReadResult
 
 SO_TIMESTAMPNS = 35  # asm-generic/socket.h; Python has no name for it
 _TIMESPEC = struct.Struct("@qq")
@@ -98,7 +97,7 @@
         except OSError:
             self._has_timestamps = False
 
-    def doRead(self) -> Any:
+    def doRead(self) -> ReadResult:
         """Read once; return the error that ends the connection, if one does."""
         try:
             data, ancillary = self._receive()
--- a/sedgepitch/net/twisted_types.py
+++ b/sedgepitch/net/twisted_types.py
@@ -8,3 +8,5 @@
 Reactor: TypeAlias = Any
 # Twisted declares these by zope interfaces, which type checkers do not relate to the classes.
 ProtocolFactory: TypeAlias = Any
+# None, or the error that ends the connection; Twisted declares None alone.
+ReadResult: TypeAlias = Any
