--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -29,8 +29,8 @@
 from sedgepitch.tracebacks import describe, innermost_place
 
 if TYPE_CHECKING:
-    from sedgepitch.peers.service import Peers
-    from sedgepitch.peers.zones import ZoneKeeper
+    from sedgepitch.peers.service import PeerService
+    from sedgepitch.peers.zones import ZoneService
 
 CLIENT_BACKLOG = 1024
 STATUS_BACKLOG = 50
@@ -104,19 +104,19 @@
             admission=admission,
             watch=self.endpoint_list.subscribe if self.endpoint_list else None,
             log=lambda text: self.log.info("router", text=text),
-            observe=self._answered,
-            handover=settings.limits.handover_within,
-            on_fault=self._callback_failed,
+            on_response=self._answered,
+            handover_limit=settings.limits.handover_within,
+            on_callback_error=self._callback_failed,
         )
 
-    def _make_peers(self) -> Peers | None:
+    def _make_peers(self) -> PeerService | None:
         if self.settings.peers is None:
             return None
         from sedgepitch.cli import peering
 
         return peering.make_peers(self.settings, self.reactor, self.clock, self._log_event)
 
-    def _make_zones(self) -> ZoneKeeper | None:
+    def _make_zones(self) -> ZoneService | None:
         if self.peers is None or not self.settings.zones:
             return None
         from sedgepitch.cli import peering
@@ -157,7 +157,7 @@
             opened = self._open_shared_port(host, port, factory)
         else:
             opened = listener.listen(self.reactor, port, factory, host, CLIENT_BACKLOG)
-        opened.may_accept = lambda: not self.engine.own.late
+        opened.may_accept = lambda: not self.engine.process_limit.overloaded
         opened.on_problem = self._accept_failed
         self.ports.append(opened)
         return opened
@@ -239,7 +239,7 @@
         self.engine.list_changed(messages.EndpointListUpdate(entries, complete=update.complete))
         if self.endpoints.links:
             self._report_ready()
-        drained = self.endpoints.links.keys() & self.engine.drained.keys()
+        drained = self.endpoints.links.keys() & self.engine.draining_since.keys()
         if drained:
             self.log.info("endpoint_list.drained", endpoints=sorted(drained))
 
@@ -266,28 +266,28 @@
         engine = self.engine
         lag = engine.event_loop_lag
         return {
-            "max_lag_ms": round(lag.peak * MS_PER_S, 1),
-            "mean_lag_ms": round(lag.sum / max(1, lag.waits) * MS_PER_S, 3),
-            "deadline_margin_ms": round(lag.reserve(self.clock.now()) * MS_PER_S, 1),
-            "rejected_for_lag": engine.too_slow,
-            "rejected_for_load": engine.too_many,
-            "answered_early": engine.hurried,
-            "overdue": engine.overdue,
-            "callback_errors": engine.faults,
+            "max_lag_ms": round(lag.longest * MS_PER_S, 1),
+            "mean_lag_ms": round(lag.total / max(1, lag.samples) * MS_PER_S, 3),
+            "deadline_margin_ms": round(lag.deadline_margin(self.clock.now()) * MS_PER_S, 1),
+            "rejected_for_lag": engine.rejected_for_lag,
+            "rejected_for_load": engine.rejected_for_load,
+            "answered_early": engine.answered_early,
+            "overdue": engine.answered_by_last_guard,
+            "callback_errors": engine.callbacks.errors,
         }
 
-    def _answered(self, request: PendingRequest, response: Response, elapsed: float) -> None:
+    def _answered(self, pending: PendingRequest, response: Response, elapsed: float) -> None:
         """Count a final answer; log it unless it was served or this second's lines are used up."""
-        self.metrics.answered(request, response, elapsed)
-        if response.verdict is ResponseStatus.SERVED or log.is_full():
+        self.metrics.answered(pending, response, elapsed)
+        if response.status is ResponseStatus.SERVED or log.is_full():
             return
         self.log.info(
-            f"request.{response.verdict.name.lower()}",
-            request=request.id,
-            connection=request.command.connection,
-            class_name=request.command.class_name,
-            group=request.command.group,
-            attempts=request.endpoints,
+            f"request.{response.status.name.lower()}",
+            request=pending.id,
+            connection=pending.request.connection,
+            class_name=pending.request.class_name,
+            group=pending.request.group,
+            attempts=pending.attempted_endpoints,
             elapsed_ms=round(elapsed * MS_PER_S, 1),
             retry_after_ms=round(response.retry_after * MS_PER_S),
             reason=response.why,
--- a/sedgepitch/cli/status_pages.py
+++ b/sedgepitch/cli/status_pages.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from twisted.web.server import Request, Site
 
-    from sedgepitch.peers.zones import ZoneKeeper
+    from sedgepitch.peers.zones import ZoneService
 
 MAX_COMMAND_BYTES = 4096
 
@@ -42,24 +42,24 @@
     A command is sealed with the peers' key, so whoever merely reaches the port can only read.
     """
 
-    def __init__(self, name: str, zones: ZoneKeeper) -> None:
+    def __init__(self, name: str, zones: ZoneService) -> None:
         super().__init__(name, zones.status)
         self.zones = zones
 
     def render_POST(self, request: Request) -> bytes:  # noqa: N802 (Twisted's name)
         """Carry out a command; 400 with the reason if it is not accepted."""
-        from sedgepitch.peers.zones import BadOrder
+        from sedgepitch.decisions.zones.operator_commands import InvalidCommandError
 
         assert request.content is not None
         try:
-            answer = self.zones.order(request.content.read(MAX_COMMAND_BYTES))
-        except BadOrder as error:
+            answer = self.zones.take_command(request.content.read(MAX_COMMAND_BYTES))
+        except InvalidCommandError as error:
             request.setResponseCode(BAD_REQUEST)
             answer = {"error": str(error)}
         return json.dumps(answer).encode()
 
 
-def make_site(name: str, metrics: Metrics, admission: State, peers: State, zones: ZoneKeeper | None) -> Site:
+def make_site(name: str, metrics: Metrics, admission: State, peers: State, zones: ZoneService | None) -> Site:
     """Return the site with `/metrics`, `/door`, `/peers` and, with zones, `/zones`."""
     from prometheus_client.twisted import MetricsResource
     from twisted.web.server import Site
--- a/sedgepitch/node/__main__.py
+++ b/sedgepitch/node/__main__.py
@@ -15,7 +15,7 @@
 import gc  # noqa: E402
 from typing import Any  # noqa: E402
 
-from sedgepitch.core.clock import unix_ahead  # noqa: E402
+from sedgepitch.core.clock import unix_offset  # noqa: E402
 from sedgepitch.net.twisted_types import Reactor  # noqa: E402
 from sedgepitch.node.config import NodeConfigError, load  # noqa: E402
 from sedgepitch.node.structured_log import TRACE_VARIABLE, StructuredLog  # noqa: E402
@@ -52,9 +52,9 @@
     environment = dict(os.environ)
     tracing = bool(environment.get(TRACE_VARIABLE))
     log = StructuredLog(environment.get("RELAY_NAME", "driver"), tracing=tracing)
-    unix_offset = unix_ahead()
+    offset = unix_offset()
     try:
-        config = load(environment, unix_offset)
+        config = load(environment, offset)
     except NodeConfigError as error:
         log.log_event("config.invalid", reason=str(error))
         return EXIT_BAD_CONFIG
@@ -64,8 +64,8 @@
     from sedgepitch.node.twisted_log import forward_twisted_log
 
     forward_twisted_log(log.log_event)
-    proxy = Proxy(reactor, config, log, unix_offset)
-    actions = SignalActions(reactor, proxy, lambda: load(environment, unix_offset), log.log_event)
+    proxy = Proxy(reactor, config, log, offset)
+    actions = SignalActions(reactor, proxy, lambda: load(environment, offset), log.log_event)
     exit_code = EXIT_OK
 
     def bind_failed() -> None:
--- a/sedgepitch/node/config.py
+++ b/sedgepitch/node/config.py
@@ -12,7 +12,7 @@
 from sedgepitch.discovery.list_format import read_address, read_version
 from sedgepitch.errors import ConfigurationError
 from sedgepitch.routing import messages
-from sedgepitch.settings import BadSettings, number, translate_settings
+from sedgepitch.settings import InvalidInputError, read_number, translate_settings
 
 MAX_FILE_CHARS = 16 * 1024 * 1024
 # Used if the settings state none, or 0.
@@ -72,7 +72,7 @@
         )
     except MalformedListError as error:
         raise NodeConfigError(str(error)) from None
-    except BadSettings as error:
+    except InvalidInputError as error:
         raise NodeConfigError(f"settings: {error}") from None
     except (TypeError, ValueError, AttributeError, KeyError, OverflowError) as error:
         raise NodeConfigError(f"a value of the wrong type: {error}") from None
@@ -115,7 +115,7 @@
 
 
 def _timeout(settings: Mapping[str, Any], name: str) -> float:
-    return number(settings.get("limits", {}), name, 0.0, "limits")
+    return read_number(settings.get("limits", {}), name, 0.0, "limits")
 
 
 def _limit(raw: Mapping[str, Any], name: str) -> float:
--- a/sedgepitch/node/graceful_shutdown.py
+++ b/sedgepitch/node/graceful_shutdown.py
@@ -35,7 +35,7 @@
     def begin(self) -> None:
         """Cut all deadlines to the schedule, and follow it from now on."""
         self._clients.ends(self._schedule)
-        self._engine.hurry(self._schedule.drain_deadline)
+        self._engine.answer_all_by(self._schedule.drain_deadline)
         self._check()
 
     def _check(self) -> None:
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -58,8 +58,8 @@
             self.clock,
             watch=self._watch_requested,
             log=lambda text: log.log_event("router", text=text),
-            handover=HANDOVER_LIMIT_S,
-            on_fault=self._callback_failed,
+            handover_limit=HANDOVER_LIMIT_S,
+            on_callback_error=self._callback_failed,
         )
         self.clients = Front(self.engine, self.clock, self.engine.classes, unix_offset, self.descriptors)
         self.clients.closes.report = self._client_closed
@@ -79,10 +79,10 @@
 
     def _make_upstream(self, unix_offset: float) -> PostgresUpstream:
         limits = PoolLimits(
-            most=self.descriptors.max_endpoints,
-            connect_within=self.config.connect_within,
-            idle_for=IDLE_CLOSE_SHARE * self.config.idle_for,
-            linger=0.0,
+            max_connections=self.descriptors.max_endpoints,
+            connect_timeout=self.config.connect_within,
+            max_idle_time=IDLE_CLOSE_SHARE * self.config.idle_for,
+            discard_timeout=0.0,
         )
         upstream = PostgresUpstream(
             self.reactor,
@@ -168,7 +168,7 @@
         """The router requests changes of the list; here they are followed all the time."""
 
     def _endpoint_forgotten(self, endpoint: int) -> None:
-        self.engine.drained.pop(endpoint, None)
+        self.engine.draining_since.pop(endpoint, None)
         self.list_versions.forget(endpoint)
 
     # Reload and shutdown
@@ -214,7 +214,7 @@
     def _bytes_arrived(self, arrived_at: float) -> None:
         if arrived_at:
             now = self.clock.now()
-            self.engine.waited(now - arrived_at, now)
+            self.engine.record_wait(now - arrived_at, now)
 
     def _free_descriptor(self, lasting: bool) -> None:
         """Close an idle connection for a client in the backlog, an endpoint's before a client's.
--- a/sedgepitch/node/runtime_statistics.py
+++ b/sedgepitch/node/runtime_statistics.py
@@ -58,9 +58,9 @@
     connections = clients.visitors
     lag = engine.event_loop_lag
     return RuntimeStatistics(
-        requests_completed=requests.settled,
+        requests_completed=requests.completed,
         requests_pending=requests.pending,
-        requests_tracked=len(requests.accounts),
+        requests_tracked=len(requests.requests),
         client_connections=descriptors.clients,
         connections_accepted=clients.accepted,
         idle=len(connections.idle),
@@ -73,12 +73,12 @@
         evicted=connections.evicted,
         malformed_responses=upstream.spoilt,
         unreadable_load_reports=upstream.unread_reports,
-        deadline_margin_ms=round(lag.reserve(now) * MS_PER_S, 1),
-        max_lag_ms=round(lag.peak * MS_PER_S, 1),
-        rejected_for_load=engine.too_many,
-        rejected_for_lag=engine.too_slow,
-        answered_early=engine.hurried,
-        overdue=engine.overdue,
-        callback_errors=engine.faults,
+        deadline_margin_ms=round(lag.deadline_margin(now) * MS_PER_S, 1),
+        max_lag_ms=round(lag.longest * MS_PER_S, 1),
+        rejected_for_load=engine.rejected_for_load,
+        rejected_for_lag=engine.rejected_for_lag,
+        answered_early=engine.answered_early,
+        overdue=engine.answered_by_last_guard,
+        callback_errors=engine.callbacks.errors,
         cpu_s=round(time.process_time(), 2),
     )
--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -25,18 +25,30 @@
         engine = self.engine
         requests = engine.request_table
         lag = engine.event_loop_lag
-        deadline_margin = lag.reserve(engine.clock.now())
+        deadline_margin = lag.deadline_margin(engine.clock.now())
         gauges: list[tuple[str, str, float]] = [
             ("sedgepitch_owed", "Requests pending.", requests.pending),
-            ("sedgepitch_overdue", "Requests answered by the last guard only.", engine.overdue),
-            ("sedgepitch_answered_twice", "Second answers that were suppressed.", requests.twice),
-            ("sedgepitch_left", "Clients that disconnected before their answer.", requests.left),
+            (
+                "sedgepitch_overdue",
+                "Requests answered by the last guard only.",
+                engine.answered_by_last_guard,
+            ),
+            (
+                "sedgepitch_answered_twice",
+                "Second answers that were suppressed.",
+                requests.duplicate_responses,
+            ),
+            ("sedgepitch_left", "Clients that disconnected before their answer.", requests.cancelled),
             ("sedgepitch_reserve_seconds", "Deadline margin for the event loop's lag.", deadline_margin),
-            ("sedgepitch_latest_seconds", "Longest lag of the event loop.", lag.peak),
-            ("sedgepitch_too_slow", "Requests rejected for the event loop's lag.", engine.too_slow),
-            ("sedgepitch_too_many", "Requests rejected for the load of this process.", engine.too_many),
-            ("sedgepitch_own_limit", "Concurrency limit of this process.", engine.own.limit),
-            ("sedgepitch_hurried", "Requests answered early since the loop was late.", engine.hurried),
+            ("sedgepitch_latest_seconds", "Longest lag of the event loop.", lag.longest),
+            ("sedgepitch_too_slow", "Requests rejected for the event loop's lag.", engine.rejected_for_lag),
+            (
+                "sedgepitch_too_many",
+                "Requests rejected for the load of this process.",
+                engine.rejected_for_load,
+            ),
+            ("sedgepitch_own_limit", "Concurrency limit of this process.", engine.process_limit.limit),
+            ("sedgepitch_hurried", "Requests answered early since the loop was late.", engine.answered_early),
         ]
         return [GaugeMetricFamily(name, text, value=value) for name, text, value in gauges]
 
@@ -71,10 +83,10 @@
         """Export an engine's counters, too."""
         self.registry.register(_EngineGauges(engine))
 
-    def answered(self, request: PendingRequest, response: Response, elapsed: float) -> None:
+    def answered(self, pending: PendingRequest, response: Response, elapsed: float) -> None:
         """Count one final answer, `elapsed` seconds after the request arrived, and its attempts."""
-        class_name = request.command.class_name or NO_CLASS
-        key = (class_name, response.verdict.value)
+        class_name = pending.request.class_name or NO_CLASS
+        key = (class_name, response.status.value)
         children = self._by_outcome.get(key)
         if children is None:
             children = (self.answers.labels(*key), self.seconds.labels(class_name))
@@ -82,7 +94,7 @@
         answers, seconds = children
         answers.inc()
         seconds.observe(elapsed)
-        for endpoint in request.endpoints:
+        for endpoint in pending.attempted_endpoints:
             attempts = self._by_endpoint.get(endpoint)
             if attempts is None:
                 attempts = self._by_endpoint[endpoint] = self.attempts.labels(str(endpoint))
