--- a/sedgepitch/routing/concurrency_limit.py
+++ b/sedgepitch/routing/concurrency_limit.py
@@ -67,8 +67,8 @@
         zone_ratio = 0.0
         if now - endpoint.last_answer_at > self.state.latency_objective:
             zone_ratio = self.latencies.zone_ratio.get(endpoint.zone, 0.0)
-        ease = max(LIMIT_MIN, min(1.0, (1.0 - zone_ratio) / (1.0 - HEADROOM_RATIO)))
-        allowed = endpoint.concurrency_limit * request.limit_share * share * ease
+        zone_factor = max(LIMIT_MIN, min(1.0, (1.0 - zone_ratio) / (1.0 - HEADROOM_RATIO)))
+        allowed = endpoint.concurrency_limit * request.limit_share * share * zone_factor
         in_flight = len(endpoint.in_flight)
         if request.primary_only:
             in_flight = sum(other.request.primary_only for other in endpoint.in_flight.values())
--- a/sedgepitch/routing/records.py
+++ b/sedgepitch/routing/records.py
@@ -21,7 +21,7 @@
 class EjectionReason(Enum):
     """Why an endpoint is kept from traffic."""
 
-    UNREACHABLE = "down"
+    UNREACHABLE = "unreachable"
     SILENT = "silent"
     FAILING = "failing"
 
--- a/sedgepitch/routing/response_deadlines.py
+++ b/sedgepitch/routing/response_deadlines.py
@@ -10,7 +10,7 @@
 OVERDUE_ANSWERS = 4.0  # times the mean latency after which an attempt that others overtook is taken for lost
 
 
-def silent_since(endpoint: Endpoint) -> float:
+def unanswered_since(endpoint: Endpoint) -> float:
     """Return since when the endpoint owes an answer, attempts that were overtaken left out."""
     overtaken = endpoint.overtaken
     attempts = endpoint.in_flight.items()
@@ -20,8 +20,9 @@
 
 def silence_deadline(endpoint: Endpoint, latencies: LatencyEstimates) -> float:
     """Return the time from which on the endpoint's silence is remarkable: sooner, the more it owes."""
-    owed = max(1, len(endpoint.in_flight) - len(endpoint.overtaken))
-    return silent_since(endpoint) + max(SILENCE_ANSWERS_MIN, SILENCE_ANSWERS / owed) * latencies.typical
+    unanswered = max(1, len(endpoint.in_flight) - len(endpoint.overtaken))
+    answers = max(SILENCE_ANSWERS_MIN, SILENCE_ANSWERS / unanswered)
+    return unanswered_since(endpoint) + answers * latencies.typical
 
 
 def overdue_after(endpoint: Endpoint, latencies: LatencyEstimates) -> float:
--- a/sedgepitch/routing/silence_detection.py
+++ b/sedgepitch/routing/silence_detection.py
@@ -10,7 +10,7 @@
 from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.outlier_detection import OutlierDetection
 from sedgepitch.routing.records import EjectionReason, Endpoint
-from sedgepitch.routing.response_deadlines import overdue_after, silence_deadline, silent_since
+from sedgepitch.routing.response_deadlines import overdue_after, silence_deadline, unanswered_since
 from sedgepitch.routing.state import RouterState
 
 
@@ -36,7 +36,7 @@
         if state.now < deadline:
             state.set_timer(deadline)
             return
-        since = silent_since(endpoint)
+        since = unanswered_since(endpoint)
         for attempt in list(endpoint.in_flight.values()):
             self.hedging.hedge(attempt.request)
         lost_connection = self.idle_connections.explains_silence(endpoint)
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -193,10 +193,7 @@
         """Put one event with those of the instance that it is for; raises InvalidInputError."""
         kind = read_required(item, "type", str, "items")
         if kind == "manifest":
-            lines = read_required(item, "lines", list, "manifest")
-            self.endpoint_lists[read_required(item, "rosterId", int, "manifest")] = tuple(
-                translate_entry(e) for e in lines
-            )
+            self.store_list(item)
             return
         if kind not in EVENTS and kind not in ("hello", "sync", "killed"):
             return
@@ -219,6 +216,12 @@
             self.translate_list(item) if kind == "sync" else EVENTS[kind](instance, item)
         )
 
+    def store_list(self, item: Wire) -> None:
+        """Keep a numbered endpoint list, which later events refer to; raises InvalidInputError."""
+        lines = read_required(item, "lines", list, "manifest")
+        entries = tuple(translate_entry(line) for line in lines)
+        self.endpoint_lists[read_required(item, "rosterId", int, "manifest")] = entries
+
     def translate_list(self, item: Wire) -> api.Event:
         """Translate an update of the endpoint list; raises InvalidInputError."""
         how = read_required(item, "how", str, "sync")
