--- /dev/null
+++ b/tests/test_golden_pool.py
@@ -0,0 +1,36 @@
+"""Golden runs of the connection pool: the same seed does the same as when the digests were recorded.
+
+`python -m tests.test_golden_pool` prints the digests of the present code, to record them anew where a change
+of behaviour is meant.
+"""
+
+from __future__ import annotations
+
+import json
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+from tests.support.golden_pool import PoolPlay
+
+DIGESTS = Path(__file__).parent / "golden" / "connection_pool.json"
+SEEDS = range(1, 41)
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_the_pool_does_as_recorded(seed):
+    assert PoolPlay(seed).play() == json.loads(DIGESTS.read_text())[str(seed)]
+
+
+def test_the_seeds_meet_every_kind_of_event():
+    kinds: Counter[str] = Counter()
+    for seed in SEEDS:
+        play = PoolPlay(seed)
+        play.play()
+        kinds.update(play.digest.kinds)
+    assert set(kinds) == {"pool", "start", "give up", "close", "closed", "judge", "ended", "withdraw"}
+
+
+if __name__ == "__main__":
+    print(json.dumps({str(seed): PoolPlay(seed).play() for seed in SEEDS}, indent=1))
