--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -131,7 +131,7 @@
 
     def _assign(self, connection: PooledConnection, attempt: PoolAttempt) -> None:
         connection.attempt = attempt
-        attempt.connection = connection
+        attempt.assigned_to = connection
 
     def _take_idle(self, now: float) -> PooledConnection | None:
         """Return the connection used last that is still good; those that are not are closed.
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -70,16 +70,12 @@
         self.attempt_observer: AttemptObserver | None = None
         self.stopping = False
         self.classes = {cls.name: cls for cls in router.settings.classes}
-
         self.event_loop_lag = EventLoopLag()
-        shortest_objective = min(cls.latency_objective for cls in router.settings.classes)
-        self.process_limit = ProcessConcurrencyLimit(TOLERABLE_WAIT_SHARE * shortest_objective)
-
+        self.process_limit = _process_limit(router.settings)
         self.rejected_for_load = 0  # by the limit on this process's own concurrency
         self.rejected_for_lag = 0  # on arrival: less time left than the deadline margin
         self.answered_early = 0  # before the router thought it time, since the lag had grown
         self.answered_by_last_guard = 0  # without a decision; above 0 is a defect
-
         self.request_table = RequestTable()
         self.callbacks = CallbackGuard(on_callback_error)
         self.completion = Completion(self)
@@ -157,3 +153,9 @@
         self.process_limit.record(seconds, in_process, now)
         if admission is not None:
             admission.process_limit = self.process_limit.limit
+
+
+def _process_limit(settings: api.Settings) -> ProcessConcurrencyLimit:
+    """Return a limit that tolerates a share of the shortest latency objective."""
+    shortest = min(cls.latency_objective for cls in settings.classes)
+    return ProcessConcurrencyLimit(TOLERABLE_WAIT_SHARE * shortest)
--- a/sedgepitch/core/pooled_connection.py
+++ b/sedgepitch/core/pooled_connection.py
@@ -54,7 +54,7 @@
     `sent_at` is when it came to the pool, `send_by` the moment after which it does not leave any more.
     """
 
-    __slots__ = ("connection", "has_started", "on_end", "payload", "send_by", "sent_at")
+    __slots__ = ("assigned_to", "has_started", "on_end", "payload", "send_by", "sent_at")
 
     def __init__(self, payload: object, on_end: AttemptCallback, now: float, send_by: float) -> None:
         """Make an attempt that came to the pool at `now`."""
@@ -63,7 +63,7 @@
         self.sent_at = now
         self.send_by = send_by
         self.has_started = False
-        self.connection: PooledConnection | None = None
+        self.assigned_to: PooledConnection | None = None
 
     def end(self, outcome: AttemptOutcome) -> None:
         """Tell the outcome, once."""
@@ -74,7 +74,7 @@
     def abandon(self) -> None:
         """Stop waiting for the outcome."""
         self.on_end = None
-        connection = self.connection
+        connection = self.assigned_to
         if connection is None or connection.attempt is not self:
             return
         if self.has_started:
@@ -94,9 +94,9 @@
         if not self.has_started:
             self.abandon()
             return True
-        pooled = self.connection
-        if pooled is not None and pooled.attempt is self:
-            pooled.close_if_unsent()
+        connection = self.assigned_to
+        if connection is not None and connection.attempt is self:
+            connection.close_if_unsent()
         return False
 
 
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -110,14 +110,14 @@
 
         The even part is of all that the tenant has queued, shared by its priority levels.
         """
-        ahead = sum(
+        backlog = sum(
             queued.cost
             for priority_weight, level in self.levels.items()
             if priority_weight >= request.priority_weight
             for queued in level.queues.get(request.client, ())
             if not queued.removed
         )
-        return max(ahead, self.cost * min(1.0, 1.0 / max(1, len(self.levels))))
+        return max(backlog, self.cost * min(1.0, 1.0 / max(1, len(self.levels))))
 
 
 class FairQueue:
--- a/sedgepitch/structures/wheel.py
+++ b/sedgepitch/structures/wheel.py
@@ -93,10 +93,10 @@
 
     def _place(self, entry: WheelEntry[T]) -> None:
         """Put an entry into the finest level that reaches its time; the coarsest takes all that is beyond."""
-        ahead = entry.due_tick - self.ticks_passed
+        ticks_left = entry.due_tick - self.ticks_passed
         level = 0
         ticks_per_slot = 1
-        while level < LEVELS - 1 and ahead >= SLOTS * ticks_per_slot:
+        while level < LEVELS - 1 and ticks_left >= SLOTS * ticks_per_slot:
             level += 1
             ticks_per_slot *= SLOTS
         tick = entry.due_tick
