--- a/sedgepitch/decisions/zones/evidence.py
+++ b/sedgepitch/decisions/zones/evidence.py
@@ -90,6 +90,7 @@
     """The digests of one moment, weighed."""
 
     def __init__(self, name: str, view: ZoneView) -> None:
+        """Weigh what a view holds, as seen from the instance of this name."""
         self.name = name
         self.view = view
         self.zone = view.own.zone
@@ -115,7 +116,7 @@
 
     # Verdicts
 
-    def heard_enough(self) -> bool:
+    def enough_received(self) -> bool:
         """Whether two thirds of the living were heard: before that a few would be a quorum."""
         return len(self.digests) * 3 >= self.view.alive * 2
 
--- a/sedgepitch/routing/attempt_results.py
+++ b/sedgepitch/routing/attempt_results.py
@@ -6,14 +6,10 @@
 
 from sedgepitch.routing.attempts import Attempts
 from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
+from sedgepitch.routing.idle_connections import IdleConnections
 from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.load_reports import LoadReports
-from sedgepitch.routing.messages import (
-    NEVER_RAN,
-    AttemptFinished,
-    AttemptResult,
-    Freshness,
-)
+from sedgepitch.routing.messages import NEVER_RAN, AttemptFinished, AttemptResult
 from sedgepitch.routing.outlier_detection import NOT_RUNNING, OutlierDetection
 from sedgepitch.routing.records import AttemptKey, Endpoint, InFlightAttempt, RoutedRequest
 from sedgepitch.routing.retries import Retries
@@ -47,6 +43,7 @@
     outlier_detection: OutlierDetection
     limits: ConcurrencyLimits
     latencies: LatencyEstimates
+    idle_connections: IdleConnections
     retries: Retries
     wait_queue: WaitQueue
 
@@ -57,9 +54,8 @@
         if endpoint is None or attempt is None:
             return
         request, group = attempt.request, self.state.groups[endpoint.group_id]
-        self.attempts.freshness.write_finished(request, event)
         self._learn(endpoint, attempt, event)
-        request.in_flight.pop(event.attempt)
+        self.attempts.closed(request, event.attempt)
         if group.waiting:
             self.wait_queue.place_waiting(group)
         if request.done or event.final:
@@ -93,8 +89,7 @@
             self._learn_from_broken_connection(endpoint, key, event.result)
         elif event.result is AttemptResult.TIMEOUT:
             self.outlier_detection.timed_out(endpoint, key)
-        if endpoint.trial == key:
-            endpoint.trial = None
+        self.outlier_detection.trial_ended(endpoint, key)
         if event.result in TIMED and not self.state.event_loop_blocked:
             self._learn_from_latency(endpoint, attempt, event, weight)
 
@@ -103,12 +98,12 @@
     ) -> None:
         now = self.state.now
         endpoint.last_answer_at = now
-        endpoint.connection_failures = 0
+        self.outlier_detection.answered(endpoint)
         self.state.last_answer_at = now
         if event.result is not AttemptResult.ERROR:
             self.outlier_detection.answered_well(endpoint, (event.request, event.attempt), weight)
-        elif request.request_class.freshness is not Freshness.WRITE:
-            request.errors.append(endpoint)
+        else:
+            self.outlier_detection.answered_with_error(endpoint, request)
         request.served = request.served or event.result is AttemptResult.OK
         self.outlier_detection.attribute_errors(request)
 
@@ -141,5 +136,5 @@
             group = self.state.groups[endpoint.group_id]
             record_latency(group, endpoint, request, event.elapsed)
         if result is AttemptResult.OK:
-            self.attempts.idle_connections.answered(endpoint)
+            self.idle_connections.answered(endpoint)
             self.latencies.observe_answer(request_class, event)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,10 +47,10 @@
 
 @pytest.fixture
 def platform(tmp_path):
-    """One driver on a played platform, its list known."""
+    """One proxy process on an emulated platform, its endpoint list known."""
     held = Platform(tmp_path)
     held.configure()
     held.start()
-    held.wait_for("list revision=1 complete=True remembered=False")
+    held.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
     yield held
     held.close()
