--- /dev/null
+++ b/tests/test_gossip_failure_detection.py
@@ -0,0 +1,124 @@
+"""One probe after another: ping, indirect probes, suspicion, local health and pauses of the own process."""
+
+from __future__ import annotations
+
+import pytest
+
+from sedgepitch.decisions.gossip.actions import Action, EventKind, SendDatagram, StreamPing, SyncState
+from sedgepitch.decisions.gossip.messages import (
+    Ack,
+    MembershipUpdate,
+    MemberState,
+    Message,
+    Nack,
+    Ping,
+    PingRequest,
+    UpdateMessage,
+)
+from sedgepitch.decisions.gossip.node import GossipNode
+from sedgepitch.decisions.gossip.settings import GossipSettings
+
+SETTINGS = GossipSettings()
+JOINED_AT = 0.0
+
+
+def node_of(*members: str) -> GossipNode:
+    """Return a node that knows these members; its first probe is due."""
+    node = GossipNode(SETTINGS, "own", ("127.0.0.1", 1), [], seed=3)
+    updates = tuple(MembershipUpdate(name, "127.0.0.1", 2, 0, int(MemberState.ALIVE)) for name in members)
+    node.on_datagram(JOINED_AT, members[0], UpdateMessage(updates))
+    return node
+
+
+def sent(actions: list[Action], kind: type[Message]) -> list[SendDatagram]:
+    """Return the datagrams that carry one kind of message."""
+    return [a for a in actions if isinstance(a, SendDatagram) and isinstance(a.message, kind)]
+
+
+def probe(node: GossipNode) -> tuple[str, int]:
+    """Let the node begin its first probe; returns target and sequence number."""
+    (ping,) = sent(node.on_timer(JOINED_AT), Ping)
+    return ping.to, ping.message.sequence
+
+
+def test_an_ack_ends_the_probe_and_improves_local_health():
+    node = node_of("a", "b")
+    node.health.adjust(2)
+    target, sequence = probe(node)
+    node.on_datagram(0.05, target, Ack(sequence))
+    assert node.health.score == 1
+    assert sent(node.on_timer(2 * SETTINGS.ping_timeout), PingRequest) == []
+    node.on_timer(2 * SETTINGS.probe_interval)
+    assert node.members[target].state is MemberState.ALIVE
+
+
+def test_a_silent_target_is_probed_by_others_and_by_stream_then_suspected():
+    node = node_of("a", "b", "c", "d", "e")
+    target, sequence = probe(node)
+    indirect = node.on_timer(SETTINGS.ping_timeout)
+    requests = sent(indirect, PingRequest)
+    assert len(requests) == SETTINGS.indirect_probes
+    assert {(r.message.target, r.message.sequence) for r in requests} == {(target, sequence)}
+    assert [a.to for a in indirect if isinstance(a, StreamPing)] == [target]
+    for request in requests:
+        node.on_datagram(0.2, request.to, Nack(sequence))
+    actions = node.on_timer(SETTINGS.probe_interval)
+    assert node.members[target].state is MemberState.SUSPECT and node.members[target].accusers == {"own"}
+    assert any(isinstance(action, SyncState) for action in actions)
+    assert node.health.score == 0, "all nacks came: this node hears well"
+    assert EventKind.SUSPECTED in {event.kind for event in node.take_events()}
+
+
+def test_missing_nacks_speak_against_the_own_health():
+    node = node_of("a", "b", "c", "d", "e")
+    probe(node)
+    node.on_timer(SETTINGS.ping_timeout)
+    node.on_timer(SETTINGS.probe_interval)
+    assert node.health.score == SETTINGS.indirect_probes
+    slowed = SETTINGS.ping_timeout * (1 + SETTINGS.indirect_probes)
+    assert node.detector.due == pytest.approx(SETTINGS.probe_interval + slowed)
+
+
+def test_an_answer_over_a_stream_ends_the_probe():
+    node = node_of("a", "b")
+    target, _ = probe(node)
+    node.on_timer(SETTINGS.ping_timeout)
+    node.stream_ping_answered(0.2, target)
+    node.on_timer(SETTINGS.probe_interval)
+    assert node.members[target].state is MemberState.ALIVE
+
+
+@pytest.mark.parametrize("answered", [True, False])
+def test_a_relayed_probe_ends_with_an_ack_or_a_nack(answered):
+    node = node_of("a", "b")
+    (ping,) = sent(node.on_datagram(0.01, "a", PingRequest(77, "b")), Ping)
+    if answered:
+        (reply,) = sent(node.on_datagram(0.02, "b", Ack(ping.message.sequence)), Ack)
+    else:
+        (reply,) = sent(node.on_timer(0.01 + SETTINGS.ping_timeout), Nack)
+    assert (reply.to, reply.message.sequence) == ("a", 77)
+    assert not node.detector.relayed
+
+
+def test_a_suspicion_is_the_shorter_the_more_accuse():
+    node = node_of("a", "b")
+    member = node.members["a"]
+    timeouts = []
+    for accuser in ("w", "x", "y", "z"):
+        node.membership.suspect(1.0, member, accuser)
+        timeouts.append(node.membership.suspicion_timeout(member))
+    minimum = SETTINGS.suspicion_multiplier * SETTINGS.probe_interval
+    assert timeouts == sorted(timeouts, reverse=True)
+    assert timeouts[0] == pytest.approx(SETTINGS.suspicion_max_multiplier * minimum)
+    assert timeouts[-1] == pytest.approx(minimum)
+
+
+def test_a_pause_of_the_own_process_drops_the_probe_and_extends_suspicions():
+    node = node_of("a", "b")
+    probe(node)
+    node.membership.suspect(0.0, node.members["a"], "b")
+    late = SETTINGS.pause_threshold + 60.0
+    node.on_timer(node.due() + late)
+    assert node.pauses == 1 and node.health.score == 2
+    assert node.members["a"].state is MemberState.SUSPECT
+    assert node.members["b"].state is MemberState.ALIVE
