--- a/sedgepitch/cli/serve.py
+++ b/sedgepitch/cli/serve.py
@@ -28,17 +28,17 @@
     from sedgepitch.cli.reactors import install
     from sedgepitch.observe import log
 
-    log.set_up(settings.log.level, settings.log.format, settings.log.lines_per_second)
+    log.configure(settings.log.level, settings.log.format, settings.log.lines_per_second)
     reactor = install(settings.driver.reactor)
     if worker:
         settings = worker_settings(settings, worker, workers)
     from twisted.internet.error import CannotListenError
 
-    from sedgepitch.cli.daemon import Driver
+    from sedgepitch.cli.daemon import ProxyDaemon
 
     try:
-        driver = Driver(reactor, settings, share_port=bool(worker))
-        driver.start(lambda host, port: click.echo(f"ready {host}:{port}"))
+        proxy = ProxyDaemon(reactor, settings, share_port=bool(worker))
+        proxy.start(lambda host, port: click.echo(f"ready {host}:{port}"))
     except CannotListenError as error:
         raise click.ClickException(f"cannot listen on {error.interface}:{error.port}") from None
     except OSError as error:
@@ -49,9 +49,9 @@
 
     def reload(_number: int, _frame: FrameType | None) -> None:
         try:
-            reactor.callFromThread(driver.reload, load(path))
+            reactor.callFromThread(proxy.reload, load(path))
         except SettingsError as error:
             click.echo(f"not reloaded: {error}", err=True)
 
     signal.signal(signal.SIGHUP, reload)
-    run_until_signalled(reactor, driver.stop)
+    run_until_signalled(reactor, proxy.stop)
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -42,20 +42,20 @@
 class ConnectionBudget(Protocol):
     """Bounds the descriptors of all pools together."""
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Take a descriptor; False where none is free."""
 
-    def give(self) -> None:
+    def release(self) -> None:
         """Give one back."""
 
 
 class _Unlimited:
     """A budget without a bound."""
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         pass
 
 
@@ -102,7 +102,7 @@
             return attempt
         if len(self.connections) >= self.limits.max_connections or self.closed:
             return self._end_soon(attempt, AttemptResult.CONNECT_FAILED, ALL_IN_USE)
-        if not self.budget.take():
+        if not self.budget.acquire():
             return self._end_soon(attempt, AttemptResult.NOT_SENT, NO_DESCRIPTOR)
         connection = PooledConnection(self)
         self.connections.add(connection)
@@ -196,6 +196,6 @@
         if connection in self.connections:
             self.connections.discard(connection)
             connection.forget_opening()
-            self.budget.give()
+            self.budget.release()
         if connection in self.idle:
             self.idle.remove(connection)
