--- a/sedgepitch/decisions/zones/controller.py
+++ b/sedgepitch/decisions/zones/controller.py
@@ -147,8 +147,8 @@
         if command is not None:
             self._leaving.begin(zone, evidence, command)
             return
-        settled = now - zone.state_since >= self.table.settings.relapse_grace
-        if verdict_holds and settled and alternatives(zone, evidence, self.table):
+        past_grace = now - zone.state_since >= self.table.settings.relapse_grace
+        if verdict_holds and past_grace and alternatives(zone, evidence, self.table):
             self.recovery.relapse(zone, now)
         else:
             self.recovery.advance(zone, evidence)
