--- /dev/null
+++ b/tests/test_golden_protocols.py
@@ -0,0 +1,37 @@
+"""Golden traffic of both protocols: the same seed gives the same bytes as when the digests were recorded.
+
+`python -m tests.test_golden_protocols` prints the digests of the present code, to record them anew where a
+change of behaviour is meant.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+
+from tests.support.golden_mongodb import MongodbPlay
+from tests.support.golden_postgresql import PostgresqlPlay
+from tests.support.golden_protocols import Play
+
+DIGESTS = Path(__file__).parent / "golden" / "protocols.json"
+SEEDS = range(1, 21)
+PLAYS: dict[str, type[Play]] = {"mongodb": MongodbPlay, "postgresql": PostgresqlPlay}
+
+
+def recorded() -> dict[str, dict[str, str]]:
+    """Return the recorded digests by protocol and seed."""
+    return json.loads(DIGESTS.read_text())
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+@pytest.mark.parametrize("protocol", PLAYS)
+def test_the_protocol_writes_what_was_recorded(protocol, seed):
+    assert PLAYS[protocol](seed).run() == recorded()[protocol][str(seed)]
+
+
+if __name__ == "__main__":
+    print(
+        json.dumps({name: {str(s): play(s).run() for s in SEEDS} for name, play in PLAYS.items()}, indent=1)
+    )
