--- a/sedgepitch/node/driver.py
+++ b/sedgepitch/node/driver.py
@@ -19,7 +19,8 @@
 from sedgepitch.node.config import Config
 from sedgepitch.node.lines import Lines
 from sedgepitch.node.opening import PortOpening
-from sedgepitch.protocols.postgresql.client import ClientFactory, Front
+from sedgepitch.protocols.postgresql.client import ClientFactory
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
 from sedgepitch.protocols.postgresql.close_reasons import CloseReport
 from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing import messages as api
@@ -56,7 +57,7 @@
             ),
             self.descriptors,
             wall,
-            probe_within=config.connect_within,
+            health_check_timeout=config.connect_within,
         )
         if lines.tracing:
             from sedgepitch.node.trace import Trace, TracedRouter
@@ -75,11 +76,11 @@
             handover=HANDOVER,
             on_fault=self._fault,
         )
-        self.front = Front(self.engine, self.clock, self.engine.classes, wall, self.descriptors)
+        self.front = ClientListener(self.engine, self.clock, self.engine.classes, wall, self.descriptors)
         self.front.closes.report = self._client_closed
-        self.endpoints.heard = self._heard
-        self.endpoints.forgotten = self._forgotten
-        self.endpoints.say = lines.say
+        self.endpoints.on_bytes_arrived = self._heard
+        self.endpoints.on_forgotten = self._forgotten
+        self.endpoints.log_event = lines.say
         self.catalog = DiscoveryClient(
             reactor,
             self.clock,
@@ -174,7 +175,7 @@
         """End in order; calls back once nothing is owed. See `shutdown_schedule`."""
         now = self.clock.now()
         ending = ShutdownSchedule(now, max(c.deadline for c in self.config.settings.classes))
-        self.front.ends(ending)
+        self.front.begin_shutdown(ending)
         self.engine.hurry(ending.answered_by)
         if self.opening is not None:
             self.opening.cancel()
@@ -189,7 +190,7 @@
                 if self.port.accept_all() or now >= ending.closing_from:
                     port, self.port = self.port, None
                     port.stopListening()
-            self.front.close_free()
+            self.front.close_idle_connections()
             if not ending.over(
                 now, self.port is not None, len(self.front.connections), self.engine.request_table.pending
             ):
@@ -261,16 +262,16 @@
             "accounts": len(engine.request_table.accounts),
             "clients": self.descriptors.clients,
             "accepted": front.accepted,
-            "resting": len(front.visitors.resting),
-            "silent": len(front.visitors.silent),
-            "talking": len(front.visitors.talking),
+            "resting": len(front.activity.resting),
+            "silent": len(front.activity.silent),
+            "talking": len(front.activity.talking),
             "to_members": self.descriptors.endpoints,
             "no_descriptor": self.descriptors.refused,
             "bad": front.bad_messages + front.bad_statements,
-            "timed_out": front.visitors.overdue,
-            "evicted": front.visitors.evicted,
-            "spoilt": self.endpoints.spoilt,
-            "unread_reports": self.endpoints.unread_reports,
+            "timed_out": front.activity.overdue,
+            "evicted": front.activity.evicted,
+            "spoilt": self.endpoints.malformed_answers,
+            "unread_reports": self.endpoints.unread_load_reports,
             "reserve_ms": round(engine.event_loop_lag.reserve(now) * 1000.0, 1),
             "latest_ms": round(engine.event_loop_lag.peak * 1000.0, 1),
             "too_many": engine.too_many,
@@ -287,7 +288,7 @@
         for endpoint in self.engine.router.endpoints.values():
             if endpoint.id not in self.membership.present:
                 continue
-            link = self.endpoints.links.get(endpoint.id)
+            link = self.endpoints.pools.get(endpoint.id)
             lanes = (len(link.pool.lanes), len(link.pool.idle)) if link else (0, 0)
             role = "P" if self.engine.router.groups[endpoint.group].primary is endpoint else "r"
             words.append(
--- /dev/null
+++ b/sedgepitch/protocols/common/callbacks.py
@@ -0,0 +1,5 @@
+"""The default of optional callbacks."""
+
+
+def ignore(*_arguments: object, **_fields: object) -> None:
+    """Do nothing."""
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -1,452 +1,286 @@
-"""The clients' side of the platform's protocol: one connection each, one statement at a time on it.
+"""One client connection of the PostgreSQL protocol: reading, start-up, flow control and closing.
 
-What a client sends ahead waits unread, up to a bound. Who says nothing, or half of something, is closed by
-the time since it came or since that half began. What cannot be read ends its connection with an error, what
-reads but is not served gets an error; neither touches another client, and nothing of it goes to a member.
+A client executes one statement at a time. What it sends ahead is buffered up to a bound, after which its
+socket is not read. Whoever sends nothing, or an incomplete message, is closed by the time since it connected
+or since that message began. Bytes that are no message end their connection with an error; a statement that
+is not served gets an error. Neither touches another client, and nothing of it goes to an endpoint.
 """
 
 from __future__ import annotations
 
-import errno
-from collections.abc import Mapping
 from typing import Any
 
-from twisted.internet.error import ConnectionDone, ConnectionLost
-from twisted.internet.interfaces import IPushProducer
-from twisted.internet.protocol import Factory, Protocol, connectionDone
+from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
-from zope.interface import implementer
 
-from sedgepitch.core.engine import Engine
 from sedgepitch.core.request_table import PendingRequest
-from sedgepitch.core.types import ClientRequest, Clock, Response, ResponseStatus
-from sedgepitch.decisions.connections.client_connections import ClientConnections
-from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
-from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
 from sedgepitch.net import transport
-from sedgepitch.protocols.postgresql import codec, statements
-from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason, CloseReport
-from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
-from sedgepitch.protocols.postgresql.statements import BadStatement, Statement
-from sedgepitch.routing.messages import Freshness, RequestClass
-
-ANSWER_MARGIN = 0.015  # s before the client's time is up at which its answer is decided; more than a tick
-READ_AHEAD = 64 * 1024  # bytes that any client may send ahead before its socket is left unread
-# A client's end stands behind all that it sent, and does not even arrive here while the system's buffers are
-# full of it. So a few may be read further, to see whether they are still there.
-FAR_AHEAD, FAR_CLIENTS = 512 * 1024, 16  # bytes; how many clients at once
-LOOK_EVERY = 0.1  # s between looks at who is too slow, and who has left unread
-LEFT_AFTER = 0.05  # s after which it is asked whether the client of what is now read is still there
-DRAIN = 256 * 1024  # bytes read and dropped behind an error, so that the error arrives
-DRAIN_WITHIN = 0.5  # s for that
-REFUSED, FAILED, BROKEN, ENDING = "53300", "58000", "08P01", "57P03"
-
-
-class Front:
-    """What all connections of one listener share."""
-
-    def __init__(
-        self,
-        engine: Engine,
-        clock: Clock,
-        classes: Mapping[str, RequestClass],
-        wall: float,
-        descriptors: DescriptorBudget,
-    ) -> None:
-        self.engine, self.clock, self.classes, self.wall = engine, clock, classes, wall
-        self.descriptors = descriptors
-        settings = engine.router.settings
-        self.most_come_back = (
-            settings.max_retry_after if settings.retry_after else 0.0
-        )  # s; 0 where none is told
-        self.open_ids: dict[bytes, ClientConnection] = {}
-        self.connections: set[ClientConnection] = set()
-        self.visitors: ClientConnections[ClientConnection] = ClientConnections(descriptors.clients_most)
-        self.accepted = self.bad_messages = self.bad_statements = 0
-        self.far: set[ClientConnection] = set()  # that are read beyond READ_AHEAD
-        self.unread: set[ClientConnection] = set()  # whose sockets are left unread for what they sent ahead
-        self.closes = CloseLog()
-        self.left_unread = self.left_waiting = 0  # clients found gone behind bytes that were not read yet
-        self.closing_from = float("inf")  # from then on connections without a request are closed
-        self.answered_by = float("inf")  # by then this driver ends, and whatever it took is answered
-        clock.call_later(LOOK_EVERY, self._due)
-
-    def _due(self) -> None:
-        self.clock.after_reading(self._look, self.clock.now())
-
-    def _look(self, at: float) -> None:
-        for connection in self.visitors.too_slow(at):
-            connection.too_slow()
-        for connection in list(self.unread):
-            if transport.left(connection.transport):
-                self.left_unread += 1
-                connection.leave()
-        self.clock.call_later(LOOK_EVERY, self._due)
-
-    def ends(self, ending: ShutdownSchedule) -> None:
-        """This driver ends: from now on times are cut to that."""
-        self.closing_from, self.answered_by = ending.closing_from, ending.answered_by
-
-    def room_from(self, newcomer: ClientConnection, now: float) -> ClientConnection:
-        """Who goes for a newcomer: never one whose request lies unread, which would be lost with it."""
-        while (goes := self.visitors.make_room(now)) is not None:
-            if transport.quiet(goes.transport):
-                return goes
-        return newcomer
-
-    def free_descriptor(self) -> None:
-        """Close the client that can best be spared; none that is busy or whose request lies unread."""
-        while (goes := self.visitors.make_room(self.clock.now())) is not None:
-            if transport.quiet(goes.transport):
-                goes.end(CloseReason.EVICTED)  # in order: its next request may be on its way
-                return
-
-    def close_free(self) -> None:
-        """Where it is time, close whoever has nothing under way."""
-        now = self.clock.now()
-        if now >= self.closing_from:
-            for connection in list(self.connections):
-                connection.close_free(now >= self.answered_by)
-
-
-@implementer(IPushProducer)
-class _Outlet:
-    """Told by the transport when the client does not take its answers, and when it does again."""
-
-    def __init__(self, connection: ClientConnection) -> None:
-        self.connection = connection
+from sedgepitch.protocols.common.client_side import NumberingFactory, WritePressure
+from sedgepitch.protocols.common.transports import arrival_time
+from sedgepitch.protocols.postgresql import codec
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
+from sedgepitch.protocols.postgresql.client_state import BUSY_STATES, READING_STATES, ClientState
+from sedgepitch.protocols.postgresql.close_reasons import CloseReason, CloseReport, reason_of_loss
+from sedgepitch.protocols.postgresql.codec import MalformedMessage, Reader
 
-    def pauseProducing(self) -> None:
-        """Too much is unsent."""
-        connection = self.connection
-        connection.clogged = True
-        connection.front.visitors.stuck(connection, connection.front.clock.now())
-
-    def resumeProducing(self) -> None:
-        """All of it has gone."""
-        connection = self.connection
-        connection.clogged = False
-        connection.front.visitors.unstuck(connection)
-        connection.advance()
-
-    def stopProducing(self) -> None:
-        """The connection ends."""
+DRAIN_BYTES_MAX = 256 * 1024  # read and dropped behind an error, so that the error arrives
+DRAIN_TIME_MAX_S = 0.5
+SQLSTATE_PROTOCOL_VIOLATION = "08P01"
+SQLSTATE_CANNOT_CONNECT_NOW = "57P03"
 
 
 class ClientConnection(Protocol):
-    """One client."""
+    """One client. `number` counts the listener's connections from the start of the process."""
 
     transport: Any
 
-    def __init__(self, front: Front, number: int) -> None:
-        self.front, self.number = front, number
+    def __init__(self, listener: ClientListener, number: int) -> None:
+        self.listener = listener
+        self.number = number
+        self.state = ClientState.STARTUP
         self.reader = Reader(codec.FROM_CLIENT)
-        self.account: PendingRequest | None = None
-        self.greeted = self.busy = self.clogged = self.stopped = False
-        self.ending = False  # an error has been said; what still comes is dropped
-        self.dropped = 0
-        self.since = 0.0  # when the first byte of what is unread came
-        self.accepted_at = front.clock.now()
+        self.request: PendingRequest | None = None
+        self.write_blocked = False
+        self.reads_paused = False
+        self.dropped_bytes = 0  # that came while CLOSING
+        self.message_since = 0.0  # when the first byte of what is buffered arrived
+        self.accepted_at = listener.clock.now()
         self.close_reason: CloseReason | None = None  # the first that this side had
 
-    # Flow
+    # Reading
 
     def connectionMade(self) -> None:
-        """Count it, and make room where there is none."""
-        front = self.front
-        front.connections.add(self)
-        now = front.clock.now()
-        if not front.descriptors.client_came():
-            goes = front.room_from(self, now)
-            goes.abort(CloseReason.EVICTED)
-            if goes is self:
+        """Count the connection, and close one where there is no descriptor for it."""
+        listener = self.listener
+        listener.connections.add(self)
+        now = listener.clock.now()
+        if not listener.descriptors.client_came():
+            evicted = listener.evict_for(self, now)
+            evicted.abort(CloseReason.EVICTED)
+            if evicted is self:
                 return
         self.transport.set_no_delay()
-        self.transport.registerProducer(_Outlet(self), True)
-        front.visitors.came(self, now)
+        self.transport.registerProducer(WritePressure(self), True)
+        listener.activity.came(self, now)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes; while a statement is under way they only gather."""
-        front = self.front
-        if self.ending:
-            self.dropped += len(data)
-            if self.dropped > DRAIN:
-                self.abort(CloseReason.FLOODED)
+        """Buffer bytes, and execute what is complete unless a statement is in flight."""
+        listener = self.listener
+        if self.state is ClientState.CLOSING:
+            self._drop(data)
             return
-        arrived = getattr(self.transport, "arrived", 0.0)
-        if arrived and not self.stopped:
-            now = front.clock.now()
-            front.engine.waited(self.transport.read_delay(now), now)
+        arrived = arrival_time(self.transport)
+        if arrived and not self.reads_paused:
+            now = listener.clock.now()
+            listener.engine.waited(self.transport.read_delay(now), now)
         if not self.reader.held:
-            self.since = arrived or front.clock.now()
-            front.visitors.spoke(self)
+            self.message_since = arrived or listener.clock.now()
+            listener.activity.spoke(self)
         self.reader.feed(data)
         self.advance()
-        if self.busy and self.reader.held > READ_AHEAD and not self.stopped:
-            if self.reader.held <= FAR_AHEAD and (self in front.far or len(front.far) < FAR_CLIENTS):
-                front.far.add(self)
-                return
-            self.stopped = True
-            front.unread.add(self)
-            self.transport.pauseProducing()
+        if self.state in BUSY_STATES and not self.reads_paused:
+            listener.read_ahead.limit(self)
+
+    def _drop(self, data: bytes) -> None:
+        self.dropped_bytes += len(data)
+        if self.dropped_bytes > DRAIN_BYTES_MAX:
+            self.abort(CloseReason.FLOODED)
+
+    # Messages
 
     def advance(self) -> None:
-        """Go on with what is here, one statement a turn: who sends hundreds keeps nobody waiting."""
-        front = self.front
-        if self.busy or self.clogged or self.ending:
+        """Execute the next buffered message, one a turn: a client that sends hundreds delays no other."""
+        if self.write_blocked or self.state not in READING_STATES:
             return
         try:
-            if not self.greeted:
-                self._greet()
-            if self.greeted and not self.busy and (found := self.reader.next()) is not None:
-                self._message(found[0], found[1])
-        except BadMessage as error:
-            front.bad_messages += 1
-            self.end(CloseReason.BAD_MESSAGE, codec.error(BROKEN, str(error), fatal=True))
+            self._next_message()
+        except MalformedMessage as error:
+            self.listener.bad_messages += 1
+            message = codec.error(SQLSTATE_PROTOCOL_VIOLATION, str(error), fatal=True)
+            self.end(CloseReason.BAD_MESSAGE, message)
             return
-        if self.reader.held <= READ_AHEAD // 2:
-            front.far.discard(self)
-            if self.stopped and not self.ending:
-                self._read_on()
-        if self.busy or self.ending:
+        self.listener.read_ahead.relax(self)
+        self._note_activity()
+
+    def _next_message(self) -> None:
+        if self.state is ClientState.STARTUP:
+            self._start_up()
+        if self.state is not ClientState.READY:
+            return
+        message = self.reader.next()
+        if message is None:
             return
-        if not self.greeted or self.reader.held:
-            front.visitors.unfinished(self, front.clock.now())
-        elif (goes := front.visitors.rests(self, front.clock.now())) is not None:
-            if transport.quiet(goes.transport):
-                goes.end(CloseReason.REST_LIMIT)
-
-    def _greet(self) -> None:
-        while (found := self.reader.startup()) is not None:
-            code, body = found
-            if code == codec.CANCEL:
+        kind, raw = message
+        if kind == codec.TERMINATE:
+            self.end(CloseReason.TERMINATED)
+            return
+        if raw[-1]:
+            raise MalformedMessage("a statement without its end")
+        self.listener.statements.execute(self, raw[codec.HEADER_BYTES : -1])
+
+    def _start_up(self) -> None:
+        while (message := self.reader.startup()) is not None:
+            code, body = message
+            if code == codec.CANCEL_REQUEST:
                 self.end(CloseReason.TERMINATED)
                 return
-            if code in (codec.SSL, codec.GSS):
+            if code in (codec.SSL_REQUEST, codec.GSS_REQUEST):
                 self.transport.write(b"N")
                 continue
             codec.startup_parameters(body)
-            self.greeted = True
+            self.state = ClientState.READY
             self.transport.write(codec.WELCOME + codec.key_data(self.number) + codec.READY)
             return
 
-    def too_slow(self) -> None:
-        """Half of something, or nothing, for too long; or an answer that is not taken."""
-        if self.clogged or self.ending:
-            self.abort(CloseReason.NOT_TAKEN)
+    def _note_activity(self) -> None:
+        """Tell the listener whether this client is in the middle of a message or idle."""
+        if self.state not in READING_STATES:
+            return
+        listener = self.listener
+        now = listener.clock.now()
+        if self.state is ClientState.STARTUP or self.reader.held:
+            listener.activity.unfinished(self, now)
+            return
+        evicted = listener.activity.rests(self, now)
+        if evicted is not None and transport.quiet(evicted.transport):
+            evicted.end(CloseReason.REST_LIMIT)
+
+    # Statements
+
+    def begin_request(self) -> None:
+        """A statement becomes a pending request."""
+        self.state = ClientState.EXECUTING
+        self.listener.activity.busy(self)
+
+    def send_response(self, message: bytes) -> None:
+        """Send the response of the pending request."""
+        self.transport.write(message)
+        self.finish_statement()
+        if self.state is ClientState.READY:
+            self.listener.clock.soon(self._advance_if_open)
+
+    def finish_statement(self) -> None:
+        """A statement has been answered; what was sent ahead is executed in a later turn."""
+        if self.reader.held:
+            self.state = ClientState.YIELDING
+            self.listener.clock.soon(self._end_yield)
         else:
-            last = codec.error(BROKEN, "nothing whole came in time", fatal=True)
-            self.end(CloseReason.TOO_SLOW, last)
+            self.state = ClientState.READY
 
-    def abort(self, reason: CloseReason) -> None:
-        """Close at once, with a reset."""
-        self._closes(reason)
-        self.transport.abortConnection()
+    def _end_yield(self) -> None:
+        if self.state is not ClientState.YIELDING:
+            return
+        self.state = ClientState.READY
+        self.message_since = self.listener.clock.now()  # waiting behind earlier statements does not count
+        self._advance_if_open()
 
-    def _closes(self, reason: CloseReason) -> None:
-        if self.close_reason is None:
-            self.close_reason = reason
+    def _advance_if_open(self) -> None:
+        if self in self.listener.connections:
+            self.advance()
 
-    def end(self, reason: CloseReason, last: bytes = b"") -> None:
-        """Say the last thing, read on a little so that it arrives, and close."""
-        front = self.front
-        self._closes(reason)
-        self.ending = True
-        front.visitors.left(self)
-        if last:
-            self.transport.write(last)
-        self.reader = Reader({})
-        if hasattr(self.transport, "loseWriteConnection"):
-            self.transport.loseWriteConnection()
-        if self.stopped:
-            self._read_on()
-        front.clock.call_later(DRAIN_WITHIN, self._close)
-
-    def _read_on(self) -> None:
-        self.stopped = False
-        self.front.unread.discard(self)
-        self.transport.resumeProducing()
-
-    def leave(self) -> None:
-        """The client has left, though its end has not been read: nothing is owed or sent from here on."""
-        self._forget_request()
-        self.ending = True
-        self.reader = Reader({})
-        self.abort(CloseReason.LEFT_UNREAD)
+    # Back-pressure
+
+    def on_write_blocked(self) -> None:
+        """The client does not read its responses."""
+        self.write_blocked = True
+        self.listener.activity.stuck(self, self.listener.clock.now())
+
+    def on_write_drained(self) -> None:
+        """The client has been sent all responses."""
+        self.write_blocked = False
+        self.listener.activity.unstuck(self)
+        self.advance()
+
+    # Closing
+
+    def time_out(self) -> None:
+        """Close a client that sent nothing or an incomplete message, or did not read, for too long."""
+        if self.write_blocked or self.state is ClientState.CLOSING:
+            self.abort(CloseReason.NOT_TAKEN)
+        else:
+            message = codec.error(SQLSTATE_PROTOCOL_VIOLATION, "nothing whole came in time", fatal=True)
+            self.end(CloseReason.TOO_SLOW, message)
 
-    def close_free(self, last: bool) -> None:
-        """This driver ends: close, unless something is under way here or lies unread.
+    def close_if_idle(self, last: bool) -> None:
+        """Close for a shutdown, unless something is in flight here or lies unread.
 
-        `last`: also where half of something has come, which nobody will wait for.
+        `last` closes also where an incomplete message is buffered, which nobody will wait for.
         """
-        if self.busy or self.ending or not transport.quiet(self.transport):
+        if self.state in BUSY_STATES or self.state is ClientState.CLOSING:
+            return
+        if not transport.quiet(self.transport):
             return
         if not self.reader.held:
             self.end(CloseReason.SHUTDOWN)
         elif last:
-            self.end(CloseReason.SHUTDOWN, codec.error(ENDING, "this driver ends", fatal=True))
+            message = codec.error(SQLSTATE_CANNOT_CONNECT_NOW, "this driver ends", fatal=True)
+            self.end(CloseReason.SHUTDOWN, message)
+
+    def end(self, reason: CloseReason, last_message: bytes = b"") -> None:
+        """Send the last message, read on for a little so that it arrives, and close."""
+        listener = self.listener
+        self._note_close_reason(reason)
+        self.state = ClientState.CLOSING
+        listener.activity.left(self)
+        if last_message:
+            self.transport.write(last_message)
+        self.reader = Reader({})
+        if hasattr(self.transport, "loseWriteConnection"):
+            self.transport.loseWriteConnection()
+        if self.reads_paused:
+            listener.read_ahead.resume(self)
+        listener.clock.call_later(DRAIN_TIME_MAX_S, self._abort_if_open)
+
+    def abandon(self) -> None:
+        """Cancel the request of a client found disconnected before the end of its stream was read."""
+        self._cancel_request()
+        self.state = ClientState.CLOSING
+        self.reader = Reader({})
+        self.abort(CloseReason.LEFT_UNREAD)
+
+    def abort(self, reason: CloseReason) -> None:
+        """Close at once, with a reset."""
+        self._note_close_reason(reason)
+        self.transport.abortConnection()
 
-    def _close(self) -> None:
-        if self in self.front.connections:
+    def _abort_if_open(self) -> None:
+        if self in self.listener.connections:
             self.transport.abortConnection()
 
+    def _note_close_reason(self, reason: CloseReason) -> None:
+        if self.close_reason is None:
+            self.close_reason = reason
+
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """The connection has ended, by either side."""
-        front = self.front
-        front.closes.closed(self._close_report(reason))
-        front.connections.discard(self)
-        front.visitors.left(self)
-        front.unread.discard(self)
-        front.far.discard(self)
-        front.descriptors.client_left()
-        self._forget_request()
+        listener = self.listener
+        listener.closes.closed(self._close_report(reason))
+        listener.connections.discard(self)
+        listener.activity.left(self)
+        listener.read_ahead.forget(self)
+        listener.descriptors.client_left()
+        self._cancel_request()
 
     def _close_report(self, lost: Failure) -> CloseReport:
-        account = self.account
+        request = self.request
         return CloseReport(
             number=self.number,
-            reason=self.close_reason or _reason_of(lost),
+            reason=self.close_reason or reason_of_loss(lost),
             detail=lost.getErrorMessage(),
-            request=account.command.payload.id.decode("ascii", "replace") if account is not None else "",
-            attempts=account.attempts if account is not None else 0,
+            request=request.command.payload.id.decode("ascii", "replace") if request is not None else "",
+            attempts=request.attempts if request is not None else 0,
             read_bytes=self.reader.held,
-            lasted=self.front.clock.now() - self.accepted_at,
+            lasted=self.listener.clock.now() - self.accepted_at,
         )
 
-    def _forget_request(self) -> None:
-        if self.account is not None:
-            account, self.account = self.account, None
-            self.front.open_ids.pop(account.command.payload.id, None)
-            self.front.engine.gone(account)
-
-    # Statements
-
-    def _message(self, kind: bytes, raw: bytes) -> None:
-        if kind == b"X":
-            self.end(CloseReason.TERMINATED)
-            return
-        if raw[-1]:
-            raise BadMessage("a statement without its end")
-        text = raw[5:-1]
-        if not text or not text.strip(b" \t\r\n;"):
-            self.transport.write(codec.EMPTY)
-            self._next()
-            return
-        front = self.front
-        front.engine.before_reading()
-        try:
-            statement = statements.read(text, front.classes)
-            if not self._id_free(statement.id):
-                raise BadStatement("id: a request of this id is open", "42710")
-        except BadStatement as error:
-            front.bad_statements += 1
-            self.transport.write(codec.error(error.code, str(error)) + codec.READY)
-            self._next()
-            return
-        self._submit(statement)
-
-    def _id_free(self, request: bytes) -> bool:
-        """Whether no request of this id is open; that of a client who left before any attempt is not."""
-        owner = self.front.open_ids.get(request)
-        if owner is None:
-            return True
-        if owner.account is None or owner.account.attempts or not transport.left(owner.transport):
-            return False
-        owner.leave()
-        return True
-
-    def _next(self) -> None:
-        """Answered: what was sent ahead is taken by a later turn."""
-        self.busy = False
-        if self.reader.held:
-            self.busy = True
-            self.front.clock.soon(self._go_on)
-
-    def _go_on(self) -> None:
-        self.busy = False
-        self.since = self.front.clock.now()  # the time waiting for those ahead does not count
-        if self in self.front.connections:
-            self.advance()
-
-    def _submit(self, statement: Statement) -> None:
-        front, now = self.front, self.front.clock.now()
-        arrived = min(now, self.since) if self.since else now
-        # Guards against work for a client who left while its bytes lay unread, by this driver's own delay or
-        # behind what it sent ahead. May hurt: one more system call for what was read late.
-        if (now - arrived > LEFT_AFTER or self.stopped) and transport.left(self.transport):
-            front.left_waiting += 1
-            self.leave()
-            return
-        time_left = min(statement.time_left, front.answered_by - arrived)
-        statement.until = arrived + time_left
-        age = 0.0
-        if statement.after and statement.cls.freshness is Freshness.SESSION:
-            age = max(1e-6, now + front.wall - statement.after / 1000.0)
-        session = statement.session if statement.cls.freshness in (Freshness.WRITE, Freshness.SESSION) else ""
-        command = ClientRequest(
-            statement.cls.name,
-            statement.group,
-            time_left - ANSWER_MARGIN,
-            statement,
-            session,
-            age,
-            self.number,
-        )
-        self.busy = True
-        front.visitors.busy(self)
-        front.open_ids[statement.id] = self
-
-        def answered(answer: Response) -> None:
-            self.account = None
-            front.open_ids.pop(statement.id, None)
-            self._answer(answer)
-
-        account = front.engine.submit(command, answered, arrived)
-        if account.open:
-            self.account = account
-
-    def _answer(self, answer: Response) -> None:
-        front = self.front
-        if answer.verdict is ResponseStatus.SERVED:
-            out = answer.reply + codec.READY
-        elif answer.verdict is ResponseStatus.REJECTED:
-            retry_after = min(answer.retry_after, front.most_come_back)
-            pause = str(max(1, round(retry_after * 1000.0))) if retry_after > 0 else ""
-            out = codec.error(REFUSED, answer.why or "refused", pause) + codec.READY
-        else:
-            out = codec.error(FAILED, answer.why or "failed") + codec.READY
-        self.transport.write(out)
-        self._next()
-        if not self.busy:
-            front.clock.soon(self._rest)
-
-    def _rest(self) -> None:
-        if self in self.front.connections:
-            self.advance()
-
-
-def _reason_of(lost: Failure) -> CloseReason:
-    """Return why a connection ended that this program did not close by intent."""
-    problem = lost.value
-    if isinstance(problem, ConnectionDone):
-        return CloseReason.PEER_CLOSED
-    if isinstance(problem, (transport.ReadFailed, transport.SocketFailed)):
-        reset = problem.errno in (errno.ECONNRESET, errno.EPIPE)
-        return CloseReason.PEER_RESET if reset else CloseReason.CONNECTION_FAILED
-    if isinstance(problem, ConnectionLost):  # the transport's own word for a write that failed
-        return CloseReason.PEER_RESET
-    return CloseReason.FAULT
-
-
-class ClientFactory(Factory):
-    """Makes a protocol for each client of a listener."""
+    def _cancel_request(self) -> None:
+        request, self.request = self.request, None
+        if request is not None:
+            self.listener.open_request_ids.pop(request.command.payload.id, None)
+            self.listener.engine.gone(request)
 
-    noisy = False
 
-    def __init__(self, front: Front) -> None:
-        self.front = front
+class ClientFactory(NumberingFactory):
+    """Makes the connection objects of a `ClientListener`."""
 
-    def buildProtocol(self, addr: Any) -> ClientConnection:
-        """Build one."""
-        self.front.accepted += 1
-        return ClientConnection(self.front, self.front.accepted)
+    connection_type = ClientConnection
--- /dev/null
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -0,0 +1,107 @@
+"""What all PostgreSQL client connections of one listener share: limits, timeouts, eviction and shutdown."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from sedgepitch.core.engine import Engine
+from sedgepitch.core.types import Clock
+from sedgepitch.decisions.connections.client_connections import ClientConnections
+from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
+from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
+from sedgepitch.net import transport
+from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason
+from sedgepitch.protocols.postgresql.read_ahead import ReadAhead
+from sedgepitch.protocols.postgresql.statement_handler import StatementHandler
+from sedgepitch.routing.messages import RequestClass
+
+if TYPE_CHECKING:
+    from sedgepitch.protocols.postgresql.client import ClientConnection
+
+CHECK_INTERVAL_S = 0.1  # between checks for slow clients and for those that disconnected unread
+NEVER = float("inf")
+
+
+class ClientListener:
+    """State shared by the client connections of one listener.
+
+    `unix_offset` is Unix time minus the clock's time, in seconds.
+    """
+
+    def __init__(
+        self,
+        engine: Engine,
+        clock: Clock,
+        classes: Mapping[str, RequestClass],
+        unix_offset: float,
+        descriptors: DescriptorBudget,
+    ) -> None:
+        self.engine = engine
+        self.clock = clock
+        self.classes = classes
+        self.unix_offset = unix_offset
+        self.descriptors = descriptors
+        settings = engine.router.settings
+        self.retry_after_max = settings.max_retry_after if settings.retry_after else 0.0  # s; 0: not told
+        self.statements = StatementHandler(self)
+        self.connections: set[ClientConnection] = set()
+        self.activity: ClientConnections[ClientConnection] = ClientConnections(descriptors.clients_most)
+        self.open_request_ids: dict[bytes, ClientConnection] = {}
+        self.read_ahead = ReadAhead()
+        self.closes = CloseLog()
+        self.accepted = 0
+        self.bad_messages = 0
+        self.bad_statements = 0
+        self.disconnects_found_unread = 0  # clients found gone while their socket was left unread
+        self.disconnects_found_late = 0  # clients found gone when their statement was taken up
+        self.close_idle_from = NEVER  # from then on connections without a request are closed
+        self.answer_by = NEVER  # by then every request has had its response, and the process ends
+        clock.call_later(CHECK_INTERVAL_S, self._check_due)
+
+    # Periodic check
+
+    def _check_due(self) -> None:
+        self.clock.after_reading(self._check, self.clock.now())
+
+    def _check(self, at: float) -> None:
+        for connection in self.activity.too_slow(at):
+            connection.time_out()
+        for connection in list(self.read_ahead.paused):
+            if transport.left(connection.transport):
+                self.disconnects_found_unread += 1
+                connection.abandon()
+        self.clock.call_later(CHECK_INTERVAL_S, self._check_due)
+
+    # Eviction
+
+    def evict_for(self, newcomer: ClientConnection, now: float) -> ClientConnection:
+        """Return the connection to close for a newcomer: never one whose request lies unread.
+
+        That request would be lost with its connection. Where all others are busy, the newcomer goes.
+        """
+        while (evicted := self.activity.make_room(now)) is not None:
+            if transport.quiet(evicted.transport):
+                return evicted
+        return newcomer
+
+    def free_descriptor(self) -> None:
+        """Close the connection that can best be spared; none that is busy or whose request lies unread."""
+        while (evicted := self.activity.make_room(self.clock.now())) is not None:
+            if transport.quiet(evicted.transport):
+                evicted.end(CloseReason.EVICTED)  # in order: its next request may be on its way
+                return
+
+    # Graceful shutdown
+
+    def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
+        """Cut the time of every request taken from now on to the shutdown schedule."""
+        self.close_idle_from = schedule.closing_from
+        self.answer_by = schedule.answered_by
+
+    def close_idle_connections(self) -> None:
+        """Close the connections that have nothing in flight, once the shutdown schedule says so."""
+        now = self.clock.now()
+        if now >= self.close_idle_from:
+            for connection in list(self.connections):
+                connection.close_if_idle(now >= self.answer_by)
--- a/sedgepitch/protocols/postgresql/close_reasons.py
+++ b/sedgepitch/protocols/postgresql/close_reasons.py
@@ -2,11 +2,17 @@
 
 from __future__ import annotations
 
+import errno
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 
+from twisted.internet.error import ConnectionDone, ConnectionLost
+from twisted.python.failure import Failure
+
+from sedgepitch.net import transport
+
 
 class CloseReason(Enum):
     """Who closed a client connection, and why."""
@@ -14,7 +20,7 @@
     PEER_CLOSED = "peer_closed"  # the client ended its connection in order
     PEER_RESET = "peer_reset"  # the client reset its connection
     CONNECTION_FAILED = "connection_failed"  # a read or the socket reported any other error
-    LEFT_UNREAD = "left_unread"  # the client's end was found behind bytes that were not read yet
+    LEFT_UNREAD = "left_unread"  # the client was found disconnected behind bytes that were not read yet
     TERMINATED = "terminated"  # the client sent Terminate or a cancel request
     BAD_MESSAGE = "bad_message"
     EVICTED = "evicted"  # no descriptor was free for a newcomer
@@ -26,10 +32,10 @@
     FAULT = "fault"  # an exception in this program
 
 
-# What clients do themselves: counted, never logged one by one.
-BY_CLIENT = frozenset({CloseReason.PEER_CLOSED, CloseReason.PEER_RESET, CloseReason.LEFT_UNREAD})
-# What this program does in its usual course: logged only where a request or bytes were left behind.
-IN_ORDER = frozenset({CloseReason.TERMINATED, CloseReason.REST_LIMIT, CloseReason.SHUTDOWN})
+# What clients do themselves is counted, never logged one by one.
+CLOSED_BY_CLIENT = frozenset({CloseReason.PEER_CLOSED, CloseReason.PEER_RESET, CloseReason.LEFT_UNREAD})
+# Routine closes are logged only where a request or unread bytes were left behind.
+ROUTINE_REASONS = frozenset({CloseReason.TERMINATED, CloseReason.REST_LIMIT, CloseReason.SHUTDOWN})
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +47,25 @@
     detail: str  # the error's text, where there was one
     request: str  # id of the request that had no answer yet, or ""
     attempts: int  # of that request
-    read_bytes: int  # read from the client and not taken up yet
+    read_bytes: int  # read from the client and not executed yet
     lasted: float  # s since the connection was accepted
 
 
+def reason_of_loss(lost: Failure) -> CloseReason:
+    """Return why a connection ended that this program did not close by intent."""
+    error = lost.value
+    if isinstance(error, ConnectionDone):
+        return CloseReason.PEER_CLOSED
+    if isinstance(error, (transport.ReadFailed, transport.SocketFailed)):
+        was_reset = error.errno in (errno.ECONNRESET, errno.EPIPE)
+        return CloseReason.PEER_RESET if was_reset else CloseReason.CONNECTION_FAILED
+    if isinstance(error, ConnectionLost):  # what Twisted's transport reports for a failed write
+        return CloseReason.PEER_RESET
+    return CloseReason.FAULT
+
+
 class CloseLog:
-    """Counts closes by reason, and passes on the reports of those that an operator should see."""
+    """Counts closes by reason, and reports those that an operator should see to `report`."""
 
     def __init__(self, report: Callable[[CloseReport], None] | None = None) -> None:
         self.counts: Counter[CloseReason] = Counter()
@@ -63,9 +82,9 @@
 
     @staticmethod
     def _is_unusual(report: CloseReport) -> bool:
-        if report.reason in BY_CLIENT:
+        if report.reason in CLOSED_BY_CLIENT:
             return False
-        return bool(report.request or report.read_bytes) or report.reason not in IN_ORDER
+        return bool(report.request or report.read_bytes) or report.reason not in ROUTINE_REASONS
 
     def summary(self) -> str:
         """Return the counts as `reason:count`, joined by commas; "none" where there are none."""
--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -11,7 +11,8 @@
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
 from sedgepitch.protocols.postgresql import codec
-from sedgepitch.protocols.postgresql.client import ClientConnection, Front
+from sedgepitch.protocols.postgresql.client import ClientConnection
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
 from sedgepitch.protocols.postgresql.close_reasons import CloseReport
 from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing import messages as api
@@ -78,10 +79,10 @@
         limits = PoolLimits(most=6, connect_within=0.25, idle_for=1.0, linger=0.0)
         self.endpoints = PostgresUpstream(None, self.clock, limits, budget, WALL, 0.25)
         self.endpoints.addresses = {n: ("127.0.0.1", 5000 + n) for n in (1, 2, 3)}
-        self.endpoints.say = lambda event, **fields: self.reports.append(str([*fields.values()]))
+        self.endpoints.log_event = lambda event, **fields: self.reports.append(str([*fields.values()]))
         self.engine = Engine(Router(SETTINGS, self.seed), self.endpoints, self.clock)
-        self.front = Front(self.engine, self.clock, self.engine.classes, WALL, budget)
-        self.front.closes.report = self._closed
+        self.listener = ClientListener(self.engine, self.clock, self.engine.classes, WALL, budget)
+        self.listener.closes.report = self._closed
         self.entries = [entry(1, primary=True), entry(2), entry(3)]
         self.engine.list_changed(api.EndpointListUpdate(tuple(self.entries), complete=True))
         self.number = 0
@@ -93,15 +94,20 @@
         self.reports.append(f"{report.number} {reason.value} {rest}")
 
     def make_client(self) -> Any:
-        return ClientConnection(self.front, len(self.clients) + 1)
+        return ClientConnection(self.listener, len(self.clients) + 1)
 
     def greeting_bytes(self) -> bytes:
         draw = self.random.random()
         if draw < 0.9:
-            ssl = struct.pack("!ii", 8, codec.SSL) if self.random.random() < 0.1 else b""
+            ssl = struct.pack("!ii", 8, codec.SSL_REQUEST) if self.random.random() < 0.1 else b""
             return ssl + codec.startup("web", "orders")
         return self.random.choice(
-            (struct.pack("!ii", 16, codec.CANCEL) + bytes(8), struct.pack("!ii", 9, 2 << 16), b"\0" * 9, b"")
+            (
+                struct.pack("!ii", 16, codec.CANCEL_REQUEST) + bytes(8),
+                struct.pack("!ii", 9, 2 << 16),
+                b"\0" * 9,
+                b"",
+            )
         )
 
     def client_bytes(self) -> bytes:
@@ -187,22 +193,23 @@
         if draw < 0.04:
             self.engine.list_changed(api.EndpointListUpdate(tuple(self.entries), complete=True))
         if draw > 0.97:
-            self.front.free_descriptor()
+            self.listener.free_descriptor()
         if step == END_FROM_STEP and self.seed % 2:
             schedule = ShutdownSchedule(self.clock.now(), 1.0)
-            self.front.ends(schedule)
-        self.front.close_free()
+            self.listener.begin_shutdown(schedule)
+        self.listener.close_idle_connections()
 
     def summary(self) -> str:
-        front, endpoints = self.front, self.endpoints
+        listener = self.listener
+        endpoints = self.endpoints
         counts = (
-            front.bad_messages,
-            front.bad_statements,
-            front.left_unread,
-            front.left_waiting,
-            front.accepted,
-            endpoints.spoilt,
-            endpoints.unread_reports,
-            front.closes.with_request,
+            listener.bad_messages,
+            listener.bad_statements,
+            listener.disconnects_found_unread,
+            listener.disconnects_found_late,
+            listener.accepted,
+            endpoints.malformed_answers,
+            endpoints.unread_load_reports,
+            listener.closes.with_request,
         )
-        return f"{counts} {front.closes.summary()}"
+        return f"{counts} {listener.closes.summary()}"
--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -12,7 +12,8 @@
 from sedgepitch.core.types import AttemptOutcome
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.protocols.postgresql import codec
-from sedgepitch.protocols.postgresql.client import ClientConnection, Front
+from sedgepitch.protocols.postgresql.client import ClientConnection
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
 from sedgepitch.protocols.postgresql.codec import Reader
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
@@ -49,7 +50,7 @@
 
 def messages(data: bytes, bounds: Any = None) -> list[tuple[bytes, bytes]]:
     """What a wire carries, cut into messages."""
-    reader, found = Reader(bounds or codec.FROM_MEMBER), []
+    reader, found = Reader(bounds or codec.FROM_ENDPOINT), []
     reader.feed(data)
     while (one := reader.next()) is not None:
         found.append(one)
@@ -91,13 +92,13 @@
         entries = (entry(1, primary=True), entry(2), entry(3))
         self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
         self.descriptors = DescriptorBudget(sockets)
-        self.front = Front(self.engine, self.clock, self.engine.classes, WALL, self.descriptors)
+        self.listener = ClientListener(self.engine, self.clock, self.engine.classes, WALL, self.descriptors)
         self.clients = 0
 
     def client(self, greet: bool = True) -> tuple[ClientConnection, Wire]:
         """A client's connection, past its startup unless told otherwise."""
         self.clients += 1
-        connection, wire = ClientConnection(self.front, self.clients), Wire()
+        connection, wire = ClientConnection(self.listener, self.clients), Wire()
         connection.makeConnection(wire)
         if greet:
             connection.dataReceived(codec.startup("web", "orders"))
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -91,8 +91,8 @@
         wire.clear()
         if number in (5_000, 30_000):
             stage.pass_by(3.0)
-            marks.append(sizes(stage.engine) + sizes(stage.front))
-    assert not stage.front.open_ids and not stage.engine.request_table.accounts
+            marks.append(sizes(stage.engine) + sizes(stage.listener))
+    assert not stage.listener.open_request_ids and not stage.engine.request_table.accounts
     assert marks[1] <= marks[0] * 1.1 + 50, marks
 
 
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -53,11 +53,11 @@
 def test_a_connection_that_ends_is_reported_with_its_request_and_its_cause(problem, reason):
     stage = Stage()
     found = []
-    stage.front.closes.report = found.append
+    stage.listener.closes.report = found.append
     connection, _ = stage.client()
     connection.dataReceived(read(1, d="60000"))
     stage.turn()
     connection.connectionLost(Failure(problem))
-    assert stage.front.closes.counts == {reason: 1} and stage.front.closes.with_request == 1
+    assert stage.listener.closes.counts == {reason: 1} and stage.listener.closes.with_request == 1
     for line in found:
         assert line.request and line.attempts == 1 and str(problem) in line.detail
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -22,7 +22,7 @@
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
 from sedgepitch.node.driver import Driver
-from sedgepitch.protocols.postgresql import client, codec
+from sedgepitch.protocols.postgresql import client_listener, codec, read_ahead, statement_handler
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import Router
@@ -72,16 +72,20 @@
     theirs.sendall(b"bytes that lie unread before the end")
     leave(theirs, how)
     stage.pass_by(0.25)
-    assert wire.aborted and stage.front.left_unread == 1
+    assert wire.aborted and stage.listener.disconnects_found_unread == 1
     stage.answer(0)
     stage.pass_by(1.0)
     assert len(stage.endpoints.sent) == 1, "what stood behind the first is not sent on"
     connection.connectionLost()
-    assert not stage.engine.request_table.pending and not stage.front.unread and not stage.front.open_ids
+    assert (
+        not stage.engine.request_table.pending
+        and not stage.listener.read_ahead.paused
+        and not stage.listener.open_request_ids
+    )
 
 
 def test_what_is_sent_ahead_is_read_on_as_it_is_served_and_not_only_when_all_is_done(monkeypatch):
-    monkeypatch.setattr(client, "FAR_AHEAD", client.READ_AHEAD)
+    monkeypatch.setattr(read_ahead, "EXTENDED_READ_AHEAD_BYTES", read_ahead.READ_AHEAD_BYTES)
     stage = Stage()
     connection, wire = stage.client()
     connection.dataReceived(read(1, d="60000"))
@@ -91,7 +95,7 @@
         stage.answer()
         if wire.producerState == "producing":
             break
-    assert wire.producerState == "producing" and client.READ_AHEAD / 4 < connection.reader.held
+    assert wire.producerState == "producing" and read_ahead.READ_AHEAD_BYTES / 4 < connection.reader.held
 
 
 def test_a_request_read_late_whose_client_has_left_is_not_sent():
@@ -101,7 +105,7 @@
     wire.arrived = stage.clock.now() - 0.4  # this driver stood still meanwhile
     connection.dataReceived(read(1, d="5000"))
     stage.pass_by(1.0)
-    assert not stage.endpoints.sent and stage.front.left_waiting == 1
+    assert not stage.endpoints.sent and stage.listener.disconnects_found_late == 1
 
 
 def test_one_whose_client_is_still_there_is_sent_however_late_it_was_read():
@@ -146,7 +150,7 @@
     stage.turn()
     assert len(errors(new_wire)) == 1 and old_wire.aborted and not errors(old_wire)
     old.connectionLost()
-    assert stage.front.open_ids == {b"1": new} and stage.engine.request_table.pending == 1
+    assert stage.listener.open_request_ids == {b"1": new} and stage.engine.request_table.pending == 1
 
 
 # Room for newcomers, and the end of a driver
@@ -170,15 +174,15 @@
     connection, wire = stage.client()
     _, idle = stage.client()
     theirs, others = peer(wire), peer(idle)
-    stage.front.ends(ShutdownSchedule(stage.clock.now() - 10.0, 1.0))
+    stage.listener.begin_shutdown(ShutdownSchedule(stage.clock.now() - 10.0, 1.0))
     theirs.sendall(read(1))
-    stage.front.close_free()
+    stage.listener.close_idle_connections()
     assert idle.half_closed and not wire.half_closed and not wire.aborted
     wire.socket.recv(4096)
     connection.dataReceived(read(1))
     stage.turn()
     assert [e["C"] for e in errors(wire)] == ["53300"], "too late to be served, but answered"
-    stage.front.close_free()
+    stage.listener.close_idle_connections()
     assert wire.half_closed
     for held in (theirs, others):
         held.close()
@@ -190,17 +194,17 @@
     connection.dataReceived(read(1, d="9000") + read(2, d="9000") + read(3, d="9000"))
     stage.turn()
     ending = ShutdownSchedule(stage.clock.now(), 0.5)
-    stage.front.ends(ending)
+    stage.listener.begin_shutdown(ending)
     stage.engine.hurry(ending.answered_by)
     while stage.clock.now() < ending.over_by:
-        stage.front.close_free()
+        stage.listener.close_idle_connections()
         stage.turn(0.02)
     assert len(errors(wire)) == 3 and wire.half_closed and not stage.engine.request_table.pending
     assert not stage.engine.overdue
 
 
 def test_a_request_taken_long_before_the_signal_is_answered_before_the_end():
-    for make, code in ((read, "53300"), (write, client.FAILED)):
+    for make, code in ((read, "53300"), (write, statement_handler.SQLSTATE_FAILED)):
         stage = Stage()
         connection, wire = stage.client()
         connection.dataReceived(make(1, d="60000"))
@@ -386,11 +390,11 @@
     whole = codec.startup("web", "orders") + read(1, d="60000")
     connection.dataReceived(whole[:begun])
     up = stage.clock.now() + TALK_WITHIN
-    while stage.clock.now() + client.LOOK_EVERY < up - 1e-6:
-        stage.turn(client.LOOK_EVERY)
-    stage.task.callLater(client.LOOK_EVERY, connection.dataReceived, whole[begun:])
+    while stage.clock.now() + client_listener.CHECK_INTERVAL_S < up - 1e-6:
+        stage.turn(client_listener.CHECK_INTERVAL_S)
+    stage.task.callLater(client_listener.CHECK_INTERVAL_S, connection.dataReceived, whole[begun:])
     for _ in range(3):
-        stage.turn(client.LOOK_EVERY)
+        stage.turn(client_listener.CHECK_INTERVAL_S)
     assert not errors(wire) and len(stage.endpoints.sent) == 1
 
 
@@ -656,7 +660,7 @@
     driver = SimpleNamespace(
         clock=stage.clock,
         config=SimpleNamespace(settings=SETTINGS),
-        front=stage.front,
+        front=stage.listener,
         engine=stage.engine,
         lines=SimpleNamespace(say=lambda *_, **__: None),
         port=admission,
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sedgepitch.decisions.connections import client_connections as visitors
-from sedgepitch.protocols.postgresql import client, codec
+from sedgepitch.protocols.postgresql import codec, read_ahead, statement_handler
 from sedgepitch.routing.messages import AttemptResult
 from tests.support.postgresql_harness import ROW, WALL, Stage, errors, messages, read, write
 from tests.support.router_harness import SETTINGS
@@ -17,7 +17,7 @@
 def test_a_client_is_welcomed_and_an_empty_query_answered():
     stage = Stage()
     connection, wire = stage.client(greet=False)
-    connection.dataReceived(struct.pack("!ii", 8, codec.SSL))
+    connection.dataReceived(struct.pack("!ii", 8, codec.SSL_REQUEST))
     assert wire.value() == b"N"
     wire.clear()
     connection.dataReceived(codec.startup("web", "orders") + codec.query(b""))
@@ -31,7 +31,7 @@
     stage.turn()
     stage.answer()
     assert wire.value() == ROW + codec.READY
-    assert not stage.front.open_ids
+    assert not stage.listener.open_request_ids
 
 
 def test_what_a_member_gets_says_how_long_the_driver_waits():
@@ -66,7 +66,7 @@
     stage.turn()
     stage.pass_by(0.6)
     (error,) = errors(wire)
-    assert error["C"] == client.FAILED
+    assert error["C"] == statement_handler.SQLSTATE_FAILED
 
 
 def test_every_answer_leaves_within_the_clients_time():
@@ -123,7 +123,7 @@
     b"\0\0\0\0garbage",
     b"GET / HTTP/1.1\r\n\r\n",
     struct.pack("!ii", 2**31 - 1, 196608),
-    struct.pack("!ii", 8, codec.CANCEL),
+    struct.pack("!ii", 8, codec.CANCEL_REQUEST),
     struct.pack("!ii", 12, 196608) + b"user",
     codec.startup("web", "orders") + struct.pack("!ci", b"Q", 60_000_000) + b"x" * 1000,
     codec.startup("web", "orders") + struct.pack("!ci", b"Q", -5),
@@ -189,9 +189,11 @@
     stage.turn()
     connection.connectionLost()
     stage.answer()
-    front = stage.front
-    held = front.visitors
-    assert not (front.open_ids or front.connections or held.resting or held.talking or held.silent)
+    listener = stage.listener
+    held = listener.activity
+    assert not (
+        listener.open_request_ids or listener.connections or held.resting or held.talking or held.silent
+    )
     assert not stage.engine.request_table.accounts and stage.descriptors.clients == 0
 
 
@@ -230,29 +232,29 @@
         if wire.producerState != "producing":
             break
         connection.dataReceived(read(number))
-    assert connection.reader.held < client.FAR_AHEAD + client.READ_AHEAD
+    assert connection.reader.held < read_ahead.EXTENDED_READ_AHEAD_BYTES + read_ahead.READ_AHEAD_BYTES
     assert wire.producerState == "paused"
 
 
 def test_only_so_many_clients_are_read_far_ahead_and_others_are_left_unread_sooner():
     stage = Stage()
-    held = [stage.client() for _ in range(client.FAR_CLIENTS + 4)]
+    held = [stage.client() for _ in range(read_ahead.EXTENDED_CLIENTS_MAX + 4)]
     for index, (connection, _) in enumerate(held):
         connection.dataReceived(read(index + 1))
     stage.turn()
     for connection, wire in held:
-        while wire.producerState == "producing" and connection.reader.held < 2 * client.READ_AHEAD:
+        while wire.producerState == "producing" and connection.reader.held < 2 * read_ahead.READ_AHEAD_BYTES:
             connection.dataReceived(8 * read(99_999))
     assert [wire.producerState for _, wire in held].count("paused") == 4
     for connection, _ in held:
         connection.connectionLost()
-    assert not stage.front.far and not stage.front.unread
+    assert not stage.listener.read_ahead.extended and not stage.listener.read_ahead.paused
 
 
 def test_a_driver_that_ends_serves_what_comes_late_only_where_its_answer_leaves_in_time():
     stage = Stage()
-    stage.front.answered_by = stage.clock.now() + 0.3
-    stage.front.closing_from = stage.clock.now() + 0.25
+    stage.listener.answer_by = stage.clock.now() + 0.3
+    stage.listener.close_idle_from = stage.clock.now() + 0.25
     (early, early_wire), (late, late_wire), (_, idle) = stage.client(), stage.client(), stage.client()
     early.dataReceived(read(1, d="5000"))
     stage.turn()
@@ -262,7 +264,7 @@
     stage.turn()
     assert errors(late_wire)[0]["C"] == "53300" and len(stage.endpoints.sent) <= 2
     assert [k for k, _ in messages(early_wire.value())] == [b"E", b"Z"], "its time was cut, and it is told"
-    stage.front.close_free()
+    stage.listener.close_idle_connections()
     assert idle.half_closed and not idle.aborted, "ended in order, what it still takes arrives"
 
 
--- a/tests/test_postgresql_codec.py
+++ b/tests/test_postgresql_codec.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from sedgepitch.protocols.postgresql import codec, statements
-from sedgepitch.protocols.postgresql.codec import BadMessage, Reader
-from sedgepitch.protocols.postgresql.statements import BadStatement
+from sedgepitch.protocols.postgresql.codec import MalformedMessage, Reader
+from sedgepitch.protocols.postgresql.statements import StatementError
 from tests.support.router_harness import CLASSES
 
 NAMED = {c.name: c for c in CLASSES}
@@ -38,7 +38,7 @@
     st.lists(st.integers(1, 40), max_size=30),
 )
 def test_messages_are_the_same_in_whatever_pieces_they_come(messages, cuts):
-    stream, reader, got = b"".join(messages), Reader(codec.FROM_MEMBER), []
+    stream, reader, got = b"".join(messages), Reader(codec.FROM_ENDPOINT), []
     for size in [*cuts, len(stream) + 1]:
         piece, stream = stream[:size], stream[size:]
         if piece:
@@ -48,13 +48,13 @@
     assert not reader.held
 
 
-@given(st.binary(max_size=200), st.sampled_from([codec.FROM_CLIENT, codec.FROM_MEMBER]))
+@given(st.binary(max_size=200), st.sampled_from([codec.FROM_CLIENT, codec.FROM_ENDPOINT]))
 def test_any_bytes_are_messages_or_one_error(data, bounds):
     reader = Reader(bounds)
     reader.feed(data)
     try:
         whole(reader)
-    except BadMessage as error:
+    except MalformedMessage as error:
         assert "\n" not in str(error)
 
 
@@ -64,17 +64,17 @@
     reader.feed(data)
     try:
         found = reader.startup()
-        if found is not None and found[0] not in (codec.SSL, codec.GSS, codec.CANCEL):
+        if found is not None and found[0] not in (codec.SSL_REQUEST, codec.GSS_REQUEST, codec.CANCEL_REQUEST):
             codec.startup_parameters(found[1])
-    except BadMessage:
+    except MalformedMessage:
         pass
 
 
-@pytest.mark.parametrize("length", [-1, 0, 3, codec.STATEMENT + 1, 60_000_000, 2**31 - 1, -(2**31)])
+@pytest.mark.parametrize("length", [-1, 0, 3, codec.STATEMENT_BYTES_MAX + 1, 60_000_000, 2**31 - 1, -(2**31)])
 def test_a_length_is_judged_on_its_header(length):
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(struct.pack("!ci", b"Q", length))
-    with pytest.raises(BadMessage):
+    with pytest.raises(MalformedMessage):
         reader.next()
 
 
@@ -82,12 +82,12 @@
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(codec.startup("web", "orders") + codec.query(b""))
     code, body = reader.startup()
-    assert code == codec.VERSION << 16
+    assert code == codec.PROTOCOL_VERSION << 16
     assert codec.startup_parameters(body) == {"user": "web", "database": "orders"}
     assert reader.next() == (b"Q", codec.query(b""))
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(struct.pack("!ii", 8, 2 << 16))
-    with pytest.raises(BadMessage):
+    with pytest.raises(MalformedMessage):
         reader.startup()
 
 
@@ -116,7 +116,7 @@
 def test_only_d_is_made_anew():
     for raw, d in ((READ, b"d=480"), (WRITE, b"d=480.5")):
         statement = statements.read(raw, NAMED)
-        statement.until = 10.1234
+        statement.deadline = 10.1234
         assert statement.text(10.0) == raw.replace(d, b"d=123")
         assert statement.text(11.0) == raw.replace(d, b"d=1"), "never a time that is over"
 
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("raw", BAD)
 def test_anything_else_is_one_clear_error(raw):
-    with pytest.raises(BadStatement) as error:
+    with pytest.raises(StatementError) as error:
         statements.read(raw, NAMED)
     assert str(error.value) and "\n" not in str(error.value)
 
@@ -161,7 +161,7 @@
     raw = READ[:at] + noise + READ[at:]
     try:
         statement = statements.read(raw, NAMED)
-    except BadStatement:
+    except StatementError:
         return
     middle = raw[len(statement.head) : len(raw) - len(statement.tail)]
     assert raw == statement.head + middle + statement.tail and statement.head.endswith((b",d=", b" d="))
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -1,4 +1,4 @@
-"""The members' side of the platform's protocol: outcomes by the platform's table, and spoilt answers."""
+"""The upstream side of the platform's protocol: outcomes by the platform's table, and malformed answers."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.protocols.postgresql import codec, statements
-from sedgepitch.protocols.postgresql.upstream import (
-    MemberConnection,
-    Names,
-    PostgresUpstream,
-    Probe,
-    read_usage,
+from sedgepitch.protocols.postgresql.endpoint_connection import (
+    ConnectionCallbacks,
+    EndpointConnection,
+    HealthCheckQuery,
+    SessionNames,
 )
+from sedgepitch.protocols.postgresql.reply import read_load_report
+from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing.messages import AttemptResult
 from tests.support.postgresql_harness import ROW, WALL, Stage, Wire, read
 from tests.test_postgresql_codec import NAMED
@@ -36,9 +37,10 @@
         self.endpoints = PostgresUpstream(None, stage.clock, limits, DescriptorBudget(0), WALL, 0.25)
         self.ready, self.ended, self.replies = [], [], []
         self.wire = Wire()
-        self.connection = MemberConnection(
-            Names(), stage.clock.now, self.ready.append, self.ended.append, self.ended.append, lambda at: None
+        callbacks = ConnectionCallbacks(
+            self.ready.append, self.ended.append, self.ended.append, lambda arrived: None
         )
+        self.connection = EndpointConnection(SessionNames(), stage.clock.now, callbacks)
         self.connection.makeConnection(self.wire)
         self.connection.dataReceived(GREETING)
         self.wire.clear()
@@ -47,13 +49,13 @@
         self.connection.start(self.payload, self.replies.append)
 
     def payload_until(self, seconds: float) -> None:
-        if not isinstance(self.payload, Probe):
-            self.payload.until = self.clock.now() + seconds
+        if not isinstance(self.payload, HealthCheckQuery):
+            self.payload.deadline = self.clock.now() + seconds
 
     def end(self):
         """The outcome, which must be the only one."""
         (reply,) = self.replies
-        return self.endpoints.judge(1, self.payload, reply)
+        return self.endpoints.outcome(1, self.payload, reply)
 
 
 def test_a_statement_is_written_whole_and_its_row_served():
@@ -102,7 +104,7 @@
     assert not played.replies and played.ended
 
 
-SPOILT = [
+MALFORMED = [
     b"\x00noise\xff" * 20,
     struct.pack("!ci", b"D", 2**31 - 1),
     struct.pack("!ci", b"D", -1_294_967_296),
@@ -119,8 +121,8 @@
 ]
 
 
-@pytest.mark.parametrize("data", SPOILT)
-def test_a_spoilt_answer_is_an_attempt_that_may_have_run_on_a_connection_not_used_again(data):
+@pytest.mark.parametrize("data", MALFORMED)
+def test_a_malformed_answer_is_an_attempt_that_may_have_run_on_a_connection_not_used_again(data):
     played = Played()
     played.connection.dataReceived(data)
     end = played.end()
@@ -165,11 +167,11 @@
         played.connection.dataReceived(ROW + codec.parameter("usage", usage) + codec.READY)
         end = played.end()
         assert end.result is AttemptResult.OK and (end.report is None or end.report.load is None)
-    assert read_usage(b"inflight=7,util=0.61") == {"inflight": 7.0, "util": 0.61}
+    assert read_load_report(b"inflight=7,util=0.61") == {"inflight": 7.0, "util": 0.61}
 
 
-def test_a_probe_reads_the_row_as_a_report():
-    played = Played(Probe())
+def test_a_health_check_reads_the_row_as_a_report():
+    played = Played(HealthCheckQuery())
     row = codec.row_description() + codec.data_row(b"queue=3,x0=1001000.25,x1=0") + codec.complete("SHOW")
     played.connection.dataReceived(row + codec.READY)
     end = played.end()
@@ -177,7 +179,7 @@
     assert end.report.position == pytest.approx(1000.25) and end.report.primary is False
 
 
-def test_a_large_row_in_pieces_is_served_whole_and_one_beyond_the_bound_is_spoilt():
+def test_a_large_row_in_pieces_is_served_whole_and_one_beyond_the_bound_is_malformed():
     row = codec.row_description() + codec.data_row(b"v" * 400_000) + codec.complete("SELECT 1")
     played = Played()
     for at in range(0, len(row), 50_000):
@@ -185,5 +187,7 @@
     played.connection.dataReceived(codec.READY)
     assert played.end().reply == row
     played = Played()
-    played.connection.dataReceived(codec.row_description() + struct.pack("!ci", b"D", codec.ROW + 17))
+    played.connection.dataReceived(
+        codec.row_description() + struct.pack("!ci", b"D", codec.ROW_BYTES_MAX + 17)
+    )
     assert played.end().result is AttemptResult.ERROR
--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -17,7 +17,7 @@
 import pytest
 
 from sedgepitch.protocols.postgresql import codec
-from sedgepitch.protocols.postgresql.client import LEFT_AFTER
+from sedgepitch.protocols.postgresql.statement_handler import DISCONNECT_CHECK_AFTER_S
 from tests.support.platform import WITHIN, Client, Platform, look
 from tests.support.syscall_faults import UNBOUNDED, Call, Kind, Rule, SystemCallFaults, name_of
 
@@ -223,7 +223,7 @@
     client = faulty.client()
     suspend(faulty)
     client.held.sendall(codec.query(look(1)))
-    time.sleep(2 * LEFT_AFTER)  # so that it is read late, which has the client looked at
+    time.sleep(2 * DISCONNECT_CHECK_AFTER_S)  # so that it is read late, which has the client looked at
     rule = faults.arm(Rule(Call.POLL, error=error))
     resume(faulty)
     messages = client.until_ready()
