--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -21,7 +21,7 @@
 from sedgepitch.observe.metrics import Metrics
 from sedgepitch.protocols.mongodb import codec
 from sedgepitch.protocols.mongodb.commands import read
-from sedgepitch.protocols.mongodb.upstream import read_reply
+from sedgepitch.protocols.mongodb.reply import summarize
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
 
@@ -82,7 +82,7 @@
     def upstream() -> None:
         request._sections = b""
         codec.build_raw(request.sections(), 1, 0)
-        read_reply(answer)
+        summarize(answer)
 
     parts = {
         "codec: frame in, reply in, reply out": lambda: (
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -25,8 +25,9 @@
 from sedgepitch.net import listener
 from sedgepitch.observe import log
 from sedgepitch.observe.metrics import Metrics
-from sedgepitch.protocols.mongodb.client import ClientFactory, Context, close_at_members
-from sedgepitch.protocols.mongodb.commands import Request
+from sedgepitch.protocols.mongodb.client import ClientFactory
+from sedgepitch.protocols.mongodb.client_context import ClientContext
+from sedgepitch.protocols.mongodb.commands import Command
 from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
@@ -40,12 +41,12 @@
 SWEEP = 5.0  # s between looks at idle cursors
 
 
-def group_finder(settings: Settings) -> Callable[[Request], int | None]:
+def group_finder(settings: Settings) -> Callable[[Command], int | None]:
     """Return a function from a request to its group: by shard value first, then by name space."""
     shards = {str(value): group.id for group in settings.groups for value in group.shards}
     patterns = [(g.id, g.database, g.collection) for g in settings.groups if not g.shards]
 
-    def find(request: Request) -> int | None:
+    def find(request: Command) -> int | None:
         if request.shard is not None and str(request.shard) in shards:
             return shards[str(request.shard)]
         for number, database, collection in patterns:
@@ -106,7 +107,7 @@
             driver.name,
             PoolLimits(limits.member_connections, limits.connect_within, limits.member_idle),
             limits.probe_within,
-            mark_age=self._mark_age(),
+            observation_age_max=self._observation_age_max(),
         )
         self.list: ControlSocketClient | None = None
         if settings.follow is not None:
@@ -134,9 +135,9 @@
             on_fault=self._fault,
         )
         self.metrics.watch(self.engine)
-        self.context = Context(
+        self.context = ClientContext(
             engine=self.engine,
-            endpoints=self.endpoints,
+            upstream=self.endpoints,
             clock=self.clock,
             classifier=settings.classifier(),
             cursors=CursorTable(limits.cursors, limits.cursor_idle, seed),
@@ -144,14 +145,13 @@
             answer_margin=limits.answer_margin,
             drain_grace=settings.rules.drain_grace,
             shard_field=tuple(p.encode() for p in settings.shard_field.split(".") if p),
-            most_frame=limits.frame,
-            tenant_of=tuple(settings.door.tenant) if settings.door else (),
-            client_of=tuple(settings.door.client) if settings.door else (),
-            most_connections=limits.connections,
-            log=self._note,
-            counted=lambda kind: self.metrics.input_errors.labels(kind).inc(),
+            frame_bytes_max=limits.frame,
+            tenant_sources=tuple(settings.door.tenant) if settings.door else (),
+            client_sources=tuple(settings.door.client) if settings.door else (),
+            connections_max=limits.connections,
+            log_event=self._note,
+            count_input_error=lambda kind: self.metrics.input_errors.labels(kind).inc(),
         )
-        self.endpoints.heard = self.context.read
         self.peers = self._make_peers() if settings.peers is not None else None
         self.zones = self._make_zones(self.peers) if self.peers is not None and settings.zones else None
         self.ports: list[Any] = []
@@ -190,8 +190,8 @@
         peers.changed = keeper.changed
         return keeper
 
-    def _mark_age(self) -> float:
-        """A mark serves until it is a quarter of the tightest bound old."""
+    def _observation_age_max(self) -> float:
+        """An observation of the primary serves until it is a quarter of the tightest bound old."""
         bounds = [c.max_age for c in self.settings.classes if c.freshness is api.Freshness.BOUNDED]
         return min(bounds, default=min(c.aim for c in self.settings.classes)) / 4.0
 
@@ -240,7 +240,7 @@
         self.clock.call_later(SWEEP, self._sweep)
         self.log.info("listening", address=f"{address.host}:{address.port}", pid=os.getpid())
         self.ready = lambda: ready(address.host, address.port)
-        if self.endpoints.links:
+        if self.endpoints.pools:
             self._say_ready()
 
     def _accept_failed(self, problem: listener.AcceptProblem) -> None:
@@ -297,9 +297,9 @@
         self.endpoints.addresses.update(addresses)
         known = tuple(x for x in entries if x.endpoint in self.endpoints.addresses)
         self.engine.list_changed(api.EndpointListUpdate(known, complete=complete))
-        if self.endpoints.links:
+        if self.endpoints.pools:
             self._say_ready()
-        gone = {m for m, link in self.endpoints.links.items() if m in self.engine.drained}
+        gone = {m for m, link in self.endpoints.pools.items() if m in self.engine.drained}
         if gone:
             self.log.info("list.drained", endpoints=sorted(gone))
 
@@ -352,5 +352,5 @@
 
     def _sweep(self) -> None:
         now = self.clock.now()
-        close_at_members(self.context, self.context.cursors.expire(now))
+        self.context.cursor_handler.close_on_endpoints(self.context.cursors.expire(now))
         self.clock.call_later(SWEEP, self._sweep)
--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -9,7 +9,7 @@
 
 from sedgepitch.config.units import Address, Bytes, Seconds
 from sedgepitch.decisions.admission.controller import AdmissionSettings
-from sedgepitch.decisions.request_classes import Classifier, Match, Rule, variants
+from sedgepitch.decisions.request_classes import Classifier, ClassRule, Match, variants
 from sedgepitch.routing import messages as api
 
 
@@ -310,7 +310,7 @@
 
     def classifier(self) -> Classifier:
         """Return the compiled matches."""
-        rules = [Rule(c.name, m) for c in self.classes for m in c.match]
+        rules = [ClassRule(c.name, m) for c in self.classes for m in c.match]
         return Classifier(self.request_classes(), rules)
 
     def module_settings(self) -> api.Settings:
--- a/sedgepitch/emulator/server.py
+++ b/sedgepitch/emulator/server.py
@@ -22,7 +22,7 @@
 from sedgepitch.emulator.replica_group import Group
 from sedgepitch.net.listener import listen
 from sedgepitch.protocols.mongodb import codec
-from sedgepitch.protocols.mongodb.codec import Message, WireError
+from sedgepitch.protocols.mongodb.codec import MalformedMessage, Message
 from sedgepitch.protocols.mongodb.framing import FrameReceiver
 
 WRITES = ("insert", "update", "delete", "findAndModify", "findandmodify")
@@ -100,7 +100,7 @@
             command: Document = bson.decode(message.body)
             for section in message.sections:
                 command[section.name] = bson.decode_all(section.documents)
-        except (WireError, bson.errors.BSONError):
+        except (MalformedMessage, bson.errors.BSONError):
             self.transport.abortConnection()
             return
         self.member.received(self, message, command)
@@ -291,7 +291,8 @@
             "recv",
             m=self.id,
             g=self.group.number,
-            t=connection.since or time.monotonic(),  # its bytes' arrival, whenever this process came to read
+            t=connection.frame_since
+            or time.monotonic(),  # its bytes' arrival, whenever this process came to read
             d=connection.driver,
             rid=command["$rid"],
             w=command["$writes"],
@@ -314,7 +315,7 @@
                 "setName": f"group{self.group.number}",
                 "lastWrite": {"opTime": optime},
                 "maxBsonObjectSize": 16 << 20,
-                "maxMessageSizeBytes": codec.MOST_BYTES,
+                "maxMessageSizeBytes": codec.MESSAGE_BYTES_MAX,
                 "minWireVersion": 0,
                 "maxWireVersion": 21,
                 "load": len(self.waiting),
--- a/sedgepitch/protocols/mongodb/bsonwalk.py
+++ b/sedgepitch/protocols/mongodb/bsonwalk.py
@@ -10,23 +10,63 @@
 import struct
 from typing import NamedTuple
 
-INT32, INT64, DOCUMENT, ARRAY, TIMESTAMP, STRING, BOOL, DOUBLE = (
-    0x10,
-    0x12,
-    0x03,
-    0x04,
-    0x11,
-    0x02,
-    0x08,
-    0x01,
-)
-_FIXED = {0x01: 8, 0x06: 0, 0x07: 12, 0x08: 1, 0x09: 8, 0x0A: 0, 0x10: 4, 0x11: 8, 0x12: 8, 0x13: 16,
-          0x7F: 0, 0xFF: 0}  # fmt: skip
-_INT = struct.Struct("<i")
-_LONG = struct.Struct("<q")
-
-
-class BadDocument(ValueError):
+from sedgepitch.errors import SedgepitchError
+
+# Element types.
+DOUBLE = 0x01
+STRING = 0x02
+DOCUMENT = 0x03
+ARRAY = 0x04
+BINARY = 0x05
+UNDEFINED = 0x06
+OBJECT_ID = 0x07
+BOOL = 0x08
+DATETIME = 0x09
+NULL = 0x0A
+REGEX = 0x0B
+DB_POINTER = 0x0C
+JAVASCRIPT = 0x0D
+SYMBOL = 0x0E
+SCOPED_JAVASCRIPT = 0x0F
+INT32 = 0x10
+TIMESTAMP = 0x11
+INT64 = 0x12
+DECIMAL128 = 0x13
+MAX_KEY = 0x7F
+MIN_KEY = 0xFF
+
+_FIXED_BYTES = {
+    DOUBLE: 8,
+    UNDEFINED: 0,
+    OBJECT_ID: 12,
+    BOOL: 1,
+    DATETIME: 8,
+    NULL: 0,
+    INT32: 4,
+    TIMESTAMP: 8,
+    INT64: 8,
+    DECIMAL128: 16,
+    MAX_KEY: 0,
+    MIN_KEY: 0,
+}
+# Types whose value begins with a length: the bytes of the value beyond that number.
+_BYTES_BEYOND_LENGTH = {
+    STRING: 4,
+    JAVASCRIPT: 4,
+    SYMBOL: 4,
+    BINARY: 5,  # length and subtype
+    DB_POINTER: 16,  # length and object id
+    SCOPED_JAVASCRIPT: 0,  # its length counts itself
+}
+_DOCUMENT_BYTES_MIN = 5  # length and end
+_LENGTH_BYTES = 4
+_INT32 = struct.Struct("<i")
+_INT64 = struct.Struct("<q")
+_DOUBLE = struct.Struct("<d")
+_TIMESTAMP = struct.Struct("<II")
+
+
+class MalformedDocument(SedgepitchError, ValueError):
     """The bytes are not a BSON document; the text says where."""
 
 
@@ -40,60 +80,65 @@
 
 
 def document_end(buf: bytes, offset: int) -> int:
-    """Return where the document at offset ends; raise BadDocument where its length cannot be."""
-    if offset + 5 > len(buf):
-        raise BadDocument(f"document at byte {offset} is cut off")
-    end = offset + int(_INT.unpack_from(buf, offset)[0])
-    if end < offset + 5 or end > len(buf) or buf[end - 1]:
-        raise BadDocument(f"document at byte {offset} has a wrong length")
+    """Return where the document at offset ends; raises MalformedDocument where its length cannot be."""
+    least_end = offset + _DOCUMENT_BYTES_MIN
+    if least_end > len(buf):
+        raise MalformedDocument(f"document at byte {offset} is cut off")
+    end = offset + int(_INT32.unpack_from(buf, offset)[0])
+    if end < least_end or end > len(buf) or buf[end - 1]:
+        raise MalformedDocument(f"document at byte {offset} has a wrong length")
     return end
 
 
 def _value_end(buf: bytes, kind: int, at: int, stop: int) -> int:
-    if (size := _FIXED.get(kind)) is not None:
+    size = _FIXED_BYTES.get(kind)
+    if size is not None:
         return at + size
     if kind in (DOCUMENT, ARRAY):
         return document_end(buf, at)
-    if kind == 0x0B:  # a regular expression: two cstrings
-        first = buf.find(b"\0", at, stop)
-        second = buf.find(b"\0", first + 1, stop) if first >= 0 else -1
-        if second < 0:
-            raise BadDocument(f"value at byte {at} is not ended")
-        return second + 1
-    if at + 4 > stop:
-        raise BadDocument(f"value at byte {at} is cut off")
-    length = _INT.unpack_from(buf, at)[0]
+    if kind == REGEX:
+        return _regex_end(buf, at, stop)
+    if at + _LENGTH_BYTES > stop:
+        raise MalformedDocument(f"value at byte {at} is cut off")
+    length = int(_INT32.unpack_from(buf, at)[0])
     if length < 0:
-        raise BadDocument(f"value at byte {at} has a negative length")
-    if kind in (STRING, 0x0D, 0x0E):
-        return at + 4 + int(length)
-    if kind == 0x05:
-        return at + 5 + int(length)
-    if kind == 0x0C:
-        return at + 16 + int(length)
-    if kind == 0x0F:
-        return at + int(length)
-    raise BadDocument(f"value at byte {at} has the unknown type {kind:#x}")
+        raise MalformedDocument(f"value at byte {at} has a negative length")
+    beyond = _BYTES_BEYOND_LENGTH.get(kind)
+    if beyond is None:
+        raise MalformedDocument(f"value at byte {at} has the unknown type {kind:#x}")
+    return at + beyond + length
+
+
+def _regex_end(buf: bytes, at: int, stop: int) -> int:
+    """Return where a regular expression ends: pattern and options, each ended by a zero byte."""
+    pattern_end = buf.find(b"\0", at, stop)
+    options_end = buf.find(b"\0", pattern_end + 1, stop) if pattern_end >= 0 else -1
+    if options_end < 0:
+        raise MalformedDocument(f"value at byte {at} is not ended")
+    return options_end + 1
 
 
 def elements(buf: bytes, offset: int = 0) -> list[Element]:
-    """Return the elements of the document at offset; raises BadDocument where it is broken."""
-    stop, at = document_end(buf, offset) - 1, offset + 4
-    out: list[Element] = []
-    new, find_end, fixed = tuple.__new__, buf.find, _FIXED
+    """Return the elements of the document at offset; raises MalformedDocument where it is broken."""
+    stop = document_end(buf, offset) - 1
+    at = offset + _LENGTH_BYTES
+    found: list[Element] = []
+    new = tuple.__new__  # a named tuple's own constructor takes twice as long
+    find_end = buf.find
+    fixed_bytes = _FIXED_BYTES
     while at < stop:
         kind = buf[at]
         name_end = find_end(b"\0", at + 1, stop)
         if name_end < 0:
-            raise BadDocument(f"element at byte {at} is not ended")
-        size = fixed.get(kind)
+            raise MalformedDocument(f"element at byte {at} is not ended")
+        size = fixed_bytes.get(kind)
         start = name_end + 1
         end = start + size if size is not None else _value_end(buf, kind, start, stop)
         if end > stop:
-            raise BadDocument(f"element at byte {at} runs past its document")
-        out.append(new(Element, (kind, buf[at + 1 : name_end], start, end)))
+            raise MalformedDocument(f"element at byte {at} runs past its document")
+        found.append(new(Element, (kind, buf[at + 1 : name_end], start, end)))
         at = end
-    return out
+    return found
 
 
 def find(buf: bytes, name: bytes, offset: int = 0) -> Element | None:
@@ -106,11 +151,11 @@
     if element is None:
         return None
     if element.kind == INT32:
-        return int(_INT.unpack_from(buf, element.start)[0])
+        return int(_INT32.unpack_from(buf, element.start)[0])
     if element.kind == INT64:
-        return int(_LONG.unpack_from(buf, element.start)[0])
+        return int(_INT64.unpack_from(buf, element.start)[0])
     if element.kind == DOUBLE:
-        return float(struct.unpack_from("<d", buf, element.start)[0])
+        return float(_DOUBLE.unpack_from(buf, element.start)[0])
     return bool(buf[element.start]) if element.kind == BOOL else None
 
 
@@ -125,15 +170,15 @@
     """Return a BSON timestamp as (seconds, increment), None where it is not one."""
     if element is None or element.kind != TIMESTAMP:
         return None
-    increment, seconds = struct.unpack_from("<II", buf, element.start)
+    increment, seconds = _TIMESTAMP.unpack_from(buf, element.start)
     return seconds, increment
 
 
 def replace_int64(buf: bytes, element: Element, value: int) -> bytes:
     """Return the buffer with one 64-bit integer replaced in place."""
-    return buf[: element.start] + _LONG.pack(value) + buf[element.end :]
+    return buf[: element.start] + _INT64.pack(value) + buf[element.end :]
 
 
 def append(document: bytes, element: bytes) -> bytes:
-    """Return the document with one encoded element put at its end."""
-    return _INT.pack(len(document) + len(element)) + document[4:-1] + element + b"\0"
+    """Return the document with one encoded element appended."""
+    return _INT32.pack(len(document) + len(element)) + document[_LENGTH_BYTES:-1] + element + b"\0"
--- /dev/null
+++ b/sedgepitch/protocols/mongodb/client_context.py
@@ -0,0 +1,55 @@
+"""What all MongoDB client connections of one listener share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+import bson
+
+from sedgepitch.core.engine import Engine
+from sedgepitch.core.types import Clock
+from sedgepitch.decisions.cursors import CursorTable
+from sedgepitch.decisions.request_classes import Classifier
+from sedgepitch.protocols.common.callbacks import ignore
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.protocols.mongodb.command_handler import CommandHandler
+from sedgepitch.protocols.mongodb.commands import Command
+from sedgepitch.protocols.mongodb.cursor_handler import CursorHandler
+from sedgepitch.protocols.mongodb.upstream import MongoUpstream
+
+if TYPE_CHECKING:
+    from sedgepitch.protocols.mongodb.client import ClientConnection
+
+
+@dataclass
+class ClientContext:
+    """State and settings shared by the connections of one listener; times are in seconds.
+
+    `group_of` gives a command's replica group, None where no group holds its namespace.
+    """
+
+    engine: Engine
+    upstream: MongoUpstream
+    clock: Clock
+    classifier: Classifier
+    cursors: CursorTable
+    group_of: Callable[[Command], int | None]
+    answer_margin: float  # before the client's time is up its response is decided
+    drain_grace: float
+    shard_field: tuple[bytes, ...] = ()
+    frame_bytes_max: int = codec.MESSAGE_BYTES_MAX
+    tenant_sources: tuple[str, ...] = ()  # the first that gives a name counts; none: no admission control
+    client_sources: tuple[str, ...] = ()
+    process_id: bson.ObjectId = field(default_factory=bson.ObjectId)
+    connections: set[ClientConnection] = field(default_factory=set)
+    accepted: int = 0
+    connections_max: int = 20_000
+    log_event: Callable[..., None] = ignore
+    count_input_error: Callable[[str], None] = ignore
+
+    def __post_init__(self) -> None:
+        """Make the handlers, which all connections share."""
+        self.command_handler = CommandHandler(self)
+        self.cursor_handler = CursorHandler(self)
--- a/sedgepitch/protocols/mongodb/codec.py
+++ b/sedgepitch/protocols/mongodb/codec.py
@@ -1,7 +1,7 @@
 """Messages of the MongoDB wire protocol as values: parse and build, no input or output.
 
-Rule of this file: nothing here knows what a command means. Bodies stay bytes; only the framing, the flags,
-the checksum and compression are understood. Sources: the OP_MSG, OP_COMPRESSED and OP_QUERY pages of the
+Nothing here knows what a command means. Bodies stay bytes; only the framing, the flags, the checksum and
+compression are understood. Sources: the OP_MSG, OP_COMPRESSED and OP_QUERY pages of the
 MongoDB wire protocol specification, and RFC 3720 appendix B.4 for CRC-32C.
 """
 
@@ -16,18 +16,45 @@
 import snappy
 import zstandard
 
-from sedgepitch.protocols.mongodb.bsonwalk import BadDocument, document_end
-
-HEADER = struct.Struct("<iiii")
-OP_REPLY, OP_QUERY, OP_COMPRESSED, OP_MSG = 1, 2004, 2012, 2013
-CHECKSUM, MORE_TO_COME, EXHAUST_ALLOWED = 1, 2, 1 << 16
-KNOWN_REQUIRED = CHECKSUM | MORE_TO_COME  # of the first 16 bits, which a reader must understand
-MOST_BYTES = 48_000_000  # maxMessageSizeBytes
-LEAST_BYTES = 16
-COMPRESSORS = {"snappy": 1, "zlib": 2, "zstd": 3}
-
-
-class WireError(Exception):
+from sedgepitch.errors import SedgepitchError
+from sedgepitch.protocols.mongodb.bsonwalk import MalformedDocument, document_end
+
+HEADER = struct.Struct("<iiii")  # length, request id, id responded to, opcode
+OP_REPLY = 1
+OP_QUERY = 2004
+OP_COMPRESSED = 2012
+OP_MSG = 2013
+CHECKSUM = 1  # flag bits of an OP_MSG
+MORE_TO_COME = 2
+EXHAUST_ALLOWED = 1 << 16
+REQUIRED_FLAGS = 0xFFFF  # those a reader must understand
+UNKNOWN_REQUIRED_FLAGS = REQUIRED_FLAGS & ~(CHECKSUM | MORE_TO_COME)
+SECTION_BODY = 0
+SECTION_SEQUENCE = 1
+MESSAGE_BYTES_MAX = 48_000_000  # maxMessageSizeBytes
+MESSAGE_BYTES_MIN = 16  # the header
+NO_COMPRESSION = 0
+SNAPPY = 1
+ZLIB = 2
+ZSTD = 3
+COMPRESSORS = {"snappy": SNAPPY, "zlib": ZLIB, "zstd": ZSTD}
+REQUEST_ID_MAX = 0x7FFFFFFF
+
+_FLAGS = struct.Struct("<I")
+_CHECKSUM = struct.Struct("<I")
+_LENGTH = struct.Struct("<i")
+_COMPRESSED_HEAD = struct.Struct("<iiB")  # original opcode, uncompressed size, compressor
+_REPLY_HEAD = struct.Struct("<iqii")  # flags, cursor id, starting from, documents
+_SECTIONS_AT = HEADER.size + _FLAGS.size
+_COMPRESSED_AT = HEADER.size + _COMPRESSED_HEAD.size
+_VARINT_BYTES_MAX = 5
+_VARINT_BITS = 0x7F  # of a byte; the eighth says that more follow
+_REPLY_AWAIT_CAPABLE = 8
+_QUERY_SKIP_AND_RETURN_BYTES = 8
+_SEQUENCE_BYTES_MIN = 5  # length and the end of its name
+
+
+class MalformedMessage(SedgepitchError):
     """The peer broke the protocol; the text is one line that says how."""
 
 
@@ -48,16 +75,16 @@
     flags: int
     body: bytes
     sections: tuple[Section, ...] = ()
-    frame: bytes = b""  # as it came, uncompressed
+    frame: bytes = b""  # as received, uncompressed
     end: int = 0  # where its sections end
-    legacy: bool = False  # came as OP_QUERY, so it is answered with OP_REPLY
+    legacy: bool = False  # received as OP_QUERY, so it is answered with OP_REPLY
     compressor: int = 0  # the reply may be compressed with the same
-    arrived: float = 0.0  # when its last bytes came, 0 where that is not known
+    arrived: float = 0.0  # when its last bytes arrived, in monotonic s; 0 where that is not known
 
     @property
     def raw(self) -> bytes:
-        """All sections as they came."""
-        return self.frame[20 : self.end]
+        """All sections as received."""
+        return self.frame[_SECTIONS_AT : self.end]
 
     @property
     def more_to_come(self) -> bool:
@@ -67,48 +94,47 @@
 
 def _snappy_size(data: bytes) -> int:
     """Return the size that a snappy stream states at its front (a varint)."""
-    size = shift = 0
-    for byte in data[:5]:
-        size |= (byte & 0x7F) << shift
-        if byte < 0x80:
+    size = 0
+    for index, byte in enumerate(data[:_VARINT_BYTES_MAX]):
+        size |= (byte & _VARINT_BITS) << (7 * index)
+        if byte <= _VARINT_BITS:
             return size
-        shift += 7
-    raise WireError("compressed message: bad snappy stream")
+    raise MalformedMessage("compressed message: bad snappy stream")
 
 
-def _unsnappy(data: bytes, size: int) -> bytes:
+def _decompress_snappy(data: bytes, size: int) -> bytes:
     if _snappy_size(data) != size:
-        raise WireError("compressed message: sizes differ")
+        raise MalformedMessage("compressed message: sizes differ")
     return bytes(snappy.decompress(data))
 
 
-def _unzlib(data: bytes, size: int) -> bytes:
+def _decompress_zlib(data: bytes, size: int) -> bytes:
     return zlib.decompressobj().decompress(data, size + 1)
 
 
-def _unzstd(data: bytes, size: int) -> bytes:
+def _decompress_zstd(data: bytes, size: int) -> bytes:
     with zstandard.ZstdDecompressor().stream_reader(data) as reader:
         return reader.read(size + 1)
 
 
-_UNPACK: dict[int, Callable[[bytes, int], bytes]] = {
-    0: lambda data, _: data,
-    1: _unsnappy,
-    2: _unzlib,
-    3: _unzstd,
+_DECOMPRESS: dict[int, Callable[[bytes, int], bytes]] = {
+    NO_COMPRESSION: lambda data, _: data,
+    SNAPPY: _decompress_snappy,
+    ZLIB: _decompress_zlib,
+    ZSTD: _decompress_zstd,
 }
-_PACK: dict[int, Callable[[bytes], bytes]] = {
-    1: lambda data: bytes(snappy.compress(data)),
-    2: zlib.compress,
-    3: lambda data: zstandard.ZstdCompressor().compress(data),
+_COMPRESS: dict[int, Callable[[bytes], bytes]] = {
+    SNAPPY: lambda data: bytes(snappy.compress(data)),
+    ZLIB: zlib.compress,
+    ZSTD: lambda data: zstandard.ZstdCompressor().compress(data),
 }
 
 
 def parse(frame: bytes) -> Message:
-    """Parse one whole frame, header included; raises WireError with a one-line text.
+    """Parse one whole frame, header included; raises MalformedMessage with a one-line text.
 
     Decompression is bounded: a message that would unpack to more than it states, or to more than
-    MOST_BYTES, is refused before it is held in memory.
+    MESSAGE_BYTES_MAX, is refused before it is held in memory.
     """
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
     compressor = 0
@@ -119,89 +145,103 @@
             return _parse_msg(frame, request_id, response_to, compressor)
         if opcode == OP_QUERY:
             return _parse_query(frame, request_id, response_to)
-    except BadDocument as error:
-        raise WireError(str(error)) from None
+    except MalformedDocument as error:
+        raise MalformedMessage(str(error)) from None
     except struct.error:
-        raise WireError("message is cut off") from None
-    raise WireError(f"opcode {opcode} is not supported")
+        raise MalformedMessage("message is cut off") from None
+    raise MalformedMessage(f"opcode {opcode} is not supported")
 
 
 def head(frame: bytes) -> Message | None:
-    """Read what a reply needs and no more; None where that is not plain to see, as in a compressed one."""
+    """Read what a reply needs and no more; None where that takes more, as in a compressed message."""
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
-    if opcode != OP_MSG or len(frame) < 21:
+    if opcode != OP_MSG or len(frame) <= _SECTIONS_AT:
         return None
-    flags = int.from_bytes(frame[16:20], "little")
-    return None if flags & 0xFFFF & ~KNOWN_REQUIRED else Message(request_id, response_to, flags, b"")
+    flags: int = _FLAGS.unpack_from(frame, HEADER.size)[0]
+    return None if flags & UNKNOWN_REQUIRED_FLAGS else Message(request_id, response_to, flags, b"")
 
 
 def _decompress(frame: bytes, request_id: int, response_to: int) -> tuple[int, bytes, int]:
-    opcode, size, compressor = struct.unpack_from("<iiB", frame, 16)
+    opcode, size, compressor = _COMPRESSED_HEAD.unpack_from(frame, HEADER.size)
     if opcode == OP_COMPRESSED:
-        raise WireError("compressed message: it holds another one")
-    if not 0 <= size <= MOST_BYTES - LEAST_BYTES:
-        raise WireError(f"compressed message: {size} bytes is no size it may have")
-    if compressor not in _UNPACK:
-        raise WireError(f"compressed message: compressor {compressor} is not known")
+        raise MalformedMessage("compressed message: it holds another one")
+    if not 0 <= size <= MESSAGE_BYTES_MAX - MESSAGE_BYTES_MIN:
+        raise MalformedMessage(f"compressed message: {size} bytes is no size it may have")
+    if compressor not in _DECOMPRESS:
+        raise MalformedMessage(f"compressed message: compressor {compressor} is not known")
     try:
-        body = _UNPACK[compressor](frame[25:], size)
-    except WireError:
+        body = _DECOMPRESS[compressor](frame[_COMPRESSED_AT:], size)
+    except MalformedMessage:
         raise
     except Exception:  # each library has errors of its own, and all mean the same here
-        raise WireError("compressed message: it does not unpack") from None
+        raise MalformedMessage("compressed message: it does not unpack") from None
     if len(body) != size:
-        raise WireError("compressed message: sizes differ")
-    return opcode, HEADER.pack(16 + size, request_id, response_to, opcode) + body, compressor
+        raise MalformedMessage("compressed message: sizes differ")
+    return opcode, HEADER.pack(HEADER.size + size, request_id, response_to, opcode) + body, compressor
 
 
 def _parse_msg(frame: bytes, request_id: int, response_to: int, compressor: int) -> Message:
-    (flags,) = struct.unpack_from("<I", frame, 16)
-    if flags & 0xFFFF & ~KNOWN_REQUIRED:
-        raise WireError(f"OP_MSG: required flag bits {flags & 0xFFFF:#x} are not known")
-    end = len(frame)
-    if flags & CHECKSUM:
-        end -= 4
-        if end < 20:
-            raise WireError("OP_MSG: no room for the checksum")
-        if google_crc32c.value(frame[:end]) != struct.unpack_from("<I", frame, end)[0]:
-            raise WireError("OP_MSG: the checksum is wrong")
-    at, body, sections = 20, None, []
+    flags: int = _FLAGS.unpack_from(frame, HEADER.size)[0]
+    if flags & UNKNOWN_REQUIRED_FLAGS:
+        raise MalformedMessage(f"OP_MSG: required flag bits {flags & REQUIRED_FLAGS:#x} are not known")
+    end = _checked_end(frame) if flags & CHECKSUM else len(frame)
+    at = _SECTIONS_AT
+    body: bytes | None = None
+    sections: list[Section] = []
     while at < end:
-        kind, at = frame[at], at + 1
-        if kind == 0:
+        kind = frame[at]
+        at += 1
+        if kind == SECTION_BODY:
             stop = document_end(frame, at)
             if body is not None:
-                raise WireError("OP_MSG: more than one body")
+                raise MalformedMessage("OP_MSG: more than one body")
             body = frame[at:stop]
-        elif kind == 1:
-            stop = at + int(struct.unpack_from("<i", frame, at)[0])
-            if stop > end or stop < at + 5:
-                raise WireError("OP_MSG: a document sequence has a wrong length")
-            name_end = frame.find(b"\0", at + 4, stop)
-            if name_end < 0:
-                raise WireError("OP_MSG: a document sequence has no name")
-            spot = name_end + 1
-            while spot < stop:
-                spot = document_end(frame, spot)
-            if spot != stop:
-                raise WireError("OP_MSG: a document sequence ends inside a document")
-            name = frame[at + 4 : name_end].decode("utf-8", "replace")
-            sections.append(Section(name, frame[name_end + 1 : stop]))
+        elif kind == SECTION_SEQUENCE:
+            section, stop = _parse_sequence(frame, at, end)
+            sections.append(section)
         else:
-            raise WireError(f"OP_MSG: section kind {kind} is not known")
+            raise MalformedMessage(f"OP_MSG: section kind {kind} is not known")
         if stop > end:
-            raise WireError("OP_MSG: a section runs into the checksum")
+            raise MalformedMessage("OP_MSG: a section runs into the checksum")
         at = stop
     if body is None:
-        raise WireError("OP_MSG: there is no body")
+        raise MalformedMessage("OP_MSG: there is no body")
     return Message(request_id, response_to, flags, body, tuple(sections), frame, end, False, compressor)
 
 
+def _checked_end(frame: bytes) -> int:
+    """Return where the sections end, before a checksum that is right."""
+    end = len(frame) - _CHECKSUM.size
+    if end < _SECTIONS_AT:
+        raise MalformedMessage("OP_MSG: no room for the checksum")
+    if google_crc32c.value(frame[:end]) != _CHECKSUM.unpack_from(frame, end)[0]:
+        raise MalformedMessage("OP_MSG: the checksum is wrong")
+    return end
+
+
+def _parse_sequence(frame: bytes, at: int, end: int) -> tuple[Section, int]:
+    """Return the document sequence at `at`, and where it ends."""
+    stop = at + int(_LENGTH.unpack_from(frame, at)[0])
+    if stop > end or stop < at + _SEQUENCE_BYTES_MIN:
+        raise MalformedMessage("OP_MSG: a document sequence has a wrong length")
+    name_at = at + _LENGTH.size
+    name_end = frame.find(b"\0", name_at, stop)
+    if name_end < 0:
+        raise MalformedMessage("OP_MSG: a document sequence has no name")
+    document_at = name_end + 1
+    while document_at < stop:
+        document_at = document_end(frame, document_at)
+    if document_at != stop:
+        raise MalformedMessage("OP_MSG: a document sequence ends inside a document")
+    name = frame[name_at:name_end].decode("utf-8", "replace")
+    return Section(name, frame[name_end + 1 : stop]), stop
+
+
 def _parse_query(frame: bytes, request_id: int, response_to: int) -> Message:
-    name_end = frame.find(b"\0", 20)
-    if name_end < 0 or not frame[20:name_end].endswith(b".$cmd"):
-        raise WireError("OP_QUERY: only the first hello may come this way")
-    at = name_end + 9
+    name_end = frame.find(b"\0", _SECTIONS_AT)
+    if name_end < 0 or not frame[_SECTIONS_AT:name_end].endswith(b".$cmd"):
+        raise MalformedMessage("OP_QUERY: only the first hello may come this way")
+    at = name_end + 1 + _QUERY_SKIP_AND_RETURN_BYTES
     body = frame[at : document_end(frame, at)]
     return Message(request_id, response_to, 0, body, legacy=True)
 
@@ -212,23 +252,30 @@
 
 
 def build_raw(sections: bytes, request_id: int, response_to: int, flags: int = 0) -> bytes:
-    """Build an OP_MSG frame from sections that are bytes already."""
-    size = 20 + len(sections) + (4 if flags & CHECKSUM else 0)
-    frame = HEADER.pack(size, request_id, response_to, OP_MSG) + struct.pack("<I", flags) + sections
-    return frame + struct.pack("<I", google_crc32c.value(frame)) if flags & CHECKSUM else frame
+    """Build an OP_MSG frame from encoded sections."""
+    size = _SECTIONS_AT + len(sections) + (_CHECKSUM.size if flags & CHECKSUM else 0)
+    frame = HEADER.pack(size, request_id, response_to, OP_MSG) + _FLAGS.pack(flags) + sections
+    return frame + _CHECKSUM.pack(google_crc32c.value(frame)) if flags & CHECKSUM else frame
 
 
 def build_reply(body: bytes, request_id: int, response_to: int) -> bytes:
     """Build the OP_REPLY that answers an OP_QUERY hello."""
-    head = HEADER.pack(36 + len(body), request_id, response_to, OP_REPLY)
-    return head + struct.pack("<iqii", 8, 0, 0, 1) + body
+    size = HEADER.size + _REPLY_HEAD.size + len(body)
+    header = HEADER.pack(size, request_id, response_to, OP_REPLY)
+    return header + _REPLY_HEAD.pack(_REPLY_AWAIT_CAPABLE, 0, 0, 1) + body
 
 
 def compress(frame: bytes, compressor: int) -> bytes:
-    """Return the frame as an OP_COMPRESSED one; 0 leaves it alone."""
-    if compressor not in _PACK:
+    """Return the frame as an OP_COMPRESSED one; NO_COMPRESSION leaves it as it is."""
+    if compressor not in _COMPRESS:
         return frame
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
-    packed = _PACK[compressor](frame[16:])
-    head = HEADER.pack(25 + len(packed), request_id, response_to, OP_COMPRESSED)
-    return head + struct.pack("<iiB", opcode, len(frame) - 16, compressor) + packed
+    body = frame[HEADER.size :]
+    packed = _COMPRESS[compressor](body)
+    header = HEADER.pack(_COMPRESSED_AT + len(packed), request_id, response_to, OP_COMPRESSED)
+    return header + _COMPRESSED_HEAD.pack(opcode, len(body), compressor) + packed
+
+
+def next_request_id(request_id: int) -> int:
+    """Return the id after this one; ids are positive and begin at 1 again after the largest."""
+    return request_id % REQUEST_ID_MAX + 1
--- a/sedgepitch/protocols/mongodb/commands.py
+++ b/sedgepitch/protocols/mongodb/commands.py
@@ -1,117 +1,62 @@
-"""What each command is: a read, a write, a cursor's next batch, or answered here; and what its fields ask.
+"""One command as read off the wire: what it is, what its fields ask, and what an endpoint is sent of it.
 
-One table, `COMMANDS`. A command that does not stand there is not supported. The body is walked once, without
-being decoded; only an aggregate's stages are looked at, since one of them may write.
-Sources: MongoDB's command reference; driver specifications for sessions, retryable writes, read preference.
+The body is walked once, without being decoded; only an aggregate's stages are looked at, since one of them
+may write. Sources: MongoDB's command reference; driver specifications for sessions, retryable writes and read
+preference.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
 
 import bson
 
-from sedgepitch.decisions.request_classes import Facts
+from sedgepitch.decisions.positions import OpTime
+from sedgepitch.decisions.request_classes import CommandFacts
+from sedgepitch.errors import ClientError
 from sedgepitch.protocols.mongodb import bsonwalk
-from sedgepitch.protocols.mongodb.bsonwalk import BadDocument, Element
-from sedgepitch.protocols.mongodb.codec import Message
-
-Stamp = tuple[int, int]  # a BSON timestamp: seconds, increment
-
-
-class Kind(Enum):
-    """How a command is handled."""
-
-    READ = "read"
-    WRITE = "write"
-    GET_MORE = "getMore"
-    KILL_CURSORS = "killCursors"
-    LOCAL = "local"
-
-
-COMMANDS = {
-    "find": Kind.READ,
-    "aggregate": Kind.READ,  # a write with $out or $merge
-    "count": Kind.READ,
-    "distinct": Kind.READ,
-    "listCollections": Kind.READ,
-    "listDatabases": Kind.READ,
-    "insert": Kind.WRITE,
-    "update": Kind.WRITE,
-    "delete": Kind.WRITE,
-    "findAndModify": Kind.WRITE,
-    "findandmodify": Kind.WRITE,
-    "getMore": Kind.GET_MORE,
-    "killCursors": Kind.KILL_CURSORS,
-    "hello": Kind.LOCAL,
-    "isMaster": Kind.LOCAL,
-    "ismaster": Kind.LOCAL,
-    "ping": Kind.LOCAL,
-    "buildInfo": Kind.LOCAL,
-    "buildinfo": Kind.LOCAL,
-    "endSessions": Kind.LOCAL,
-}
-# What a mongos knows and this subset does not serve (MongoDB manual, "Database Commands"; the commands of
-# storage nodes only, and of tests, are not among them). Any other name is not known at all.
-UNSERVED = frozenset(
-    """
-    abortReshardCollection abortTransaction addShard addShardToZone analyze analyzeShardKey appendOplogNote
-    authenticate autoSplitVector balancerCollectionStatus balancerStart balancerStatus balancerStop bulkWrite
-    checkMetadataConsistency cleanupOrphaned cleanupReshardCollection cleanupStructuredEncryptionData
-    clearJumboFlag clusterAbortTransaction clusterAggregate clusterCommitTransaction clusterCount
-    clusterDelete clusterFind clusterGetMore clusterInsert clusterUpdate collMod collStats
-    commitReshardCollection commitTransaction compact compactStructuredEncryptionData configureFailPoint
-    configureQueryAnalyzer connPoolStats connPoolSync connectionStatus convertToCapped
-    coordinateCommitTransaction create createIndexes createRole createSearchIndexes createUser currentOp
-    dataSize dbHash dbStats
-    driverOIDTest drop dropAllRolesFromDatabase dropAllUsersFromDatabase dropConnections dropDatabase
-    dropIndexes dropRole dropSearchIndex dropUser enableSharding eval explain features filemd5
-    flushRouterConfig fsync fsyncUnlock getAuditConfig getClusterParameter getCmdLineOpts getDatabaseVersion
-    getDefaultRWConcern getDiagnosticData getLog getParameter getShardMap getShardVersion getnonce
-    grantPrivilegesToRole grantRolesToRole grantRolesToUser hostInfo internalRenameIfOptionsAndIndexesMatch
-    invalidateUserCache isdbgrid killAllSessions killAllSessionsByPattern killOp killSessions listCommands
-    listIndexes listSearchIndexes listShards lockInfo logApplicationMessage logRotate logout mapReduce
-    mergeAllChunksOnShard mergeChunks moveChunk moveCollection movePrimary multicast netstat planCacheClear
-    planCacheClearFilters planCacheListFilters planCacheSetFilter prepareTransaction profile
-    refineCollectionShardKey refreshLogicalSessionCacheNow refreshSessions reIndex releaseMemory removeShard
-    removeShardFromZone renameCollection repairShardedCollectionChunksHistory replSetGetStatus
-    reshardCollection resetError revokePrivilegesFromRole revokeRolesFromRole revokeRolesFromUser rolesInfo
-    saslContinue saslStart serverStatus setAllowMigrations setAuditConfig setClusterParameter
-    setDefaultRWConcern setFeatureCompatibilityVersion setFreeMonitoring setIndexCommitQuorum setParameter
-    setProfilingFilterGlobally setQuerySettings shardCollection shardConnPoolStats shutdown split
-    splitVector startSession top transitionFromDedicatedConfigServer transitionToDedicatedConfigServer
-    unshardCollection untrackUnshardedCollection updateRole updateSearchIndex updateUser updateZoneKeyRange
-    usersInfo validate validateDBMetadata waitForFailPoint whatsmyuri
-    """.split()
-)
+from sedgepitch.protocols.mongodb.bsonwalk import Element, MalformedDocument
+from sedgepitch.protocols.mongodb.codec import SECTION_BODY, SECTION_SEQUENCE, Message
+from sedgepitch.protocols.mongodb.command_table import COMMANDS, UNSUPPORTED, CommandKind
+
+Fields = dict[bytes, Element]
+
 WRITING_STAGES = (b"$out", b"$merge")
+WITHOUT_COLLECTION = ("listCollections", "listDatabases")
 READ_PREFERENCE = b"\x03$readPreference\0" + bson.encode({"mode": "primaryPreferred"})
+COMMENT_CHARACTERS_MAX = 200
+SHOWN_NAME_CHARACTERS_MAX = 80
+MS_PER_S = 1000.0
+BODY_SECTION = bytes([SECTION_BODY])
+SEQUENCE_SECTION = bytes([SECTION_SEQUENCE])
+SEQUENCE_LENGTH_BYTES = 4
 
 
-class BadCommand(Exception):
-    """A command that cannot be taken: code, code name and one line."""
+class CommandError(ClientError):
+    """A command that cannot be taken: MongoDB's error code, its name, and one line."""
 
     def __init__(self, code: int, name: str, text: str) -> None:
         super().__init__(text)
-        self.code, self.name, self.text = code, name, text
+        self.code = code
+        self.name = name
+        self.text = text
 
 
 @dataclass(slots=True)
-class Request:
-    """One command as read off the wire; what is sent on is made of `message` when it is needed."""
+class Command:
+    """One command; what is forwarded is made of `message` when it is needed."""
 
     message: Message
     name: str
-    kind: Kind
+    kind: CommandKind
     database: str
     collection: str
-    facts: Facts
-    session: str = ""
-    after: Stamp | None = None
+    facts: CommandFacts
+    session: str = ""  # the session's id in hexadecimal, "" where there is none
+    after: OpTime | None = None  # a read must see this commit
     time_left: float | None = None  # s, as maxTimeMS says
     cursor_ids: tuple[int, ...] = ()
-    shard: object = None
+    shard: object = None  # the value that tells the replica group
     _sections: bytes = field(default=b"", repr=False)
 
     @property
@@ -125,99 +70,110 @@
         return f"{self.database}.{self.collection}"
 
     def sections(self) -> bytes:
-        """Return the sections to send on: as they came, but that a read says it may be read at a replica."""
+        """Return the sections to forward: unchanged, but that a read says it may run on a replica."""
         if not self._sections:
-            reads = self.kind is Kind.READ and not self.facts.writes
-            if reads and not self.facts.read_preference:
-                head = b"\0" + bsonwalk.append(self.message.body, READ_PREFERENCE)
-                self._sections = head + _others(self.message)
+            is_read = self.kind is CommandKind.READ and not self.facts.writes
+            if is_read and not self.facts.read_preference:
+                body = bsonwalk.append(self.message.body, READ_PREFERENCE)
+                self._sections = BODY_SECTION + body + _encode_sequences(self.message)
             else:
                 self._sections = self.message.raw
         return self._sections
 
-    def next_batch(self, member_id: int) -> bytes:
-        """Return a getMore's sections with the member's own cursor id."""
-        first = bsonwalk.elements(self.message.body)[0]
-        body = bsonwalk.replace_int64(self.message.body, first, member_id)
-        return b"\0" + body + _others(self.message)
+    def next_batch(self, endpoint_cursor_id: int) -> bytes:
+        """Return a getMore's sections with the endpoint's own cursor id."""
+        cursor_id = bsonwalk.elements(self.message.body)[0]
+        body = bsonwalk.replace_int64(self.message.body, cursor_id, endpoint_cursor_id)
+        return BODY_SECTION + body + _encode_sequences(self.message)
 
 
-def _others(message: Message) -> bytes:
-    out = b""
+def _encode_sequences(message: Message) -> bytes:
+    encoded = b""
     for section in message.sections:
         name = section.name.encode() + b"\0"
-        out += b"\1" + (4 + len(name) + len(section.documents)).to_bytes(4, "little") + name
-        out += section.documents
-    return out
+        length = SEQUENCE_LENGTH_BYTES + len(name) + len(section.documents)
+        encoded += SEQUENCE_SECTION + length.to_bytes(SEQUENCE_LENGTH_BYTES, "little") + name
+        encoded += section.documents
+    return encoded
 
 
-def read(message: Message, app_name: str = "", shard_field: tuple[bytes, ...] = ()) -> Request:
-    """Read one command; raises BadCommand with the error that the client is to get.
+def read(message: Message, app_name: str = "", shard_field: tuple[bytes, ...] = ()) -> Command:
+    """Read one command; raises CommandError with the error that the client is to get.
 
     `shard_field` is the path of names to the value that tells the group, empty for none.
     """
     try:
         return _read(message, app_name, shard_field)
-    except BadDocument as error:
-        raise BadCommand(22, "InvalidBSON", f"command: {error}") from None
+    except MalformedDocument as error:
+        raise CommandError(22, "InvalidBSON", f"command: {error}") from None
 
 
-def _read(message: Message, app_name: str, shard_field: tuple[bytes, ...]) -> Request:
+def _read(message: Message, app_name: str, shard_field: tuple[bytes, ...]) -> Command:
     body = message.body
-    found: dict[bytes, Element] = {}
-    first: Element | None = None
-    for element in bsonwalk.elements(body):
-        first = first or element
-        found.setdefault(element.name, element)
-    if first is None:
-        raise BadCommand(59, "CommandNotFound", "the command is empty")
+    first, fields = _fields(body)
     name = first.name.decode("utf-8", "replace")
-    kind = COMMANDS.get(name)
-    if kind is None:
-        if name in UNSERVED:
-            raise BadCommand(115, "CommandNotSupported", f"the command '{name}' is not supported")
-        raise BadCommand(59, "CommandNotFound", f"no such command: '{name[:80]}'")
-    if b"startTransaction" in found or b"autocommit" in found:
-        raise BadCommand(263, "OperationNotSupportedInTransaction", "transactions are not supported")
-    database = bsonwalk.text(body, found.get(b"$db")) or ""
+    kind = _kind(name)
+    if b"startTransaction" in fields or b"autocommit" in fields:
+        raise CommandError(263, "OperationNotSupportedInTransaction", "transactions are not supported")
+    database = bsonwalk.text(body, fields.get(b"$db")) or ""
     if not database and not message.legacy:
-        raise BadCommand(40571, "Location40571", "OP_MSG requests require a $db argument")
-    collection = bsonwalk.text(body, first) or bsonwalk.text(body, found.get(b"collection")) or ""
-    if kind not in (Kind.LOCAL,) and not collection and name not in ("listCollections", "listDatabases"):
-        raise BadCommand(73, "InvalidNamespace", f"{name}: the collection must be a string")
-    writes = kind is Kind.WRITE or (name == "aggregate" and _writes(body, found.get(b"pipeline")))
-    preference, staleness = _read_preference(body, found.get(b"$readPreference"))
-    concern, after = _read_concern(body, found.get(b"readConcern"))
-    keyed = writes and b"lsid" in found and b"txnNumber" in found
-    facts = Facts(
+        raise CommandError(40571, "Location40571", "OP_MSG requests require a $db argument")
+    collection = bsonwalk.text(body, first) or bsonwalk.text(body, fields.get(b"collection")) or ""
+    if not collection and kind is not CommandKind.LOCAL and name not in WITHOUT_COLLECTION:
+        raise CommandError(73, "InvalidNamespace", f"{name}: the collection must be a string")
+    read_preference, max_staleness = _read_preference(body, fields.get(b"$readPreference"))
+    read_concern, after = _read_concern(body, fields.get(b"readConcern"))
+    writes = kind is CommandKind.WRITE or (name == "aggregate" and _may_write(body, fields.get(b"pipeline")))
+    facts = CommandFacts(
         database=database,
         collection=collection,
         command=name,
         writes=writes,
-        keyed=keyed,
-        comment=_comment(body, found.get(b"comment")),
-        read_preference=preference,
-        read_concern=concern,
-        max_staleness=staleness,
+        keyed=writes and b"lsid" in fields and b"txnNumber" in fields,
+        comment=_comment(body, fields.get(b"comment")),
+        read_preference=read_preference,
+        read_concern=read_concern,
+        max_staleness=max_staleness,
         app_name=app_name,
     )
-    limit = bsonwalk.number(body, found.get(b"maxTimeMS"))
-    return Request(
+    time_limit_ms = bsonwalk.number(body, fields.get(b"maxTimeMS"))
+    return Command(
         message=message,
         name=name,
         kind=kind,
         database=database,
         collection=collection,
         facts=facts,
-        session=_session(body, found.get(b"lsid")),
+        session=_session(body, fields.get(b"lsid")),
         after=after,
-        time_left=limit / 1000.0 if limit and limit > 0 else None,
-        cursor_ids=_cursor_ids(body, kind, first, found),
-        shard=_value(body, shard_field) if shard_field else None,
+        time_left=time_limit_ms / MS_PER_S if time_limit_ms and time_limit_ms > 0 else None,
+        cursor_ids=_cursor_ids(body, kind, first, fields),
+        shard=_value_at(body, shard_field) if shard_field else None,
     )
 
 
-def _writes(body: bytes, pipeline: Element | None) -> bool:
+def _fields(body: bytes) -> tuple[Element, Fields]:
+    """Return the first element, which names the command, and the first element of each name."""
+    elements = bsonwalk.elements(body)
+    if not elements:
+        raise CommandError(59, "CommandNotFound", "the command is empty")
+    fields: Fields = {}
+    for element in elements:
+        fields.setdefault(element.name, element)
+    return elements[0], fields
+
+
+def _kind(name: str) -> CommandKind:
+    kind = COMMANDS.get(name)
+    if kind is not None:
+        return kind
+    if name in UNSUPPORTED:
+        raise CommandError(115, "CommandNotSupported", f"the command '{name}' is not supported")
+    shown = name[:SHOWN_NAME_CHARACTERS_MAX]
+    raise CommandError(59, "CommandNotFound", f"no such command: '{shown}'")
+
+
+def _may_write(body: bytes, pipeline: Element | None) -> bool:
     """Whether any stage writes; only the last may, but what cannot be read is taken for a write."""
     if pipeline is None or pipeline.kind != bsonwalk.ARRAY:
         return True
@@ -230,6 +186,7 @@
 
 
 def _read_preference(body: bytes, element: Element | None) -> tuple[str, float | None]:
+    """Return the mode and the staleness bound in seconds."""
     if element is None or element.kind != bsonwalk.DOCUMENT:
         return "", None
     mode = bsonwalk.text(body, bsonwalk.find(body, b"mode", element.start)) or ""
@@ -237,7 +194,8 @@
     return mode, float(staleness) if staleness is not None and staleness >= 0 else None
 
 
-def _read_concern(body: bytes, element: Element | None) -> tuple[str, Stamp | None]:
+def _read_concern(body: bytes, element: Element | None) -> tuple[str, OpTime | None]:
+    """Return the level and the commit that the read must see."""
     if element is None or element.kind != bsonwalk.DOCUMENT:
         return "", None
     level = bsonwalk.text(body, bsonwalk.find(body, b"level", element.start)) or ""
@@ -250,42 +208,43 @@
         return ""
     if element.kind == bsonwalk.DOCUMENT:  # a tagged comment: its class is what rules match on
         return bsonwalk.text(body, bsonwalk.find(body, b"class", element.start)) or ""
-    return (bsonwalk.text(body, element) or "")[:200]
+    return (bsonwalk.text(body, element) or "")[:COMMENT_CHARACTERS_MAX]
 
 
 def _session(body: bytes, element: Element | None) -> str:
     if element is None or element.kind != bsonwalk.DOCUMENT:
         return ""
-    identity = bsonwalk.find(body, b"id", element.start)
-    return body[identity.start : identity.end].hex() if identity is not None else ""
+    session_id = bsonwalk.find(body, b"id", element.start)
+    return body[session_id.start : session_id.end].hex() if session_id is not None else ""
 
 
-def _cursor_ids(body: bytes, kind: Kind, first: Element, found: dict[bytes, Element]) -> tuple[int, ...]:
-    if kind is Kind.GET_MORE:
+def _cursor_ids(body: bytes, kind: CommandKind, first: Element, fields: Fields) -> tuple[int, ...]:
+    if kind is CommandKind.GET_MORE:
         if first.kind != bsonwalk.INT64:
-            raise BadCommand(14, "TypeMismatch", "getMore: the cursor id must be a 64-bit integer")
+            raise CommandError(14, "TypeMismatch", "getMore: the cursor id must be a 64-bit integer")
         return (int(bsonwalk.number(body, first) or 0),)
-    if kind is not Kind.KILL_CURSORS:
+    if kind is not CommandKind.KILL_CURSORS:
         return ()
-    cursors = found.get(b"cursors")
+    cursors = fields.get(b"cursors")
     if cursors is None or cursors.kind != bsonwalk.ARRAY:
-        raise BadCommand(14, "TypeMismatch", "killCursors: 'cursors' must be an array")
-    entries = list(bsonwalk.elements(body, cursors.start))
+        raise CommandError(14, "TypeMismatch", "killCursors: 'cursors' must be an array")
+    entries = bsonwalk.elements(body, cursors.start)
     if any(entry.kind != bsonwalk.INT64 for entry in entries):
-        raise BadCommand(14, "TypeMismatch", "killCursors: a cursor id must be a 64-bit integer")
+        raise CommandError(14, "TypeMismatch", "killCursors: a cursor id must be a 64-bit integer")
     return tuple(int(bsonwalk.number(body, entry) or 0) for entry in entries)
 
 
-def _value(body: bytes, path: tuple[bytes, ...]) -> object:
+def _value_at(body: bytes, path: tuple[bytes, ...]) -> object:
+    """Return the string or number at a path of names, None where there is none."""
+    *parents, last = path
     at = 0
-    for depth, name in enumerate(path):
+    for name in parents:
         element = bsonwalk.find(body, name, at)
-        if element is None:
-            return None
-        if depth == len(path) - 1:
-            words = bsonwalk.text(body, element)
-            return words if words is not None else bsonwalk.number(body, element)
-        if element.kind != bsonwalk.DOCUMENT:
+        if element is None or element.kind != bsonwalk.DOCUMENT:
             return None
         at = element.start
-    return None
+    value = bsonwalk.find(body, last, at)
+    if value is None:
+        return None
+    string = bsonwalk.text(body, value)
+    return string if string is not None else bsonwalk.number(body, value)
--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -18,7 +18,7 @@
 from sedgepitch.emulator.recorder import Recorder
 from sedgepitch.net.connecting import connect
 from sedgepitch.protocols.mongodb import codec
-from sedgepitch.protocols.mongodb.codec import WireError
+from sedgepitch.protocols.mongodb.codec import MalformedMessage
 from sedgepitch.protocols.mongodb.framing import FrameReceiver
 
 now = time.monotonic
@@ -127,7 +127,7 @@
         try:
             message = codec.parse(frame)
             reply = bson.decode(message.body)
-        except (WireError, bson.errors.BSONError):
+        except (MalformedMessage, bson.errors.BSONError):
             self.transport.abortConnection()
             return
         if not self.up:  # hello is answered
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -12,7 +12,7 @@
 
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
-from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.protocols.mongodb.command_handler import CommandHandler
 from sedgepitch.routing.messages import EndpointState
 from sedgepitch.routing.router import Router
 
@@ -64,12 +64,12 @@
 def answer_late() -> None:
     """Rule 1: answers wait in a queue of the driver's own, and nothing takes that from what is promised."""
 
-    def answered(self, request):
-        tell = true_answered(self, request)
-        return lambda answer: self.context.clock.call_later(2.2, tell, answer)
+    def response_callback(self, connection, command):
+        respond = true_response_callback(self, connection, command)
+        return lambda response: self._context.clock.call_later(2.2, respond, response)
 
-    true_answered = ClientConnection._answered
-    ClientConnection._answered = answered
+    true_response_callback = CommandHandler.response_callback
+    CommandHandler.response_callback = response_callback
 
 
 def send_after_the_answer() -> None:
--- a/tests/support/golden_mongodb.py
+++ b/tests/support/golden_mongodb.py
@@ -14,7 +14,8 @@
 from sedgepitch.core.engine import Engine
 from sedgepitch.decisions.cursors import CursorTable
 from sedgepitch.protocols.mongodb import codec
-from sedgepitch.protocols.mongodb.client import ClientConnection, Context
+from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.protocols.mongodb.client_context import ClientContext
 from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
@@ -57,23 +58,22 @@
         addresses = {n: ("127.0.0.1", 5000 + n) for n in (1, 2, 3)}
         self.endpoints = MongoUpstream(None, self.clock, addresses, "proxy", limits, 0.25, 0.1)
         self.engine = Engine(Router(settings.module_settings(), self.seed), self.endpoints, self.clock)
-        self.context = Context(
+        self.context = ClientContext(
             engine=self.engine,
-            endpoints=self.endpoints,
+            upstream=self.endpoints,
             clock=self.clock,
             classifier=settings.classifier(),
             cursors=CursorTable(4, 2.0, self.seed),
             group_of=group_finder(settings),
             answer_margin=0.01,
             drain_grace=0.5,
-            tenant_of=("app_name", "address") if self.seed % 2 else (),
-            client_of=("session", "connection") if self.seed % 2 else (),
+            tenant_sources=("app_name", "address") if self.seed % 2 else (),
+            client_sources=("session", "connection") if self.seed % 2 else (),
             process_id=bson.ObjectId("0123456789abcdef01234567"),
-            most_connections=MOST_CLIENTS,
-            log=lambda event, **fields: self.reports.append(str([*fields.values()])),
-            counted=self.reports.append,
+            connections_max=MOST_CLIENTS,
+            log_event=lambda event, **fields: self.reports.append(str([*fields.values()])),
+            count_input_error=self.reports.append,
         )
-        self.endpoints.heard = self.context.read
         self.primary, self.term, self.optime = 1, 1, 100
         self.entries = [
             api.EndpointEntry(n, 0, api.EndpointState.UP, "north", n == 1) for n in (1, 2, 3)
--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -18,8 +18,9 @@
 from sedgepitch.decisions.cursors import CursorTable
 from sedgepitch.decisions.positions import GroupPositions
 from sedgepitch.protocols.mongodb import bsonwalk, codec
-from sedgepitch.protocols.mongodb.client import ClientConnection, Context
-from sedgepitch.protocols.mongodb.upstream import MemberReply
+from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.protocols.mongodb.client_context import ClientContext
+from sedgepitch.protocols.mongodb.reply import EndpointReply
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
 
@@ -47,7 +48,7 @@
     def answer(self, reply: dict | None = None, **fields) -> None:
         """Let the member answer."""
         body = bson.encode({"ok": 1.0, **(reply or {})})
-        reply = MemberReply(body, bsonwalk.find(body, b"cursor"))
+        reply = EndpointReply(body, bsonwalk.find(body, b"cursor"))
         self.on_end(AttemptOutcome(fields.pop("result", api.AttemptResult.OK), reply, **fields))
 
 
@@ -56,7 +57,7 @@
     """The members' side, played by the test."""
 
     sent: list[Sent] = field(default_factory=list)
-    links: dict[int, Any] = field(default_factory=dict)
+    pools: dict[int, Any] = field(default_factory=dict)
     positions: dict[int, GroupPositions] = field(default_factory=lambda: {0: GroupPositions()})
 
     def send(self, endpoint, payload, on_end, by):
@@ -86,9 +87,9 @@
         self.engine = Engine(router, self.endpoints, self.clock)
         entries = tuple(api.EndpointEntry(n, 0, api.EndpointState.UP, "north", n == 1) for n in (1, 2, 3))
         self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
-        self.context = Context(
+        self.context = ClientContext(
             engine=self.engine,
-            endpoints=self.endpoints,
+            upstream=self.endpoints,
             clock=self.clock,
             classifier=settings.classifier(),
             cursors=CursorTable(100, 60.0, seed),
--- a/tests/test_mongodb_client.py
+++ b/tests/test_mongodb_client.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from sedgepitch.protocols.mongodb import codec
-from sedgepitch.protocols.mongodb.codec import WireError
+from sedgepitch.protocols.mongodb.codec import MalformedMessage
 from tests.support.mongodb_harness import Front, command, replies
 
 PING = command(7, ping=1)
@@ -39,7 +39,7 @@
     connection.dataReceived(struct.pack("<iiii", length, 1, 0, 2013) + b"x" * 100)
     front.turn()
     assert transport.disconnecting
-    assert connection._held == 0
+    assert connection.buffered == 0
     other.dataReceived(PING)
     front.turn()
     assert replies(other_transport)[0][1]["ok"] == 1.0
@@ -202,7 +202,7 @@
         if not transport.disconnecting:
             connection.dataReceived(data[at : at + cut])
         front.turn()
-    assert connection._held <= len(data)
+    assert connection.buffered <= len(data)
     front.endpoints.sent[0].answer({"n": 1})
     front.turn()
     assert replies(other_transport) == [(5, {"ok": 1.0, "n": 1})]
@@ -215,7 +215,7 @@
     if len(frame) >= 16:
         try:
             codec.parse(frame)
-        except WireError as error:
+        except MalformedMessage as error:
             assert "\n" not in str(error)
 
 
@@ -226,5 +226,5 @@
     assert codec.parse(packed).body == codec.parse(frame).body
     bomb = codec.compress(codec.build_raw(bytes(5_000_000), 1, 0), compressor)
     lying = bomb[:20] + struct.pack("<i", 100) + bomb[24:]
-    with pytest.raises(WireError):
+    with pytest.raises(MalformedMessage):
         codec.parse(lying)
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -1,4 +1,4 @@
-"""Positions by optimes and marks, held against a model that knows the truth."""
+"""Positions by optimes and observations, held against a model that knows the truth."""
 
 from __future__ import annotations
 
@@ -8,125 +8,134 @@
 from hypothesis import strategies as st
 
 from sedgepitch.core.connection_pool import PoolLimits
-from sedgepitch.decisions.positions import LEAP, MOST_MARKS, NOTHING_KNOWN, GroupPositions, Marks
+from sedgepitch.decisions.positions import (
+    OBSERVATIONS_MAX,
+    OPTIME_LEAP_MAX_S,
+    POSITION_UNKNOWN,
+    GroupPositions,
+    PrimaryObservations,
+)
 from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 
 
 def test_an_idle_primary_keeps_a_replica_fresh_that_has_everything():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.hello(2, 10.1, False, 1, (5, 1))
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_hello(2, 10.1, False, 1, (5, 1))
     assert group.position(2) == 10.0
     for second in range(11, 60):
-        group.hello(1, float(second), True, 1, (5, 1))
+        group.observe_hello(1, float(second), True, 1, (5, 1))
         assert group.position(2) == float(second)
 
 
-def test_a_replica_that_lags_is_as_old_as_the_mark_it_has_reached():
+def test_a_replica_that_lags_is_as_old_as_the_observation_it_has_reached():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.wrote(1, 11.0, (6, 1))
-    group.wrote(1, 12.0, (7, 1))
-    assert group.hello(2, 12.5, False, 1, (6, 3)).position == 11.0
-    assert group.hello(2, 12.6, False, 1, (7, 1)).position == 12.0
-    assert group.hello(3, 12.6, False, 1, (4, 9)).position == NOTHING_KNOWN
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_write(1, 11.0, (6, 1))
+    group.observe_write(1, 12.0, (7, 1))
+    assert group.observe_hello(2, 12.5, False, 1, (6, 3)).position == 11.0
+    assert group.observe_hello(2, 12.6, False, 1, (7, 1)).position == 12.0
+    assert group.observe_hello(3, 12.6, False, 1, (4, 9)).position == POSITION_UNKNOWN
 
 
-def test_answers_in_any_order_make_no_stronger_marks():
+def test_answers_in_any_order_make_no_stronger_observations():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.wrote(1, 20.0, (8, 1))  # a later question with a later optime is heard first
-    group.wrote(1, 15.0, (9, 1))  # an earlier question, answered late: useless
-    assert group.hello(2, 21.0, False, 1, (8, 1)).position == 20.0
-    assert group.marks.reached((9, 5)) == 20.0
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_write(1, 20.0, (8, 1))  # a later question with a later optime is heard first
+    group.observe_write(1, 15.0, (9, 1))  # an earlier question, answered late: useless
+    assert group.observe_hello(2, 21.0, False, 1, (8, 1)).position == 20.0
+    assert group.observations.position_of((9, 5)) == 20.0
 
 
 def test_a_former_primary_proves_nothing_after_a_newer_term_is_seen():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.hello(2, 10.0, False, 1, (5, 1))
-    group.hello(3, 11.0, True, 2, (6, 1))
-    assert group.hello(1, 12.0, True, 1, (9, 9)).primary is False
-    assert group.position(2) == NOTHING_KNOWN  # its log may be the old one's
-    assert group.hello(2, 12.0, False, 2, (6, 1)).position == 11.0
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_hello(2, 10.0, False, 1, (5, 1))
+    group.observe_hello(3, 11.0, True, 2, (6, 1))
+    assert group.observe_hello(1, 12.0, True, 1, (9, 9)).primary is False
+    assert group.position(2) == POSITION_UNKNOWN  # its log may be the old one's
+    assert group.observe_hello(2, 12.0, False, 2, (6, 1)).position == 11.0
 
 
 def test_an_old_terms_write_answered_late_names_no_primary():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.hello(3, 11.0, True, 2, (6, 1))
-    assert group.wrote(1, 10.5, (5, 9)).primary is None
-    assert group.marks.newest() == (11.0, (6, 1))
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_hello(3, 11.0, True, 2, (6, 1))
+    assert group.observe_write(1, 10.5, (5, 9)).primary is None
+    assert group.observations.newest() == (11.0, (6, 1))
 
 
 def test_a_primary_elected_again_is_not_believed_on_what_it_took_in_its_first_term():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.hello(3, 11.0, True, 2, (6, 1))
-    group.hello(1, 12.0, True, 3, (7, 1))
-    assert group.wrote(1, 10.5, (5, 9)).primary is None
-    assert group.marks.newest() == (12.0, (7, 1))
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_hello(3, 11.0, True, 2, (6, 1))
+    group.observe_hello(1, 12.0, True, 3, (7, 1))
+    assert group.observe_write(1, 10.5, (5, 9)).primary is None
+    assert group.observations.newest() == (12.0, (7, 1))
 
 
 def test_an_older_hello_that_comes_late_tells_nothing():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    assert group.hello(1, 9.0, False, 1, (4, 1)).primary is None
-    assert group.holder == 1
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    assert group.observe_hello(1, 9.0, False, 1, (4, 1)).primary is None
+    assert group.primary == 1
 
 
 def test_two_claims_of_one_term_are_settled_by_a_write_alone():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    assert group.hello(2, 10.5, True, 1, (4, 1)).primary is None
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    assert group.observe_hello(2, 10.5, True, 1, (4, 1)).primary is None
     assert group.contested
-    assert group.hello(1, 10.6, True, 1, (5, 1)).primary is None
-    assert group.position(2) == NOTHING_KNOWN
-    group.turned_away(2)
-    group.wrote(1, 11.0, (6, 1))
-    assert group.holder == 1
-    assert group.hello(1, 12.0, True, 1, (6, 1)).primary is True
+    assert group.observe_hello(1, 10.6, True, 1, (5, 1)).primary is None
+    assert group.position(2) == POSITION_UNKNOWN
+    group.observe_write_rejected(2)
+    group.observe_write(1, 11.0, (6, 1))
+    assert group.primary == 1
+    assert group.observe_hello(1, 12.0, True, 1, (6, 1)).primary is True
 
 
 def test_an_optime_far_ahead_of_the_log_is_not_believed():
+    leap = int(OPTIME_LEAP_MAX_S)
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    assert group.hello(2, 10.0, False, 1, (5 + int(LEAP) + 1, 1)).position == NOTHING_KNOWN
-    group.wrote(1, 11.0, (5 + int(LEAP) + 100, 1))
-    assert group.marks.newest() == (10.0, (5, 1))
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    assert group.observe_hello(2, 10.0, False, 1, (5 + leap + 1, 1)).position == POSITION_UNKNOWN
+    group.observe_write(1, 11.0, (5 + leap + 100, 1))
+    assert group.observations.newest() == (10.0, (5, 1))
 
 
-def test_a_session_needs_the_first_mark_that_shows_its_write():
+def test_a_session_requires_the_first_observation_that_shows_its_write():
     group = GroupPositions()
-    group.hello(1, 10.0, True, 1, (5, 1))
-    group.wrote(1, 11.0, (6, 1))
-    assert group.session_need((5, 9), 12.0) == 11.0
-    assert group.session_need((6, 2), 12.0) == 12.0  # a write that no mark shows: nobody can have it
-    assert group.session_need((2**31, 1), 12.0) == 12.0
+    group.observe_hello(1, 10.0, True, 1, (5, 1))
+    group.observe_write(1, 11.0, (6, 1))
+    assert group.required_position((5, 9), 12.0) == 11.0
+    assert (
+        group.required_position((6, 2), 12.0) == 12.0
+    )  # a write that no observation shows: nobody can have it
+    assert group.required_position((2**31, 1), 12.0) == 12.0
 
 
 def test_a_group_that_no_list_has_named_yet_can_be_asked_of():
     endpoints = MongoUpstream(None, None, {}, "one", PoolLimits(), 0.25, 0.125)
-    assert endpoints.positions[0].session_need((5, 1), 12.0) == 12.0
+    assert endpoints.positions[0].required_position((5, 1), 12.0) == 12.0
 
 
-def test_marks_stay_few():
-    marks = Marks()
-    for n in range(10 * MOST_MARKS):
-        marks.add(float(n), (n, 1))
-    assert len(marks.stamps) <= MOST_MARKS
-    assert marks.reached((10 * MOST_MARKS, 1)) == 10 * MOST_MARKS - 1
+def test_observations_stay_few():
+    observations = PrimaryObservations()
+    for n in range(10 * OBSERVATIONS_MAX):
+        observations.add(float(n), (n, 1))
+    assert len(observations.optimes) <= OBSERVATIONS_MAX
+    assert observations.position_of((10 * OBSERVATIONS_MAX, 1)) == 10 * OBSERVATIONS_MAX - 1
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 30)), max_size=40), st.integers(0, 31))
-def test_marks_answer_as_a_plain_list_would(pairs, asked):
-    marks = Marks()
+def test_observations_answer_as_a_plain_list_would(pairs, asked):
+    observations = PrimaryObservations()
     for at, stamp in pairs:
-        marks.add(float(at), (stamp, 0))
+        observations.add(float(at), (stamp, 0))
     plain = [float(at) for at, stamp in pairs if stamp <= asked]
-    assert marks.reached((asked, 0)) == (max(plain) if plain else None)
-    assert marks.stamps == sorted(set(marks.stamps))
-    assert marks.last == sorted(marks.last)
+    assert observations.position_of((asked, 0)) == (max(plain) if plain else None)
+    assert observations.optimes == sorted(set(observations.optimes))
+    assert observations.last_asked == sorted(observations.last_asked)
 
 
 class Truth:
@@ -218,15 +227,15 @@
             kind, who, sent, primary, term, stamp, held = late.pop()
             if kind == "wrote":
                 if (who, term) in greeted:  # a connection says hello before it carries a write
-                    group.wrote(who, sent, stamp)
+                    group.observe_write(who, sent, stamp)
                 continue
             if kind == "read":
-                told = group.read(who, sent, stamp)
+                told = group.observe_read(who, sent, stamp)
             else:
-                told = group.hello(who, sent, primary, term, stamp)
+                told = group.observe_hello(who, sent, primary, term, stamp)
             greeted |= {(who, term)} if primary and kind == "hello" else set()
-            if told.primary is True or told.position in (None, NOTHING_KNOWN) or group.term < truth.term:
-                continue  # a driver that has not heard of the newest term cannot know better
+            if told.primary is True or told.position in (None, POSITION_UNKNOWN) or group.term < truth.term:
+                continue  # a proxy that has not heard of the newest term cannot know better
             needed = {entry for entry in truth.surviving() if entry[2] <= told.position}
             assert needed <= (held if kind == "hello" else set(truth.logs[who]))
             claims += bool(needed)
--- a/tests/test_request_classes.py
+++ b/tests/test_request_classes.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from sedgepitch.decisions.cursors import CursorTable, may_go_on
-from sedgepitch.decisions.request_classes import Classifier, Facts, Match, Rule, variants
+from sedgepitch.decisions.cursors import CursorTable, may_continue
+from sedgepitch.decisions.request_classes import Classifier, ClassRule, CommandFacts, Match, variants
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import Freshness, Idempotency
 from tests.support.router_harness import make_class
@@ -17,13 +17,13 @@
     make_class("own", Freshness.SESSION),
     make_class("now", Freshness.FRESH),
 )
-READ = Facts("sky", "readings", "find", False)
-WRITE = Facts("sky", "readings", "insert", True)
+READ = CommandFacts("sky", "readings", "find", False)
+WRITE = CommandFacts("sky", "readings", "insert", True)
 
 
-def facts(**changes) -> Facts:
-    fields = {name: getattr(READ, name) for name in Facts.__slots__}
-    return Facts(**{**fields, **changes})
+def facts(**changes) -> CommandFacts:
+    fields = {name: getattr(READ, name) for name in CommandFacts.__slots__}
+    return CommandFacts(**{**fields, **changes})
 
 
 @pytest.mark.parametrize(
@@ -45,22 +45,22 @@
 )
 def test_the_strictest_of_class_and_client_decides(name, asked, age, placed, session_age):
     classifier = Classifier(CLASSES, [])
-    got = classifier.place(classifier.classes[name], facts(**asked), 0.3, age)
+    got = classifier.choose_variant(classifier.classes[name], facts(**asked), 0.3, age)
     assert got.class_name == placed
     assert got.session_age == pytest.approx(session_age)
     assert got.class_name in {c.name for c in variants(CLASSES)}
 
 
 def test_a_write_never_goes_the_way_of_reads_nor_a_read_that_of_writes():
-    classifier = Classifier(CLASSES, [Rule("map"), Rule("upload")])
+    classifier = Classifier(CLASSES, [ClassRule("map"), ClassRule("upload")])
     assert classifier.find(WRITE).name == "upload"
     assert classifier.find(READ).name == "map"
-    assert Classifier(CLASSES, [Rule("map")]).find(WRITE) is None
+    assert Classifier(CLASSES, [ClassRule("map")]).find(WRITE) is None
 
 
 def test_rules_match_in_order_and_comments_do_not_grow_the_cache():
     classifier = Classifier(
-        CLASSES, [Rule("old", Match(comment="history*")), Rule("map", Match(collection="read*"))]
+        CLASSES, [ClassRule("old", Match(comment="history*")), ClassRule("map", Match(collection="read*"))]
     )
     assert classifier.find(facts(comment="history of 1998")).name == "old"
     assert classifier.find(facts(collection="other")) is None
@@ -71,7 +71,7 @@
 
 def test_unknown_class_in_a_rule_is_refused():
     with pytest.raises(ValueError, match="'maps'"):
-        Classifier(CLASSES, [Rule("maps")])
+        Classifier(CLASSES, [ClassRule("maps")])
 
 
 def test_unsafe_variant_of_keyed_writes_alone_drops_the_key():
@@ -82,8 +82,8 @@
 
 def test_two_members_cursors_of_one_id_do_not_meet():
     table = CursorTable(10, 60.0, 1)
-    first, _ = table.opened(1, 1001, "sky.a", 0.0)
-    second, _ = table.opened(2, 1001, "sky.a", 0.0)
+    first, _ = table.open(1, 1001, "sky.a", 0.0)
+    second, _ = table.open(2, 1001, "sky.a", 0.0)
     assert first.id != second.id
     assert table.use(first.id, "sky.a", 1.0).endpoint == 1
     assert table.use(second.id, "sky.a", 1.0).endpoint == 2
@@ -93,17 +93,17 @@
 
 def test_the_table_is_bounded_and_idle_cursors_end():
     table = CursorTable(3, 60.0, 1)
-    opened = [table.opened(1, n, "sky.a", float(n))[0] for n in range(3)]
+    opened = [table.open(1, n, "sky.a", float(n))[0] for n in range(3)]
     table.use(opened[0].id, "sky.a", 5.0)
-    _, ended = table.opened(1, 9, "sky.a", 6.0)
-    assert [c.member_id for c in ended] == [1]
-    assert [c.member_id for c in table.expire(64.0)] == [2]
+    _, ended = table.open(1, 9, "sky.a", 6.0)
+    assert [c.endpoint_cursor_id for c in ended] == [1]
+    assert [c.endpoint_cursor_id for c in table.expire(64.0)] == [2]
     assert table.use(opened[0].id, "sky.a", 70.0) is None
-    assert len(table.end_where(lambda c: c.endpoint == 1)) == 2
+    assert len(table.close_where(lambda c: c.endpoint == 1)) == 2
     assert not table.cursors
 
 
 def test_a_draining_member_is_not_sent_batches_beyond_half_its_grace():
-    assert may_go_on(None, 0.5, 10.0)
-    assert may_go_on(9.9, 0.5, 10.0)
-    assert not may_go_on(9.7, 0.5, 10.0)
+    assert may_continue(None, 0.5, 10.0)
+    assert may_continue(9.9, 0.5, 10.0)
+    assert not may_continue(9.7, 0.5, 10.0)
