--- a/sedgepitch/cli/main.py
+++ b/sedgepitch/cli/main.py
@@ -182,9 +182,9 @@
     reactor = install(settings.driver.reactor)
     from twisted.internet.error import CannotListenError
 
-    from sedgepitch.emulator.fleet import Fleet
+    from sedgepitch.emulator.fleet import EmulatedFleet
 
-    fleet = Fleet(reactor, time.monotonic, settings.standins, list(settings.members))
+    fleet = EmulatedFleet(reactor, time.monotonic, settings.standins, list(settings.members))
     try:
         fleet.start()
     except CannotListenError as error:
--- a/sedgepitch/emulator/document_store.py
+++ b/sedgepitch/emulator/document_store.py
@@ -1,4 +1,4 @@
-"""A small document store: name spaces of documents by _id, and the few operators that clients here need.
+"""A small document store: documents by namespace and _id.
 
 Writes are worked out to effects (put or remove one document by its id), which are what the log carries, so a
 replica applies them without looking at the command again.
@@ -6,155 +6,51 @@
 
 from __future__ import annotations
 
-import copy
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Any
 
 import bson
 
-Document = dict[str, Any]
-Effect = tuple[str, Any, Document | None]  # name space, _id, the new document or None where it is removed
+from sedgepitch.emulator.query_language import (
+    CommandError,
+    Document,
+    document_key,
+    grouped,
+    matches,
+    projected,
+    sorted_by,
+    updated,
+)
 
-_COMPARE: dict[str, Callable[[Any, Any], bool]] = {
-    "$eq": lambda a, b: a == b,
-    "$ne": lambda a, b: a != b,
-    "$gt": lambda a, b: a > b,
-    "$gte": lambda a, b: a >= b,
-    "$lt": lambda a, b: a < b,
-    "$lte": lambda a, b: a <= b,
-    "$in": lambda a, b: a in b,
-    "$nin": lambda a, b: a not in b,
-}
-
-
-class CommandError(Exception):
-    """The command's own error: code, code name, text."""
-
-    def __init__(self, code: int, name: str, text: str) -> None:
-        super().__init__(text)
-        self.code, self.name, self.text = code, name, text
-
-
-def value_at(document: Any, path: str) -> Any:
-    """Return the value at a dotted path, None where there is none."""
-    for part in path.split("."):
-        if not isinstance(document, dict):
-            return None
-        document = document.get(part)
-    return document
-
-
-def matches(document: Document, query: Document) -> bool:
-    """Whether the document fits the query; raises CommandError for an operator that is not known."""
-    for key, wanted in query.items():
-        if key == "$and":
-            if not all(matches(document, part) for part in wanted):
-                return False
-        elif key == "$or":
-            if not any(matches(document, part) for part in wanted):
-                return False
-        elif key.startswith("$"):
-            raise CommandError(2, "BadValue", f"unknown operator: {key}")
-        elif not _fits(value_at(document, key), wanted):
-            return False
-    return True
-
-
-def _fits(value: Any, wanted: Any) -> bool:
-    if not isinstance(wanted, dict) or not any(k.startswith("$") for k in wanted):
-        return bool(value == wanted or (isinstance(value, list) and wanted in value))
-    for operator, operand in wanted.items():
-        if operator == "$exists":
-            if (value is not None) != bool(operand):
-                return False
-        elif operator not in _COMPARE:
-            raise CommandError(2, "BadValue", f"unknown operator: {operator}")
-        else:
-            try:
-                if not _COMPARE[operator](value, operand):
-                    return False
-            except TypeError:
-                return False
-    return True
-
-
-def changed(document: Document, update: Document) -> Document:
-    """Return the document after an update or replacement."""
-    if not any(key.startswith("$") for key in update):
-        return {"_id": document.get("_id"), **{k: v for k, v in update.items() if k != "_id"}}
-    out = copy.deepcopy(document)
-    for operator, fields in update.items():
-        for path, operand in fields.items():
-            *parents, last = path.split(".")
-            spot = out
-            for part in parents:
-                spot = spot.setdefault(part, {})
-            if operator in ("$set", "$setOnInsert"):
-                spot[last] = operand
-            elif operator == "$unset":
-                spot.pop(last, None)
-            elif operator == "$inc":
-                spot[last] = spot.get(last, 0) + operand
-            elif operator == "$push":
-                spot.setdefault(last, []).append(operand)
-            else:
-                raise CommandError(9, "FailedToParse", f"unknown modifier: {operator}")
-    return out
-
-
-def sorted_by(documents: list[Document], order: Document) -> list[Document]:
-    """Return the documents in order; missing values come first."""
-    for path, direction in reversed(list(order.items())):
-
-        def key(document: Document, path: str = path) -> tuple[bool, str, Any]:
-            value = value_at(document, path)
-            return (value is not None, "" if isinstance(value, (int, float)) else type(value).__name__, value)
-
-        documents = sorted(documents, key=key, reverse=direction < 0)
-    return documents
-
-
-def projected(document: Document, projection: Document) -> Document:
-    """Return the document with the fields that are asked for."""
-    if not projection:
-        return document
-    shown = {k for k, v in projection.items() if v and k != "_id"}
-    if shown:
-        keep = shown | ({"_id"} if projection.get("_id", 1) else set())
-        return {k: v for k, v in document.items() if k in keep}
-    return {k: v for k, v in document.items() if k not in projection}
-
-
-def _identity(value: Any) -> Any:
-    return repr(value) if isinstance(value, (dict, list)) else value
+Effect = tuple[str, Any, Document | None]  # namespace, key, the new document or None where it is removed
 
 
 class Store:
-    """The documents of one member as of what it has applied."""
+    """The documents of one server as of what it has applied."""
 
     def __init__(self) -> None:
-        self.spaces: dict[str, dict[Any, Document]] = {}
+        self.spaces: dict[str, dict[Any, Document]] = {}  # namespace -> key -> document
 
     def apply(self, effects: Iterable[Effect]) -> None:
-        """Apply one log entry's effects."""
-        for namespace, identity, document in effects:
+        """Apply the effects of one log entry."""
+        for namespace, key, document in effects:
             space = self.spaces.setdefault(namespace, {})
             if document is None:
-                space.pop(identity, None)
+                space.pop(key, None)
             else:
-                space[identity] = document
+                space[key] = document
 
     def select(self, namespace: str, query: Document) -> list[Document]:
         """Return the documents that fit."""
         space = self.spaces.get(namespace, {})
         identity = query.get("_id")
         if identity is not None and not isinstance(identity, dict):
-            found = space.get(_identity(identity))
+            found = space.get(document_key(identity))
             return [found] if found is not None and matches(found, query) else []
         return [d for d in space.values() if matches(d, query)]
 
     def read(self, command: Document) -> tuple[str, list[Document]]:
-        """Answer find or aggregate: name space and documents."""
+        """Answer find or aggregate: namespace and documents."""
         name, database = next(iter(command)), command["$db"]
         if name == "listCollections":
             found = sorted(n.split(".", 1)[1] for n in self.spaces if n.startswith(database + "."))
@@ -189,7 +85,7 @@
             elif operator == "$count":
                 documents = [{spec: len(documents)}] if documents else []
             elif operator == "$group":
-                documents = _grouped(documents, spec)
+                documents = grouped(documents, spec)
             elif operator not in ("$out", "$merge"):
                 raise CommandError(40324, "Location40324", f"Unrecognized pipeline stage name: '{operator}'")
         return documents
@@ -236,13 +132,13 @@
         for index, spec in enumerate(updates):
             found = draft.select(spec.get("q") or {})
             for document in found if spec.get("multi") else found[:1]:
-                new = changed(document, spec["u"])
+                new = updated(document, spec["u"])
                 matched += 1
                 modified += new != document
                 draft.put(new["_id"], new)
             if not found and spec.get("upsert"):
                 plain = {k: v for k, v in (spec.get("q") or {}).items() if not isinstance(v, dict)}
-                new = changed({**plain}, spec["u"])
+                new = updated({**plain}, spec["u"])
                 if new.get("_id") is None:
                     new["_id"] = bson.ObjectId()
                 draft.put(new["_id"], new)
@@ -260,7 +156,7 @@
                 draft.put(old["_id"], None)
         elif old is not None or command.get("upsert"):
             base = {k: v for k, v in (command.get("query") or {}).items() if not isinstance(v, dict)}
-            new = changed(old if old is not None else base, command.get("update") or {})
+            new = updated(old if old is not None else base, command.get("update") or {})
             if new.get("_id") is None:
                 new["_id"] = bson.ObjectId()
             draft.put(new["_id"], new)
@@ -282,40 +178,27 @@
 
 
 class _Draft:
-    """A write under way: the store with the effects so far laid over it."""
+    """A write in progress: the store with the effects so far applied to a view of it."""
 
     def __init__(self, store: Store, namespace: str) -> None:
-        self.store, self.namespace = store, namespace
+        self.store = store
+        self.namespace = namespace
         self.effects: list[Effect] = []
-        self.over: dict[Any, Document | None] = {}
+        self.changes: dict[Any, Document | None] = {}  # by key
 
     def get(self, identity: Any) -> Document | None:
-        key = _identity(identity)
-        return self.over[key] if key in self.over else self.store.spaces.get(self.namespace, {}).get(key)
+        key = document_key(identity)
+        return (
+            self.changes[key] if key in self.changes else self.store.spaces.get(self.namespace, {}).get(key)
+        )
 
     def put(self, identity: Any, document: Document | None) -> None:
-        key = _identity(identity)
-        self.over[key] = document
+        key = document_key(identity)
+        self.changes[key] = document
         self.effects.append((self.namespace, key, document))
 
     def select(self, query: Document) -> list[Document]:
-        kept = [d for d in self.store.select(self.namespace, query) if _identity(d["_id"]) not in self.over]
-        return kept + [d for d in self.over.values() if d is not None and matches(d, query)]
-
-
-def _grouped(documents: list[Document], spec: Document) -> list[Document]:
-    groups: dict[Any, Document] = {}
-    path = spec.get("_id")
-    for document in documents:
-        key = value_at(document, path[1:]) if isinstance(path, str) and path.startswith("$") else path
-        row = groups.setdefault(_identity(key), {"_id": key})
-        for name, accumulator in spec.items():
-            if name == "_id":
-                continue
-            operator, operand = next(iter(accumulator.items()))
-            if operator != "$sum":
-                raise CommandError(15952, "Location15952", f"unknown group operator '{operator}'")
-            text = isinstance(operand, str) and operand.startswith("$")
-            value = value_at(document, operand[1:]) if text else operand
-            row[name] = row.get(name, 0) + (value or 0)
-    return list(groups.values())
+        kept = [
+            d for d in self.store.select(self.namespace, query) if document_key(d["_id"]) not in self.changes
+        ]
+        return kept + [d for d in self.changes.values() if d is not None and matches(d, query)]
--- a/sedgepitch/emulator/fleet.py
+++ b/sedgepitch/emulator/fleet.py
@@ -1,14 +1,14 @@
-"""A fleet of stand-ins in one process, and its control socket: the member list, late, and faults on demand.
+"""A fleet of emulated servers in one process, and its control socket.
 
-Control lines are JSON, one a line: {"op": "watch", "driver": name} follows the member list; {"op": "status"};
-{"op": "fault", "do": name, ...} (see `Fleet.fault`); {"op": "quit"}. Each other op than watch is answered by
-one line with "ok".
+Control lines are JSON, one a line: {"op": "watch", "driver": name} follows the endpoint list, which is sent
+with the delay of a real one; {"op": "status"}; {"op": "fault", "do": name, ...} (see `FaultControl`);
+{"op": "quit"}. Each op but watch is answered by one line with "ok".
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from functools import partial
 from typing import Any
 
@@ -16,271 +16,198 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
+from sedgepitch.emulator.fault_control import ControlError, FaultControl
 from sedgepitch.emulator.recorder import Recorder
-from sedgepitch.emulator.replica_group import Group
-from sedgepitch.emulator.server import Member, Trap
+from sedgepitch.emulator.replica_group import EmulatedGroup
+from sedgepitch.emulator.server import EmulatedServer
 from sedgepitch.net.listener import listen
+from sedgepitch.protocols.common.callbacks import ignore
 
+LINE_BYTES_MAX = 1 << 20
+QUIT_DELAY_S = 0.05  # so that the answer leaves first
+CONTROL_BACKLOG = 50
+ERROR_CHARACTERS_MAX = 200
 
-class BadFault(ValueError):
-    """A fault that cannot be had; the text says why."""
 
+class ControlConnection(LineReceiver):
+    """One connection to the control socket."""
 
-class _Control(LineReceiver):
     delimiter = b"\n"
-    MAX_LENGTH = 1 << 20
+    MAX_LENGTH = LINE_BYTES_MAX
 
-    def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.driver = fleet, ""
+    def __init__(self, fleet: EmulatedFleet) -> None:
+        self.fleet = fleet
+        self.proxy = ""  # which follows the endpoint list
 
     def lineReceived(self, line: bytes) -> None:
-        """One request."""
+        """Serve one request."""
         try:
             request = json.loads(line)
             answer = self._serve(request)
-        except BadFault as error:
+        except ControlError as error:
             answer = {"ok": False, "error": str(error)}
         except (ValueError, TypeError, AttributeError, KeyError) as error:
-            answer = {"ok": False, "error": f"bad request: {error!r}"[:200]}
+            answer = {"ok": False, "error": f"bad request: {error!r}"[:ERROR_CHARACTERS_MAX]}
         if answer is not None:
             self.sendLine(json.dumps(answer).encode())
 
     def _serve(self, request: dict[str, Any]) -> dict[str, Any] | None:
         op = request["op"]
         if op == "watch":
-            self.driver = str(request.get("driver", ""))
+            self.proxy = str(request.get("driver", ""))
             self.fleet.watchers.add(self)
-            self.tell(self.fleet.members.values(), True)
+            self.send_list(self.fleet.servers.values(), complete=True)
             return None
         if op == "fault":
-            self.fleet.fault(request)
+            self.fleet.faults.apply(request)
             return {"ok": True}
         if op == "status":
             return {"ok": True, **self.fleet.status()}
         if op == "quit":
-            self.fleet.later(0.05, self.fleet.stop)
+            self.fleet.later(QUIT_DELAY_S, self.fleet.stop)
             return {"ok": True}
-        raise BadFault(f"op '{op}' is not known")
+        raise ControlError(f"op '{op}' is not known")
 
-    def tell(self, members: Any, complete: bool) -> None:
-        """Send the list, or a part of it, as the list service believes it."""
-        entries = [self.fleet.entry(m) for m in members]
+    def send_list(self, servers: Iterable[EmulatedServer], complete: bool) -> None:
+        """Send the endpoint list, or a part of it, as the list service believes it."""
+        entries = [self.fleet.entry(server) for server in servers]
         for entry in entries:
-            self.fleet.record("told", d=self.driver, m=entry["id"], state=entry["state"])
-        self.sendLine(json.dumps({"event": "list", "complete": complete, "members": entries}).encode())
+            self.fleet.record("told", d=self.proxy, m=entry["id"], state=entry["state"])
+        message = {"event": "list", "complete": complete, "members": entries}
+        self.sendLine(json.dumps(message).encode())
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """A follower has gone."""
+        """A proxy does not follow the list any more."""
         self.fleet.watchers.discard(self)
 
 
-class Fleet:
-    """The members of all groups."""
+class EmulatedFleet:
+    """The servers of all groups. `timing` is the `standins` part of the settings; `specs` are its members."""
 
-    def __init__(self, reactor: Any, now: Callable[[], float], timing: Any, members: list[Any]) -> None:
-        self.reactor, self.now, self.timing = reactor, now, timing
+    def __init__(self, reactor: Any, now: Callable[[], float], timing: Any, specs: list[Any]) -> None:
+        self.reactor = reactor
+        self.now = now
+        self.timing = timing
         self.record = Recorder(timing.record)
-        self.groups: dict[int, Group[Member]] = {}
-        self.members: dict[int, Member] = {}
+        self.groups: dict[int, EmulatedGroup[EmulatedServer]] = {}
+        self.servers: dict[int, EmulatedServer] = {}
         self.gone: set[int] = set()
         self.listed_primary: dict[int, int | None] = {}
-        self.watchers: set[_Control] = set()
+        self.watchers: set[ControlConnection] = set()
+        self.faults = FaultControl(self)
         self.port: Any = None
-        self.stopped: Callable[[], None] = lambda: None
-        for spec in members:
-            group = self.groups.get(spec.group)
-            if group is None:
-                group = self.groups[spec.group] = Group(spec.group, now, self.later, timing)
-                group.role_changed = partial(self._role_changed, group)
-            member = Member(
-                reactor, spec.id, spec.zone, spec.address, group, timing, self.record, timing.seed
-            )
-            self.members[spec.id] = member
-            if spec.primary or group.primary is None:
-                group.primary = member
-
-    def later(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:
-        """Call after a time."""
-        return self.reactor.callLater(max(0.0, delay), call, *args)
+        self.stopped: Callable[[], None] = ignore
+        for spec in specs:
+            self._add(spec)
+
+    def _add(self, spec: Any) -> None:
+        group = self.groups.get(spec.group)
+        if group is None:
+            group = EmulatedGroup(spec.group, self.now, self.later, self.timing)
+            group.role_changed = partial(self._role_changed, group)
+            self.groups[spec.group] = group
+        server = EmulatedServer(
+            self.reactor, spec.id, spec.zone, spec.address, group, self.timing, self.record, self.timing.seed
+        )
+        self.servers[spec.id] = server
+        if spec.primary or group.primary is None:
+            group.primary = server
+
+    def later(self, delay: float, call: Callable[..., Any], *arguments: Any) -> Any:
+        """Make a call after so many seconds."""
+        return self.reactor.callLater(max(0.0, delay), call, *arguments)
+
+    # Life cycle
 
     def start(self) -> None:
         """Open all ports; each group begins with a first term."""
-        for member in self.members.values():
-            member.listen()
+        for server in self.servers.values():
+            server.listen()
         for group in self.groups.values():
             if group.primary is not None:
                 group.promote(group.primary)
-        factory = Factory.forProtocol(lambda: _Control(self))
+        factory = Factory.forProtocol(lambda: ControlConnection(self))
         factory.noisy = False
         host, port = self.timing.control
-        self.port = listen(self.reactor, port, factory, host, 50)
-        for member in self.members.values():
-            self.record("member", m=member.id, g=member.group.number, cores=self.timing.cores)
+        self.port = listen(self.reactor, port, factory, host, CONTROL_BACKLOG)
+        for server in self.servers.values():
+            self.record("member", m=server.id, g=server.group.number, cores=self.timing.cores)
 
     def stop(self) -> None:
-        """Close all, and say so."""
+        """Close all, and report it."""
         self.close()
         self.stopped()
 
     def close(self) -> None:
-        """Close all, and the record."""
-        for member in self.members.values():
-            if member.port is not None:
-                member.port.stopListening()
-                member.port = None
+        """Close all ports, and the record."""
+        for server in self.servers.values():
+            if server.port is not None:
+                server.port.stopListening()
+                server.port = None
         if self.port is not None:
             self.port.stopListening()
         self.record.close()
 
-    # The list
+    # The endpoint list
 
-    def entry(self, member: Member) -> dict[str, Any]:
-        """One member as the list shows it."""
-        state = "gone" if member.id in self.gone else "draining" if member.draining else "up"
+    def entry(self, server: EmulatedServer) -> dict[str, Any]:
+        """Return one server as the list shows it."""
         entry = {
-            "id": member.id,
-            "group": member.group.number,
-            "state": state,
-            "zone": member.zone,
-            "primary": self.listed_primary.get(member.group.number) == member.id,
-            "address": f"{member.address[0]}:{member.address[1]}",
+            "id": server.id,
+            "group": server.group.number,
+            "state": self._state(server),
+            "zone": server.zone,
+            "primary": self.listed_primary.get(server.group.number) == server.id,
+            "address": f"{server.address[0]}:{server.address[1]}",
         }
-        if member.started > 0:
-            entry["age"] = self.now() - member.started
+        if server.started > 0:
+            entry["age"] = self.now() - server.started
         return entry
 
-    def announce(self, *members: Member) -> None:
-        """Push changes, late as lists are."""
-        self.later(self.timing.list_delay, self._push, members)
+    def _state(self, server: EmulatedServer) -> str:
+        if server.id in self.gone:
+            return "gone"
+        return "draining" if server.draining else "up"
 
-    def _push(self, members: tuple[Member, ...]) -> None:
+    def announce(self, *servers: EmulatedServer) -> None:
+        """Push changes, with the delay of the list service."""
+        self.later(self.timing.list_delay, self._push, servers)
+
+    def _push(self, servers: tuple[EmulatedServer, ...]) -> None:
         for watcher in list(self.watchers):
-            watcher.tell(members, False)
+            watcher.send_list(servers, complete=False)
 
-    def _role_changed(self, group: Group[Member], primary: Member | None, term: int) -> None:
+    def _role_changed(
+        self, group: EmulatedGroup[EmulatedServer], primary: EmulatedServer | None, term: int
+    ) -> None:
         self.record("role", g=group.number, m=None if primary is None else primary.id, term=term)
         if primary is None:
             return
-
-        def late() -> None:
-            old = self.listed_primary.get(group.number)
-            self.listed_primary[group.number] = primary.id
-            self._push(tuple(m for m in group.members if m.id in (old, primary.id)))
-
         if group.number in self.listed_primary:
-            self.later(self.timing.list_delay, late)
+            self.later(self.timing.list_delay, self._list_primary, group, primary)
         else:
             self.listed_primary[group.number] = primary.id
 
-    def status(self) -> dict[str, Any]:
-        """How the members stand."""
-        out = []
-        for member in self.members.values():
-            member.advance()
-            out.append(
-                {
-                    "id": member.id,
-                    "group": member.group.number,
-                    "alive": member.alive(),
-                    "fallen": member.fallen,
-                    "primary": member.is_primary(),
-                    "applied": member.applied,
-                    "behind": len(member.group.log) - member.applied,
-                    "connections": len(member.connections),
-                    "served": member.served,
-                }
-            )
-        return {"members": out}
-
-    # Faults
-
-    def _which(self, request: dict[str, Any]) -> Member:
-        which = request.get("member", "primary")
-        group = self.groups.get(int(request.get("group", 0)))
-        if group is None:
-            raise BadFault(f"group {request.get('group')} is not there")
-        if which == "primary":
-            if group.primary is None:
-                raise BadFault("there is no primary now")
-            return group.primary
-        if which == "replica":
-            able = [m for m in group.members if m is not group.primary and m.alive() and not m.draining]
-            if not able:
-                raise BadFault("there is no replica now")
-            return able[int(request.get("nth", 0)) % len(able)]
-        if which not in self.members:
-            raise BadFault(f"member {which} is not there")
-        return self.members[which]
-
-    def fault(self, request: dict[str, Any]) -> None:
-        """Make something go wrong, or right again. `member` is an id, "primary" or "replica" (with `nth`).
-
-        do: hang (for), slow (factor, for), lag (factor, for), crash (for), drain (for), promote, cut (driver,
-        for), claim (for), refuse (for), table (connections, for), and traps that wait for `when` ("write" or
-        "read"): lose_reply, cut_reply, reset, wrong_reply, twice (count, then: {"do": ...}). Times: seconds.
-        """
-        do, lasts = request.get("do"), float(request.get("for", 0.0))
-        member = self._which(request)
-        self.record("fault", **{k: v for k, v in request.items() if k != "op"}, m=member.id)
-        trouble, life = member.trouble, member.life
-
-        def undo(name: str, value: Any) -> None:
-            if lasts > 0:
-                self.later(lasts, lambda: setattr(trouble, name, value) if life == member.life else None)
-
-        if do == "hang":
-            member.hold(self.now() + lasts)
-            member.group.lost_primary(member, self.timing.election_after)
-            self.later(lasts, member.group.primary_back, member)
-        elif do == "slow":
-            trouble.slow = float(request.get("factor", 5.0))
-            undo("slow", 1.0)
-        elif do == "lag":
-            member.advance()
-            trouble.apply_slow = float(request.get("factor", 50.0))
-            undo("apply_slow", 1.0)
-        elif do == "crash":
-            member.crash()
-            if lasts > 0:
-                self.later(lasts, self._back, member)
-        elif do == "drain":
-            self._drain(member, lasts)
-        elif do == "promote":
-            able = [m for m in member.group.members if m.electable() and not m.is_primary()]
-            member.group.hand_over(able[int(request.get("nth", 0)) % len(able)] if able else None)
-        elif do == "cut":
-            who = str(request.get("driver", "*"))
-            trouble.cut.add(who)
-            if lasts > 0:
-                self.later(lasts, trouble.cut.discard, who)
-        elif do in ("claim", "refuse", "table"):
-            name = {"claim": "claims_primary", "refuse": "refuse_connections", "table": "connections"}[do]
-            old = getattr(trouble, name)
-            setattr(trouble, name, int(request.get("connections", 4)) if do == "table" else True)
-            undo(name, old)
-        elif do in ("lose_reply", "cut_reply", "reset", "wrong_reply", "twice"):
-            then = request.get("then")
-            follow = (lambda: self.fault({**then, "member": member.id})) if then else (lambda: None)
-            member.traps.append(
-                Trap(str(request.get("when", "write")), do, follow, int(request.get("count", 1)))
-            )
-        else:
-            raise BadFault(f"fault '{do}' is not known")
-
-    def _back(self, member: Member) -> None:
-        member.restart()
-        if member.alive():
-            self.announce(member)
+    def _list_primary(self, group: EmulatedGroup[EmulatedServer], primary: EmulatedServer) -> None:
+        changed = (self.listed_primary.get(group.number), primary.id)
+        self.listed_primary[group.number] = primary.id
+        self._push(tuple(server for server in group.servers if server.id in changed))
 
-    def _drain(self, member: Member, lasts: float) -> None:
-        member.draining = True
-        self.announce(member)
-        if member.is_primary():
-            member.group.hand_over()
-
-        def over() -> None:
-            member.draining = False
-            self.announce(member)
-
-        if lasts > 0:
-            self.later(lasts, over)
+    def status(self) -> dict[str, Any]:
+        """Return the state of all servers."""
+        return {"members": [_status(server) for server in self.servers.values()]}
+
+
+def _status(server: EmulatedServer) -> dict[str, Any]:
+    server.advance()
+    return {
+        "id": server.id,
+        "group": server.group.number,
+        "alive": server.alive(),
+        "fallen": server.fallen,
+        "primary": server.is_primary(),
+        "applied": server.applied,
+        "behind": len(server.group.log) - server.applied,
+        "connections": len(server.connections),
+        "served": server.execution.served,
+    }
--- /dev/null
+++ b/sedgepitch/emulator/proxy_connection.py
@@ -0,0 +1,71 @@
+"""One connection of a proxy to an emulated server."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+import bson
+from twisted.internet.protocol import connectionDone
+from twisted.python.failure import Failure
+
+from sedgepitch.emulator.query_language import Document
+from sedgepitch.protocols.mongodb import codec
+from sedgepitch.protocols.mongodb.codec import MalformedMessage, Message
+from sedgepitch.protocols.mongodb.framing import FrameReceiver
+
+if TYPE_CHECKING:
+    from sedgepitch.emulator.server import EmulatedServer
+
+
+class ProxyConnection(FrameReceiver):
+    """One connection of a proxy, whose name its hello tells."""
+
+    def __init__(self, server: EmulatedServer) -> None:
+        super().__init__()
+        self.server = server
+        self.proxy = ""
+
+    def connectionMade(self) -> None:
+        """Refuse the connection where a fault or the bound says so."""
+        server = self.server
+        faults = server.faults
+        bound = server.timing.connections if faults.connections_max is None else faults.connections_max
+        if faults.refuses_connections or len(server.connections) >= bound:
+            self.transport.abortConnection()
+            return
+        self.transport.set_no_delay()
+        server.connections.add(self)
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """The connection has ended, by either side."""
+        self.server.connections.discard(self)
+
+    def dataReceived(self, data: bytes) -> None:
+        """Take bytes; how long they waited is this process's own delay."""
+        if self.transport.arrived:
+            self.server.record.waited(time.monotonic() - self.transport.arrived)
+        super().dataReceived(data)
+
+    def frame_received(self, frame: bytes) -> None:
+        """Take one command; what cannot be read ends the connection."""
+        try:
+            message = codec.parse(frame)
+            command: Document = bson.decode(message.body)
+            for section in message.sections:
+                command[section.name] = bson.decode_all(section.documents)
+        except (MalformedMessage, bson.errors.BSONError):
+            self.transport.abortConnection()
+            return
+        self.server.receive(self, message, command)
+
+    def note_hello(self, command: Document) -> None:
+        """Keep the name that a proxy's hello tells."""
+        client = command.get("client") or {}
+        name = str((client.get("application") or {}).get("name", ""))
+        self.proxy = name or self.proxy
+
+    def reply(self, message: Message, body: Document) -> None:
+        """Answer, if the connection is still open."""
+        if self.transport is not None and self in self.server.connections:
+            self.transport.write(codec.build(bson.encode(body), 1, message.request_id))
--- a/sedgepitch/emulator/recorder.py
+++ b/sedgepitch/emulator/recorder.py
@@ -1,4 +1,4 @@
-"""Record what members and clients see, one JSON object a line, by the machine's monotonic clock."""
+"""Records what servers and clients see, one JSON object a line, by the machine's monotonic clock."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
     def __init__(self, path: str = "", who: str = "members") -> None:
         self.file: IO[str] | None = open(path, "w", encoding="utf-8") if path else None
         self.who = who
-        self.longest, self.waits, self.sum = 0.0, 0, 0.0  # how long bytes waited for this process
+        self.longest_wait = 0.0  # s that bytes waited for this process
+        self.wait_sum = 0.0  # s
+        self.waits = 0
 
     def waited(self, seconds: float) -> None:
         """Take one wait of bytes for this process."""
-        self.longest = max(self.longest, seconds)
+        self.longest_wait = max(self.longest_wait, seconds)
+        self.wait_sum += seconds
         self.waits += 1
-        self.sum += seconds
 
     def __call__(self, kind: str, **fields: Any) -> None:
         """Write one record."""
@@ -30,6 +32,7 @@
     def close(self) -> None:
         """Flush and close."""
         if self.file is not None:
-            self("delay", who=self.who, longest=self.longest, mean=self.sum / max(1, self.waits))
+            mean_wait = self.wait_sum / max(1, self.waits)
+            self("delay", who=self.who, longest=self.longest_wait, mean=mean_wait)
             self.file.close()
             self.file = None
--- a/tests/support/golden_emulator.py
+++ b/tests/support/golden_emulator.py
@@ -21,7 +21,7 @@
 from sedgepitch.core.clock import FakeClock
 from sedgepitch.emulator import fleet as fleet_module
 from sedgepitch.emulator import server as server_module
-from sedgepitch.emulator.fleet import Fleet
+from sedgepitch.emulator.fleet import EmulatedFleet
 from sedgepitch.protocols.mongodb import codec
 from tests.support.golden_protocols import Wire
 
@@ -104,13 +104,13 @@
             )
             for n in (1, 2, 3, 4, 5)
         ]
-        self.fleet = Fleet(self.task, self.task.seconds, timing, specs)
+        self.fleet = EmulatedFleet(self.task, self.task.seconds, timing, specs)
         self.fleet.start()
         self._connect(self.fleet.port, is_control=True)
         self._deliver(0, b'{"op": "watch", "driver": "one"}\n')
 
     def _servers(self) -> list[Any]:
-        return list(self.fleet.members.values())
+        return list(self.fleet.servers.values())
 
     def _connect(self, port: FakePort, is_control: bool = False) -> None:
         protocol, wire = port.factory.buildProtocol(None), Wire(self.clock)
