--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_behind_what_it_sent_ahead_is_noticed_and_nothing_more_is_sent(how):
+def test_a_disconnect_behind_unread_bytes_is_noticed_and_nothing_more_is_sent(how):
     stage = Stage()
     connection, wire = stage.client()
     theirs = peer(wire)
@@ -98,7 +98,7 @@
     assert wire.producerState == "producing" and read_ahead.READ_AHEAD_BYTES / 4 < connection.reader.held
 
 
-def test_a_request_read_late_whose_client_has_left_is_not_sent():
+def test_a_request_read_late_whose_client_disconnected_is_not_sent():
     stage = Stage()
     connection, wire = stage.client()
     leave(peer(wire), "close")
@@ -119,7 +119,7 @@
     theirs.close()
 
 
-def test_a_client_that_leaves_while_its_request_waits_in_the_module_is_not_sent_later():
+def test_a_request_whose_client_disconnects_while_it_waits_in_the_router_is_not_sent():
     stage = Stage()
     stage.engine.list_changed(
         api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
@@ -134,7 +134,7 @@
     assert not stage.endpoints.sent and not stage.engine.router.requests
 
 
-def test_an_id_that_comes_again_takes_the_place_of_one_whose_client_has_left_unsent():
+def test_a_repeated_id_replaces_an_unsent_one_whose_client_disconnected():
     stage = Stage()
     stage.engine.list_changed(
         api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
@@ -156,7 +156,7 @@
 # Room for newcomers, and the end of a driver
 
 
-def test_no_resting_client_whose_request_lies_unread_goes_for_a_newcomer():
+def test_no_idle_client_whose_request_lies_unread_is_evicted_for_a_newcomer():
     stage = Stage(sockets=40)
     for number in range(stage.descriptors.clients_most - 2):
         stage.client()[0].dataReceived(read(number + 1))
@@ -169,7 +169,7 @@
     theirs.close()
 
 
-def test_a_driver_that_ends_closes_no_client_whose_request_lies_unread():
+def test_a_shutdown_closes_no_client_whose_request_lies_unread():
     stage = Stage()
     connection, wire = stage.client()
     _, idle = stage.client()
@@ -188,7 +188,7 @@
         held.close()
 
 
-def test_a_driver_that_ends_answers_each_statement_of_those_sent_ahead():
+def test_a_shutdown_answers_each_statement_sent_ahead():
     stage = Stage()
     connection, wire = stage.client()
     connection.dataReceived(read(1, d="9000") + read(2, d="9000") + read(3, d="9000"))
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("longest", [0.05, 0.3, 1.0, 3.0, 60.0])
-def test_the_times_of_an_end_come_in_order_for_every_deadline(longest):
+def test_the_times_of_a_shutdown_are_in_order_for_every_deadline(longest):
     ending = ShutdownSchedule(100.0, longest)
     times = [100.0, ending.accepting_until, ending.closing_from, ending.answered_by, ending.over_by]
     assert times == sorted(times) and times[-1] < 100.0 + min(3.0, longest) + 0.7
@@ -327,7 +327,7 @@
     assert stage.engine.request_table.pending == 0
 
 
-def test_a_member_that_moved_gets_nothing_at_its_old_place():
+def test_an_endpoint_that_moved_gets_nothing_at_its_old_address():
     task = Clock()
     room, ends, doorway = DescriptorBudget(256), [], Doorway()
     pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(), room)
@@ -370,7 +370,7 @@
     assert not ends and room.endpoints == 1
 
 
-def test_a_probe_whose_answer_lies_unread_has_not_timed_out():
+def test_a_health_check_whose_answer_lies_unread_has_not_timed_out():
     task = Clock()
     ends, doorway, opened = [], Doorway(), Opened()
     pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_within=5.0), None)
@@ -654,7 +654,7 @@
 
 
 @given(STOP_STEPS)
-def test_in_every_order_a_driver_that_ends_answers_all_it_has_read_and_then_is_over(steps):
+def test_in_every_order_a_shutdown_answers_all_that_was_read_and_then_ends(steps):
     stage, callers, done = Stage(), [], []
     admission = Door(lambda: callers.append(Caller(stage)))
     driver = SimpleNamespace(
--- a/tests/test_mongodb_client.py
+++ b/tests/test_mongodb_client.py
@@ -87,7 +87,7 @@
     assert transport.disconnecting
 
 
-def test_unacknowledged_write_gets_no_reply_and_closes_its_account():
+def test_unacknowledged_write_gets_no_reply_and_completes_its_request():
     front = Front()
     connection, transport = front.client()
     connection.dataReceived(insert(1, codec.MORE_TO_COME))
@@ -102,7 +102,7 @@
     assert [number for number, _ in replies(transport)] == [7]
 
 
-def test_a_write_without_a_key_is_unsafe_whatever_its_class_says():
+def test_a_write_without_a_key_is_not_idempotent_whatever_its_class_says():
     front = Front()
     connection, _ = front.client()
     connection.dataReceived(insert(1))
@@ -116,7 +116,7 @@
     assert [a.command.class_name for a in front.engine.request_table.accounts.values()][1] == "upload"
 
 
-def test_what_a_client_sends_ahead_is_bounded_and_one_that_does_not_read_is_not_asked_for_more():
+def test_read_ahead_is_bounded_and_a_client_that_does_not_read_is_not_served_further():
     front = Front()
     connection, transport = front.client()
     connection.dataReceived(insert(1))
@@ -138,7 +138,7 @@
     assert len(replies(transport)) == before + 11 - (before == 3)
 
 
-def test_refused_and_failed_say_so_to_a_stock_client():
+def test_rejected_and_failed_say_so_to_a_stock_client():
     front = Front()
     connection, transport = front.client()
     connection.dataReceived(command(1, insert="readings", documents=[{}], maxTimeMS=100))
@@ -154,7 +154,7 @@
     assert {"RetryableError", "SystemOverloadedError", "NoWritesPerformed"} <= set(refused["errorLabels"])
 
 
-def test_read_at_a_replica_says_that_it_may_be_read_there_and_is_else_unchanged():
+def test_a_forwarded_read_says_that_a_replica_may_answer_and_is_else_unchanged():
     front = Front()
     connection, _ = front.client()
     connection.dataReceived(command(1, find="history", filter={"v": 1}, comment="history-read"))
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("compressor", [1, 2, 3])
-def test_compressed_frames_round_trip_and_bombs_are_refused(compressor):
+def test_compressed_frames_round_trip_and_bombs_are_rejected(compressor):
     frame = command(9, ping=1, pad="smoke " * 50)
     packed = codec.compress(frame, compressor)
     assert codec.parse(packed).body == codec.parse(frame).body
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -74,7 +74,7 @@
     assert group.observations.newest() == (12.0, (7, 1))
 
 
-def test_an_older_hello_that_comes_late_tells_nothing():
+def test_an_older_hello_that_comes_late_proves_nothing():
     group = GroupPositions()
     group.observe_hello(1, 10.0, True, 1, (5, 1))
     assert group.observe_hello(1, 9.0, False, 1, (4, 1)).primary is None
@@ -114,7 +114,7 @@
     assert group.required_position((2**31, 1), 12.0) == 12.0
 
 
-def test_a_group_that_no_list_has_named_yet_can_be_asked_of():
+def test_a_group_that_no_list_has_named_yet_has_positions():
     endpoints = MongoUpstream(None, None, {}, "one", PoolLimits(), 0.25, 0.125)
     assert endpoints.positions[0].required_position((5, 1), 12.0) == 12.0
 
@@ -195,7 +195,7 @@
 
 @settings(max_examples=1500, deadline=None)
 @given(st.integers(0, 2**32), st.integers(20, 150))
-def test_no_position_claims_more_than_the_member_has(seed, steps):
+def test_no_position_claims_more_than_the_endpoint_has(seed, steps):
     rng = random.Random(seed)
     truth, group = Truth(rng), GroupPositions()
     late: list[tuple] = []  # answers under way: (kind, member, sent, primary then, term, stamp, its log then)
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -14,7 +14,7 @@
 from tests.support.router_harness import SETTINGS
 
 
-def test_a_client_is_welcomed_and_an_empty_query_answered():
+def test_a_start_up_is_answered_and_an_empty_query():
     stage = Stage()
     connection, wire = stage.client(greet=False)
     connection.dataReceived(struct.pack("!ii", 8, codec.SSL_REQUEST))
@@ -24,7 +24,7 @@
     assert [k for k, _ in messages(wire.value())][-3:] == [b"Z", b"I", b"Z"]
 
 
-def test_a_read_is_served_with_the_value_as_the_member_gave_it():
+def test_a_read_is_served_with_the_value_as_the_endpoint_sent_it():
     stage = Stage()
     connection, wire = stage.client()
     connection.dataReceived(read(1))
@@ -34,7 +34,7 @@
     assert not stage.listener.open_request_ids
 
 
-def test_what_a_member_gets_says_how_long_the_driver_waits():
+def test_what_an_endpoint_gets_says_how_long_the_proxy_waits():
     stage = Stage()
     connection, _ = stage.client()
     stage.task.advance(1.0)
@@ -45,7 +45,7 @@
     assert payload.text(stage.clock.now()) == read(1, d="400")[5:-1]
 
 
-def test_refused_with_a_time_to_come_back_where_settings_allow_it():
+def test_rejected_with_retry_after_where_settings_allow_it():
     for settings, told in ((SETTINGS, True), (replace(SETTINGS, retry_after=False), False)):
         stage = Stage(settings)
         connection, wire = stage.client()
@@ -69,7 +69,7 @@
     assert error["C"] == statement_handler.SQLSTATE_FAILED
 
 
-def test_every_answer_leaves_within_the_clients_time():
+def test_every_response_leaves_within_the_clients_time():
     stage = Stage()
     connection, wire = stage.client()
     connection.dataReceived(read(1, d="300"))
@@ -80,7 +80,7 @@
     assert len(errors(wire)) == 1
 
 
-def test_the_age_of_a_sessions_write_comes_from_its_position():
+def test_the_age_of_a_sessions_last_commit_comes_from_its_position():
     stage = Stage()
     seen = []
     stage.engine.submit = lambda command, answered, arrived: seen.append(command) or type(
@@ -104,7 +104,7 @@
     assert wire.value() == 3 * (ROW + codec.READY)
 
 
-def test_the_id_of_an_open_request_is_turned_away_and_the_open_one_served():
+def test_the_id_of_an_open_request_is_rejected_and_the_open_one_served():
     stage = Stage()
     first, first_wire = stage.client()
     second, second_wire = stage.client()
@@ -154,7 +154,7 @@
     assert wire.aborted
 
 
-def test_hundreds_of_bad_commands_are_each_an_error_and_keep_nobody_waiting():
+def test_hundreds_of_bad_commands_are_each_an_error_and_delay_nobody():
     stage = Stage()
     bad, bad_wire = stage.client()
     good, good_wire = stage.client()
@@ -168,7 +168,7 @@
     assert good_wire.value() == ROW + codec.READY
 
 
-def test_silent_and_half_spoken_connections_are_closed_in_time_and_idle_ones_stay():
+def test_silent_and_incomplete_connections_time_out_and_idle_ones_stay():
     stage = Stage()
     _, silent = stage.client(greet=False)
     half, half_wire = stage.client()
@@ -205,14 +205,14 @@
     return [stage.client()[1], stage.client()[1]]
 
 
-def test_the_longest_idle_client_goes_when_room_is_needed():
+def test_the_longest_idle_client_is_evicted_when_a_descriptor_is_needed():
     stage = Stage(sockets=40)
     held = fill(stage, busy=stage.descriptors.clients_most - 2)
     stage.client(greet=False)
     assert [wire.aborted for wire in held] == [True, False]
 
 
-def test_who_does_not_take_an_answer_is_closed():
+def test_a_client_that_does_not_read_its_response_is_closed():
     stage = Stage()
     connection, wire = stage.client()
     wire.producer.pauseProducing()
@@ -223,7 +223,7 @@
     assert wire.aborted
 
 
-def test_a_client_that_sends_ahead_is_left_unread():
+def test_a_client_that_sends_too_far_ahead_is_left_unread():
     stage = Stage()
     connection, wire = stage.client()
     connection.dataReceived(read(1))
@@ -236,7 +236,7 @@
     assert wire.producerState == "paused"
 
 
-def test_only_so_many_clients_are_read_far_ahead_and_others_are_left_unread_sooner():
+def test_few_clients_have_the_extended_read_ahead_and_others_are_left_unread_sooner():
     stage = Stage()
     held = [stage.client() for _ in range(read_ahead.EXTENDED_CLIENTS_MAX + 4)]
     for index, (connection, _) in enumerate(held):
@@ -251,7 +251,7 @@
     assert not stage.listener.read_ahead.extended and not stage.listener.read_ahead.paused
 
 
-def test_a_driver_that_ends_serves_what_comes_late_only_where_its_answer_leaves_in_time():
+def test_a_shutdown_serves_late_requests_only_where_the_response_leaves_in_time():
     stage = Stage()
     stage.listener.answer_by = stage.clock.now() + 0.3
     stage.listener.close_idle_from = stage.clock.now() + 0.25
@@ -268,7 +268,7 @@
     assert idle.half_closed and not idle.aborted, "ended in order, what it still takes arrives"
 
 
-def test_a_newcomer_that_has_not_spoken_yet_does_not_go_for_the_next_while_others_are_idle():
+def test_a_silent_newcomer_is_not_evicted_for_the_next_while_others_are_idle():
     stage = Stage(sockets=40)
     held = fill(stage, busy=stage.descriptors.clients_most - 3)
     _, newcomer = stage.client(greet=False)
@@ -279,7 +279,7 @@
     assert newcomer.aborted and not held[1].aborted
 
 
-def test_only_so_many_connections_may_rest_and_the_longest_idle_goes():
+def test_idle_connections_are_bounded_and_the_longest_idle_is_evicted():
     stage = Stage(sockets=104)  # room for 40 clients, of which 13 may rest
     held = [stage.client() for _ in range(13)]
     assert not any(wire.half_closed for _, wire in held)
@@ -290,7 +290,7 @@
     assert [wire.half_closed for _, wire in held[:3]] == [False, True, False]
 
 
-def test_a_refusal_of_the_drivers_own_names_a_time_where_settings_allow_it_and_none_elsewhere():
+def test_the_proxys_own_rejection_has_retry_after_only_where_settings_allow_it():
     for settings, told in ((SETTINGS, True), (replace(SETTINGS, retry_after=False), False)):
         stage = Stage(settings)
         connection, wire = stage.client()
--- a/tests/test_postgresql_codec.py
+++ b/tests/test_postgresql_codec.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("length", [-1, 0, 3, codec.STATEMENT_BYTES_MAX + 1, 60_000_000, 2**31 - 1, -(2**31)])
-def test_a_length_is_judged_on_its_header(length):
+def test_a_length_is_checked_on_the_header(length):
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(struct.pack("!ci", b"Q", length))
     with pytest.raises(MalformedMessage):
@@ -91,7 +91,7 @@
         reader.startup()
 
 
-def test_an_error_says_what_it_was_told():
+def test_an_error_carries_its_fields():
     fields = codec.read_error(codec.error("53300", "no room", "250"))
     assert (fields["C"], fields["D"], fields["S"]) == ("53300", "250", "ERROR")
 
@@ -113,7 +113,7 @@
     assert (write.writes, write.time_left) == (True, 0.4805)
 
 
-def test_only_d_is_made_anew():
+def test_only_the_time_left_is_rewritten():
     for raw, d in ((READ, b"d=480"), (WRITE, b"d=480.5")):
         statement = statements.read(raw, NAMED)
         statement.deadline = 10.1234
--- a/tests/test_pymongo.py
+++ b/tests/test_pymongo.py
@@ -126,7 +126,7 @@
     assert asyncio.run(work()) == 31
 
 
-def test_unknown_commands_and_transactions_are_refused_plainly(mongo):
+def test_unknown_commands_and_transactions_are_errors(mongo):
     for name, code, code_name in (
         ("shutdown", 115, "CommandNotSupported"),
         ("noSuchThing", 59, "CommandNotFound"),
@@ -145,7 +145,7 @@
     assert caught.value.code == 263
 
 
-def test_client_goes_on_after_the_driver_was_killed_and_started_again(rough):
+def test_client_continues_after_the_proxy_was_killed_and_restarted(rough):
     rough.driver("again")
     with client(rough) as held:
         held.sky.again.insert_one({"_id": 1})
--- a/tests/test_request_classes.py
+++ b/tests/test_request_classes.py
@@ -51,7 +51,7 @@
     assert got.class_name in {c.name for c in variants(CLASSES)}
 
 
-def test_a_write_never_goes_the_way_of_reads_nor_a_read_that_of_writes():
+def test_writes_match_only_classes_of_writes_and_reads_only_the_others():
     classifier = Classifier(CLASSES, [ClassRule("map"), ClassRule("upload")])
     assert classifier.find(WRITE).name == "upload"
     assert classifier.find(READ).name == "map"
@@ -69,18 +69,18 @@
     assert len(classifier._cache) <= 4096
 
 
-def test_unknown_class_in_a_rule_is_refused():
+def test_unknown_class_in_a_rule_is_an_error():
     with pytest.raises(ValueError, match="'maps'"):
         Classifier(CLASSES, [ClassRule("maps")])
 
 
-def test_unsafe_variant_of_keyed_writes_alone_drops_the_key():
+def test_only_keyed_writes_have_an_unsafe_variant_and_it_drops_the_key():
     made = {c.name: c for c in variants(CLASSES)}
     assert made["upload/unsafe"].idempotency is api.Idempotency.NONE
     assert "map/unsafe" not in made
 
 
-def test_two_members_cursors_of_one_id_do_not_meet():
+def test_two_endpoints_cursors_of_one_id_are_told_apart():
     table = CursorTable(10, 60.0, 1)
     first, _ = table.open(1, 1001, "sky.a", 0.0)
     second, _ = table.open(2, 1001, "sky.a", 0.0)
@@ -91,7 +91,7 @@
     assert table.use(1001, "sky.a", 1.0) is None
 
 
-def test_the_table_is_bounded_and_idle_cursors_end():
+def test_the_table_is_bounded_and_idle_cursors_expire():
     table = CursorTable(3, 60.0, 1)
     opened = [table.open(1, n, "sky.a", float(n))[0] for n in range(3)]
     table.use(opened[0].id, "sky.a", 5.0)
@@ -103,7 +103,7 @@
     assert not table.cursors
 
 
-def test_a_draining_member_is_not_sent_batches_beyond_half_its_grace():
+def test_a_draining_endpoint_is_not_asked_for_batches_beyond_half_its_grace():
     assert may_continue(None, 0.5, 10.0)
     assert may_continue(9.9, 0.5, 10.0)
     assert not may_continue(9.7, 0.5, 10.0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -87,7 +87,7 @@
     assert len(commits) == 1
 
 
-def test_unsafe_write_whose_reply_is_lost_is_sent_once(rough):
+def test_a_write_without_a_key_whose_reply_is_lost_is_sent_once(rough):
     rough.driver("one")
     with connect(rough) as held:
         rough.fault("lose_reply", when="write", then={"do": "hang", "for": 4})
@@ -115,7 +115,7 @@
         assert seen
 
 
-def test_client_that_leaves_with_a_write_in_flight(rough):
+def test_client_that_disconnects_with_a_write_in_flight(rough):
     rough.driver("one")
     rough.fault("slow", factor=100)
     with connect(rough) as held:
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["wrong_reply", "twice", "cut_reply", "reset"])
-def test_members_that_answer_wrongly_lose_the_connection_and_no_request(rough, trouble):
+def test_malformed_answers_of_endpoints_cost_the_connection_and_no_request(rough, trouble):
     rough.driver("one")
     with connect(rough) as held:
         for endpoint in range(1, 7):
@@ -194,7 +194,7 @@
         wait_for(served, "no read was served after the trouble")
 
 
-def test_a_cursor_ends_with_its_member(rough):
+def test_a_cursor_is_lost_with_its_endpoint(rough):
     rough.driver("one")
     with connect(rough) as held:
         rows = [{"_id": n} for n in range(300)]
@@ -207,7 +207,7 @@
         assert ask(held, 5, getMore=number, collection="rows")["code"] == 43
 
 
-def test_ten_thousand_connections_opened_and_left(rough):
+def test_ten_thousand_connections_opened_and_closed(rough):
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 24_000)), hard))
     most = 10_000 if min(hard, 24_000) >= 24_000 else resource.getrlimit(resource.RLIMIT_NOFILE)[0] // 3
@@ -220,7 +220,7 @@
         assert insert(first, "after")["ok"] == 1
 
 
-def test_the_driver_ends_in_order_with_what_it_owes(rough):
+def test_a_graceful_shutdown_answers_what_is_pending(rough):
     rough.driver("one")
     rough.fault("slow", factor=60)
     with connect(rough) as held:
@@ -231,7 +231,7 @@
         assert rough.drivers["one"].process.wait(timeout=WITHIN) == 0
 
 
-def test_workers_share_the_port_and_one_that_dies_is_started_again(rough, tmp_path):
+def test_workers_share_the_port_and_one_that_dies_is_restarted(rough, tmp_path):
     rough.driver("alone")
     settings = dict(rough.driver_settings["alone"])
     with socket.socket() as free:
@@ -255,7 +255,7 @@
         assert workers.stop() == 0
 
 
-def test_metrics_tell_what_was_answered(rough):
+def test_metrics_count_what_was_answered(rough):
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
@@ -270,7 +270,7 @@
     assert "sedgepitch_owed 0.0" in text
 
 
-def test_both_copies_of_a_hedged_read_answer_and_the_client_hears_one(rough):
+def test_both_attempts_of_a_hedged_read_answer_and_the_client_gets_one(rough):
     rough.driver("one")
     with connect(rough) as held:
         assert insert(held, "row")["ok"] == 1
@@ -343,7 +343,7 @@
     assert len(commits) > 30
 
 
-def test_a_member_cut_off_from_one_driver_still_serves_the_other(rough):
+def test_an_endpoint_cut_off_from_one_proxy_still_serves_the_other(rough):
     rough.driver("near")
     rough.driver("far")
     with connect(rough, "near") as near, connect(rough, "far") as far:
@@ -357,7 +357,7 @@
     assert [r["rid"] for r in records(rough, "commit")] == ["a", "b", "d"]
 
 
-def test_a_member_that_refuses_connections_is_left_alone(rough):
+def test_an_endpoint_that_refuses_connections_is_avoided(rough):
     rough.driver("one")
     for endpoint in (2, 3, 4):
         rough.fault("refuse", endpoint=endpoint)
