--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -98,7 +98,7 @@
                 self.pools[entry.endpoint] = known
             known.listed_primary = entry.primary
 
-    def send(self, endpoint: int, payload: Payload, on_end: AttemptCallback, by: float) -> InFlightAttempt:
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
         """Send a command; one that cannot leave before `by`, a time of the clock, ends as not sent."""
         return self.pools[endpoint].pool.send(payload, on_end, by)
 
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -98,7 +98,7 @@
             known.address = address
             known.pool = self._make_pool(endpoint, address)
 
-    def send(self, endpoint: int, payload: Payload, on_end: AttemptCallback, by: float) -> InFlightAttempt:
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
         """Send a statement; one that cannot leave before `by`, a time of the clock, ends as not sent."""
         pool = self.pools[endpoint].pool
         if self._descriptors_short():
