--- a/sedgepitch/protocols/mongodb/commands.py
+++ b/sedgepitch/protocols/mongodb/commands.py
@@ -115,12 +115,7 @@
     kind = _kind(name)
     if b"startTransaction" in fields or b"autocommit" in fields:
         raise CommandError(263, "OperationNotSupportedInTransaction", "transactions are not supported")
-    database = bsonwalk.text(body, fields.get(b"$db")) or ""
-    if not database and not message.legacy:
-        raise CommandError(40571, "Location40571", "OP_MSG requests require a $db argument")
-    collection = bsonwalk.text(body, first) or bsonwalk.text(body, fields.get(b"collection")) or ""
-    if not collection and kind is not CommandKind.LOCAL and name not in WITHOUT_COLLECTION:
-        raise CommandError(73, "InvalidNamespace", f"{name}: the collection must be a string")
+    database, collection = _database_and_collection(message, name, kind, first, fields)
     read_preference, max_staleness = _read_preference(body, fields.get(b"$readPreference"))
     read_concern, after = _read_concern(body, fields.get(b"readConcern"))
     writes = kind is CommandKind.WRITE or (name == "aggregate" and _may_write(body, fields.get(b"pipeline")))
@@ -173,6 +168,19 @@
     raise CommandError(59, "CommandNotFound", f"no such command: '{shown}'")
 
 
+def _database_and_collection(
+    message: Message, name: str, kind: CommandKind, first: Element, fields: Fields
+) -> tuple[str, str]:
+    body = message.body
+    database = bsonwalk.text(body, fields.get(b"$db")) or ""
+    if not database and not message.legacy:
+        raise CommandError(40571, "Location40571", "OP_MSG requests require a $db argument")
+    collection = bsonwalk.text(body, first) or bsonwalk.text(body, fields.get(b"collection")) or ""
+    if not collection and kind is not CommandKind.LOCAL and name not in WITHOUT_COLLECTION:
+        raise CommandError(73, "InvalidNamespace", f"{name}: the collection must be a string")
+    return database, collection
+
+
 def _may_write(body: bytes, pipeline: Element | None) -> bool:
     """Whether any stage writes; only the last may, but what cannot be read is taken for a write."""
     if pipeline is None or pipeline.kind != bsonwalk.ARRAY:
