--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -1,4 +1,4 @@
-"""Positions by optimes and observations, held against a model that knows the truth."""
+"""Positions by optimes and observations of the primary, checked against a model that knows the truth."""
 
 from __future__ import annotations
 
@@ -130,43 +130,43 @@
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 30)), max_size=40), st.integers(0, 31))
 def test_observations_answer_as_a_plain_list_would(pairs, asked):
     observations = PrimaryObservations()
-    for at, stamp in pairs:
-        observations.add(float(at), (stamp, 0))
-    plain = [float(at) for at, stamp in pairs if stamp <= asked]
+    for at, optime in pairs:
+        observations.add(float(at), (optime, 0))
+    plain = [float(at) for at, optime in pairs if optime <= asked]
     assert observations.position_of((asked, 0)) == (max(plain) if plain else None)
     assert observations.optimes == sorted(set(observations.optimes))
     assert observations.last_asked == sorted(observations.last_asked)
 
 
 class Truth:
-    """A group with skewed clocks, lagging replicas, failovers, and former primaries that have not heard.
+    """A group with skewed clocks, lagging replicas, failovers, and former primaries that do not know it yet.
 
-    Such a one goes on taking writes on a branch of its own, which some replicas follow; when it hears of its
-    end it gives the branch up, and so do they.
+    Such a one goes on taking writes on a branch of its own, which some replicas follow; when it learns of its
+    successor it gives the branch up, and so do they.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.term, self.primary = rng, 100.0, 1, 0
         self.skew = [rng.uniform(-20.0, 20.0) for _ in range(4)]
-        self.logs: list[list[tuple]] = [[] for _ in range(4)]  # own: (stamp, term, committed at)
+        self.logs: list[list[tuple]] = [[] for _ in range(4)]  # own: (optime, term, committed at)
         self.former: dict[int, int] = {}  # who still believes to be primary, and of which term
         self.commit(0, 1)
 
     def commit(self, endpoint: int, term: int) -> tuple:
-        """A write at a primary; its stamp follows its own clock, and only grows."""
+        """A write at a primary; its optime follows its own clock, and only grows."""
         log = self.logs[endpoint]
-        stamp = (max(0, int(self.now + self.skew[endpoint])), 1)
-        if log and log[-1][0] >= stamp:
-            stamp = (log[-1][0][0], log[-1][0][1] + 1)
-        log.append((stamp, term, self.now))
-        return stamp
+        optime = (max(0, int(self.now + self.skew[endpoint])), 1)
+        if log and log[-1][0] >= optime:
+            optime = (log[-1][0][0], log[-1][0][1] + 1)
+        log.append((optime, term, self.now))
+        return optime
 
     def claims(self, endpoint: int) -> int | None:
-        """The term in which a member believes to be primary."""
+        """The term in which an endpoint believes to be primary."""
         return self.term if endpoint == self.primary else self.former.get(endpoint)
 
     def replicate(self, endpoint: int) -> None:
-        """A replica takes some of a primary's log and gives up what differs; a former primary hears of it."""
+        """A replica takes some of a primary's log and gives up what differs; a former primary learns of it."""
         if endpoint == self.primary:
             return
         self.former.pop(endpoint, None)
@@ -180,7 +180,7 @@
         self.logs[endpoint] = source[: same + self.rng.randrange(4)]
 
     def fail_over(self) -> None:
-        """Another member takes over with what it has; a new term begins with an entry of its own."""
+        """Another endpoint takes over with what it has; a new term begins with an entry of its own."""
         if self.rng.random() < 0.6:
             self.former[self.primary] = self.term
         self.primary = self.rng.choice([m for m in range(4) if m != self.primary])
@@ -198,7 +198,9 @@
 def test_no_position_claims_more_than_the_endpoint_has(seed, steps):
     rng = random.Random(seed)
     truth, group = Truth(rng), GroupPositions()
-    late: list[tuple] = []  # answers under way: (kind, member, sent, primary then, term, stamp, its log then)
+    late: list[
+        tuple
+    ] = []  # answers under way: (kind, endpoint, sent, primary then, term, optime, its log then)
     claims, greeted = 0, set()
     for _ in range(steps):
         truth.now += rng.uniform(0.0, 0.5)
@@ -207,36 +209,40 @@
         if draw < 0.3:
             at = rng.choice([truth.primary, *truth.former])
             late.append(
-                ("wrote", at, truth.now, True, truth.claims(at), truth.commit(at, truth.claims(at)), None)
+                ("write", at, truth.now, True, truth.claims(at), truth.commit(at, truth.claims(at)), None)
             )
         elif draw < 0.55:
             truth.replicate(endpoint)
         elif draw < 0.97:
             # Half of the questions are reads, whose answers tell no term and no role.
-            # A member is asked now and reads its state now; its answer may arrive much later.
+            # An endpoint is asked now and reads its state now; its answer may arrive much later.
             log = truth.logs[endpoint]
             if log:
-                stamp, term, _ = log[-1]
+                optime, term, _ = log[-1]
                 primary = truth.claims(endpoint) is not None
-                asked = (endpoint, truth.now, primary, term, stamp, frozenset(log))
+                asked = (endpoint, truth.now, primary, term, optime, frozenset(log))
                 late.append((rng.choice(["hello", "read"]), *asked))
         else:
             truth.fail_over()
         rng.shuffle(late)
         while late and rng.random() < 0.6:
-            kind, who, sent, primary, term, stamp, held = late.pop()
-            if kind == "wrote":
+            kind, who, sent, primary, term, optime, held = late.pop()
+            if kind == "write":
                 if (who, term) in greeted:  # a connection says hello before it carries a write
-                    group.observe_write(who, sent, stamp)
+                    group.observe_write(who, sent, optime)
                 continue
             if kind == "read":
-                told = group.observe_read(who, sent, stamp)
+                evidence = group.observe_read(who, sent, optime)
             else:
-                told = group.observe_hello(who, sent, primary, term, stamp)
+                evidence = group.observe_hello(who, sent, primary, term, optime)
             greeted |= {(who, term)} if primary and kind == "hello" else set()
-            if told.primary is True or told.position in (None, POSITION_UNKNOWN) or group.term < truth.term:
-                continue  # a proxy that has not heard of the newest term cannot know better
-            needed = {entry for entry in truth.surviving() if entry[2] <= told.position}
+            if (
+                evidence.primary is True
+                or evidence.position in (None, POSITION_UNKNOWN)
+                or group.term < truth.term
+            ):
+                continue  # a proxy that does not know of the newest term cannot know better
+            needed = {entry for entry in truth.surviving() if entry[2] <= evidence.position}
             assert needed <= (held if kind == "hello" else set(truth.logs[who]))
             claims += bool(needed)
     event(f"claims: {min(claims, 5)}")
