--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -166,7 +166,7 @@
         return self.term if endpoint == self.primary else self.former.get(endpoint)
 
     def replicate(self, endpoint: int) -> None:
-        """A replica takes some of a primary's log and gives up what differs; a former primary learns of it."""
+        """A replica takes some of a primary's log and drops what differs; a former primary learns of it."""
         if endpoint == self.primary:
             return
         self.former.pop(endpoint, None)
