--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -33,8 +33,8 @@
 from sedgepitch.routing.router import Router
 
 if TYPE_CHECKING:
-    from sedgepitch.peers.service import Peers
-    from sedgepitch.peers.zones import ZoneKeeper
+    from sedgepitch.peers.service import PeerService
+    from sedgepitch.peers.zones import ZoneService
 
 METRICS_BACKLOG = 50  # connections that may wait to be accepted
 MOST_ORDER = 4096  # bytes of an operator's order
@@ -74,17 +74,17 @@
 class _Zones(_Shown):
     """The same for zones; an order comes sealed by the peers' key, so who reaches the port may only look."""
 
-    def __init__(self, name: str, keeper: ZoneKeeper) -> None:
-        super().__init__(name, keeper.status)
-        self.keeper = keeper
+    def __init__(self, name: str, zones: ZoneService) -> None:
+        super().__init__(name, zones.status)
+        self.zones = zones
 
     def render_POST(self, request: Any) -> bytes:  # noqa: N802
-        """Carry out an order."""
-        from sedgepitch.peers.zones import BadOrder
+        """Carry out an operator command."""
+        from sedgepitch.decisions.zones.operator_commands import InvalidCommandError
 
         try:
-            answer = self.keeper.order(request.content.read(MOST_ORDER))
-        except BadOrder as error:
+            answer = self.zones.take_command(request.content.read(MOST_ORDER))
+        except InvalidCommandError as error:
             request.setResponseCode(400)
             answer = {"error": str(error)}
         return json.dumps(answer).encode()
@@ -130,9 +130,9 @@
             else None,
             watch=self.list.watch if self.list else None,
             log=lambda text: self.log.info("module", text=text),
-            observe=self._answered,
-            handover=limits.handover_within,
-            on_fault=self._fault,
+            on_response=self._answered,
+            handover_limit=limits.handover_within,
+            on_callback_error=self._fault,
         )
         self.metrics.watch(self.engine)
         self.context = ClientContext(
@@ -157,38 +157,44 @@
         self.ports: list[Any] = []
         self.ready: Callable[[], None] | None = None
 
-    def _make_peers(self) -> Peers:
+    def _make_peers(self) -> PeerService:
         """Know the other instances; raises KeyFileError. Imported only where the settings ask for it."""
-        from sedgepitch.decisions.gossip.protocol import GossipSettings
+        from sedgepitch.decisions.gossip.settings import GossipSettings
         from sedgepitch.peers.keys import load_keys
-        from sedgepitch.peers.service import Peers, PeerSettings
+        from sedgepitch.peers.service import PeerService, PeerSettings
 
         told = self.settings.peers
         assert told is not None
-        paces = GossipSettings(
-            period=told.period, answer_within=0.4 * told.period, spread_every=0.4 * told.period
+        settings = PeerSettings(
+            self.settings.driver.name,
+            told.listen,
+            tuple(told.seeds),
+            dict(told.routes),
+            GossipSettings.for_probe_interval(told.period),
         )
-        place = PeerSettings(
-            self.settings.driver.name, told.listen, tuple(told.seeds), dict(told.routes), paces
-        )
-        return Peers(self.reactor, self.clock, place, load_keys(told.key_file), say=self._note)
+        return PeerService(self.reactor, self.clock, settings, load_keys(told.key_file), log=self._note)
 
-    def _make_zones(self, peers: Peers) -> ZoneKeeper:
+    def _make_zones(self, peers: PeerService) -> ZoneService:
         """Leave zones, and come back to them, together with the peers."""
-        from sedgepitch.decisions.zones.weights import ZoneSettings
-        from sedgepitch.peers.zones import ZoneKeeper
+        from sedgepitch.decisions.zones.settings import ZoneSettings
+        from sedgepitch.peers.zones import ZoneService
 
         told, rules = self.settings.zones, self.settings.rules
         assert told is not None
-        paces = ZoneSettings(
-            start=rules.start_capacity,
-            warm=max(0.1, rules.warm_within),
-            **{n: getattr(told, n) for n in ("headroom", "watch", "steps", "wait", "wait_most", "triers")},
+        settings = ZoneSettings(
+            initial_capacity=rules.start_capacity,
+            slow_start_window=max(0.1, rules.warm_within),
+            headroom=told.headroom,
+            watch_share=told.watch,
+            ramp_steps=told.steps,
+            trial_delay=told.wait,
+            trial_delay_max=told.wait_most,
+            trial_instances=told.triers,
         )
         zone = self.settings.driver.zone
-        keeper = ZoneKeeper(self.engine, peers, self.clock, zone, paces, told.beat, self._note)
-        peers.changed = keeper.changed
-        return keeper
+        service = ZoneService(self.engine, peers, self.clock, zone, settings, told.beat, self._note)
+        peers.on_event = service.on_peer_event
+        return service
 
     def _observation_age_max(self) -> float:
         """An observation of the primary serves until it is a quarter of the tightest bound old."""
@@ -213,7 +219,7 @@
             shared.close()
         else:
             opened = listener.listen(self.reactor, port, factory, host, 1024)
-        opened.may_accept = lambda: not self.engine.own.late
+        opened.may_accept = lambda: not self.engine.process_limit.overloaded
         opened.on_problem = self._accept_failed
         self.ports.append(opened)
         address = opened.getHost()
@@ -299,7 +305,7 @@
         self.engine.list_changed(api.EndpointListUpdate(known, complete=complete))
         if self.endpoints.pools:
             self._say_ready()
-        gone = {m for m, link in self.endpoints.pools.items() if m in self.engine.drained}
+        gone = {m for m, link in self.endpoints.pools.items() if m in self.engine.draining_since}
         if gone:
             self.log.info("list.drained", endpoints=sorted(gone))
 
@@ -311,14 +317,14 @@
         """How late this driver has been, for the log."""
         engine, event_loop_lag = self.engine, self.engine.event_loop_lag
         return {
-            "latest_ms": round(event_loop_lag.peak * 1000.0, 1),
-            "mean_wait_ms": round(event_loop_lag.sum / max(1, event_loop_lag.waits) * 1000.0, 3),
-            "reserve_ms": round(event_loop_lag.reserve(self.clock.now()) * 1000.0, 1),
-            "too_slow": engine.too_slow,
-            "too_many": engine.too_many,
-            "hurried": engine.hurried,
-            "overdue": engine.overdue,
-            "faults": engine.faults,
+            "latest_ms": round(event_loop_lag.longest * 1000.0, 1),
+            "mean_wait_ms": round(event_loop_lag.total / max(1, event_loop_lag.samples) * 1000.0, 3),
+            "reserve_ms": round(event_loop_lag.deadline_margin(self.clock.now()) * 1000.0, 1),
+            "too_slow": engine.rejected_for_lag,
+            "too_many": engine.rejected_for_load,
+            "hurried": engine.answered_early,
+            "overdue": engine.answered_by_last_guard,
+            "faults": engine.callbacks.errors,
         }
 
     def _fault(self, where: str, error: BaseException) -> None:
@@ -336,15 +342,15 @@
     def _answered(self, account: PendingRequest, answer: Response, elapsed: float) -> None:
         self.metrics.answered(account, answer, elapsed)
         if (
-            answer.verdict is not ResponseStatus.SERVED and not log.full()
+            answer.status is not ResponseStatus.SERVED and not log.full()
         ):  # under a flood, lines cost more than answers
             self.log.info(
-                answer.verdict.value,
+                answer.status.value,
                 request=account.id,
-                connection=account.command.connection,
-                class_name=account.command.class_name,
-                group=account.command.group,
-                attempts=account.endpoints,
+                connection=account.request.connection,
+                class_name=account.request.class_name,
+                group=account.request.group,
+                attempts=account.attempted_endpoints,
                 after_ms=round(elapsed * 1000.0, 1),
                 come_back_ms=round(answer.retry_after * 1000.0),
                 why=answer.why,
--- a/sedgepitch/cli/zones.py
+++ b/sedgepitch/cli/zones.py
@@ -68,14 +68,16 @@
     from sedgepitch.peers.keys import KeyFileError, load_keys
 
     try:
-        sealer = load_keys(settings.peers.key_file)
+        authenticator = load_keys(settings.peers.key_file)
     except KeyFileError as error:
         raise click.ClickException(str(error)) from None
     command = {"zone": zone_name, "what": action, "within": within_s, "number": number}
     host, port = settings.metrics
     try:
         request = urllib.request.Request(
-            f"http://{host}:{port}/zones", data=sealer.seal(json.dumps(command).encode()), method="POST"
+            f"http://{host}:{port}/zones",
+            data=authenticator.seal(json.dumps(command).encode()),
+            method="POST",
         )
         with urllib.request.urlopen(request, timeout=STATE_TIMEOUT_S) as answer:
             accepted: dict[str, Any] = json.load(answer)
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -74,7 +74,7 @@
         """Tell the engine how long the bytes had waited that are now read, where that is known."""
         if arrival_time(self.transport):
             now = self.context.clock.now()
-            self.context.engine.waited(self.transport.read_delay(now), now)
+            self.context.engine.record_wait(self.transport.read_delay(now), now)
 
     def advance(self) -> None:
         """Execute the next buffered command, if nothing holds it back."""
@@ -120,7 +120,7 @@
         if not self.frame_since or not self.has_submitted:
             return False
         waited = self.context.clock.now() - self.frame_since
-        if not self.context.engine.unread(waited, self.tenant):
+        if not self.context.engine.reject_unread(waited, self.tenant):
             return False
         message = codec.head(frame)
         if message is None:
@@ -172,7 +172,7 @@
             self.awaited_hello = None
         request, self.request = self.request, None
         if request is not None:
-            self.context.engine.gone(request)
+            self.context.engine.client_disconnected(request)
 
 
 class ClientFactory(NumberingFactory):
--- a/sedgepitch/protocols/mongodb/command_handler.py
+++ b/sedgepitch/protocols/mongodb/command_handler.py
@@ -129,12 +129,12 @@
 
         def respond(response: Response) -> None:
             connection.request = None
-            if response.verdict is ResponseStatus.SERVED:
+            if response.status is ResponseStatus.SERVED:
                 self._context.cursor_handler.forward(connection, command, response)
                 return
             writes = command.facts.writes
-            if response.verdict is ResponseStatus.REJECTED:
-                body = error_replies.rejected(response.why, response.retry_after, writes, response.promised)
+            if response.status is ResponseStatus.REJECTED:
+                body = error_replies.rejected(response.why, response.retry_after, writes, response.reserved)
             else:
                 body = error_replies.failed(response.why, writes)
             connection.reply(command.message, body)
--- a/sedgepitch/protocols/mongodb/cursor_handler.py
+++ b/sedgepitch/protocols/mongodb/cursor_handler.py
@@ -85,7 +85,7 @@
         self, connection: ClientConnection, command: Command, cursor_id: int, response: Response
     ) -> None:
         cursors = self._context.cursors
-        if response.verdict is not ResponseStatus.SERVED:
+        if response.status is not ResponseStatus.SERVED:
             # Whether the batch was taken from the cursor is not known, so it cannot be continued.
             cursors.close(cursor_id)
             connection.reply(command.message, error_replies.cursor_not_found(cursor_id))
@@ -135,5 +135,5 @@
             context.clock.call_later(CLOSE_TIMEOUT_S, attempt.abandon)
 
     def _may_continue(self, cursor: Cursor, now: float) -> bool:
-        draining_since = self._context.engine.drained.get(cursor.endpoint)
+        draining_since = self._context.engine.draining_since.get(cursor.endpoint)
         return may_continue(draining_since, self._context.drain_grace, now)
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -84,7 +84,7 @@
 
     # The engine's side
 
-    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
+    def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Open pools for new endpoints; one that is gone keeps its pool for what is in flight."""
         for entry in entries:
             address = self.addresses.get(entry.endpoint)
@@ -98,9 +98,9 @@
                 self.pools[entry.endpoint] = known
             known.listed_primary = entry.primary
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
-        """Send a command; one that cannot leave before `by`, a time of the clock, ends as not sent."""
-        return self.pools[endpoint].pool.send(payload, on_end, by)
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+        """Send a command; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
+        return self.pools[endpoint].pool.send(payload, on_end, send_by)
 
     def close_idle(self, endpoint: int) -> None:
         """Close the connections to an endpoint that are not in use."""
@@ -113,7 +113,7 @@
 
     # Health checks
 
-    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
+    def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask an endpoint by hello, and the primary for its position where the newest is too old."""
         checked = self.pools[endpoint]
         positions = self.positions[checked.group]
@@ -149,7 +149,7 @@
         self._ask(primary, observed, PRIMARY_OBSERVATION_TIMEOUT_S)
 
     def _ask(self, endpoint: EndpointPools, on_end: AttemptCallback, timeout: float) -> None:
-        endpoint.health_checks.ask(self.hello, on_end, timeout)
+        endpoint.health_checks.send_with_timeout(self.hello, on_end, timeout)
 
     def _with_position(self, checked: EndpointPools, outcome: AttemptOutcome) -> AttemptOutcome:
         """Bring a replica's position up to date with what was observed of the primary meanwhile."""
@@ -178,14 +178,14 @@
 
         def outcome(exchange: SentCommand, message: Message) -> AttemptOutcome:
             result = self._outcome(endpoint, group, exchange, message)
-            result.arrived = message.arrived
+            result.received_at = message.arrived
             return result
 
         def hello_outcome(exchange: SentCommand, message: Message) -> AttemptOutcome:
             return self._hello_outcome(endpoint, group, exchange, message)
 
         hello_limits = PoolLimits(
-            HEALTH_CHECK_CONNECTIONS_MAX, self.health_check_timeout, self.limits.idle_for
+            HEALTH_CHECK_CONNECTIONS_MAX, self.health_check_timeout, self.limits.max_idle_time
         )
         return EndpointPools(
             endpoint,
@@ -197,7 +197,7 @@
 
     def _open(self, address: tuple[str, int], callbacks: ConnectionCallbacks) -> Callable[[], None]:
         """Begin to connect; what is returned gives it up."""
-        timeout = self.limits.connect_within
+        timeout = self.limits.connect_timeout
         opening = Opening(lambda: EndpointConnection(self.hello, callbacks), callbacks.failed, timeout)
         opening.open(self.reactor, address, max(CONNECT_TIMEOUT_MIN_S, timeout))
         return opening.give_up
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -72,7 +72,7 @@
         arrived = arrival_time(self.transport)
         if arrived and not self.reads_paused:
             now = listener.clock.now()
-            listener.engine.waited(self.transport.read_delay(now), now)
+            listener.engine.record_wait(self.transport.read_delay(now), now)
         if not self.reader.held:
             self.message_since = arrived or listener.clock.now()
             listener.activity.spoke(self)
@@ -267,8 +267,8 @@
             number=self.number,
             reason=self.close_reason or reason_of_loss(lost),
             detail=lost.getErrorMessage(),
-            request=request.command.payload.id.decode("ascii", "replace") if request is not None else "",
-            attempts=request.attempts if request is not None else 0,
+            request=request.request.payload.id.decode("ascii", "replace") if request is not None else "",
+            attempts=request.attempt_count if request is not None else 0,
             read_bytes=self.reader.held,
             lasted=self.listener.clock.now() - self.accepted_at,
         )
@@ -276,8 +276,8 @@
     def _cancel_request(self) -> None:
         request, self.request = self.request, None
         if request is not None:
-            self.listener.open_request_ids.pop(request.command.payload.id, None)
-            self.listener.engine.gone(request)
+            self.listener.open_request_ids.pop(request.request.payload.id, None)
+            self.listener.engine.client_disconnected(request)
 
 
 class ClientFactory(NumberingFactory):
--- a/sedgepitch/protocols/postgresql/outcomes.py
+++ b/sedgepitch/protocols/postgresql/outcomes.py
@@ -32,7 +32,7 @@
 def malformed_outcome(reply: Reply) -> AttemptOutcome:
     """Return the outcome of an attempt whose reply could not be read."""
     why = f"spoilt answer: {reply.malformed}"
-    return AttemptOutcome(AttemptResult.ERROR, why=why, arrived=reply.arrived)
+    return AttemptOutcome(AttemptResult.ERROR, why=why, received_at=reply.arrived)
 
 
 def outcome_of(reply: Reply, names: SessionNames, unix_offset: float) -> AttemptOutcome:
@@ -41,7 +41,7 @@
     `unix_offset` is Unix time minus the clock's time, in seconds.
     """
     result = RESULT_OF_SQLSTATE.get(reply.error_code, AttemptResult.ERROR)
-    outcome = AttemptOutcome(result, arrived=reply.arrived)
+    outcome = AttemptOutcome(result, received_at=reply.arrived)
     if reply.error_code:
         outcome.why = f"code {reply.error_code}"
     if reply.role == names.primary:
--- a/sedgepitch/protocols/postgresql/statement_handler.py
+++ b/sedgepitch/protocols/postgresql/statement_handler.py
@@ -59,7 +59,7 @@
         owner = self._listener.open_request_ids.get(request_id)
         if owner is None:
             return True
-        if owner.request is None or owner.request.attempts or not transport.left(owner.transport):
+        if owner.request is None or owner.request.attempt_count or not transport.left(owner.transport):
             return False
         owner.abandon()
         return True
@@ -115,9 +115,9 @@
         )
 
     def _response_message(self, response: Response) -> bytes:
-        if response.verdict is ResponseStatus.SERVED:
+        if response.status is ResponseStatus.SERVED:
             return bytes(response.reply + codec.READY)
-        if response.verdict is ResponseStatus.REJECTED:
+        if response.status is ResponseStatus.REJECTED:
             retry_after = min(response.retry_after, self._listener.retry_after_max)
             retry_after_ms = str(max(1, round(retry_after * codec.MS_PER_S))) if retry_after > 0 else ""
             return codec.error(SQLSTATE_REJECTED, response.why or "refused", retry_after_ms) + codec.READY
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits, Room
+from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.net.connecting import Opening
 from sedgepitch.protocols.common.callbacks import ignore
@@ -21,7 +21,7 @@
 from sedgepitch.protocols.postgresql.outcomes import malformed_outcome, outcome_of
 from sedgepitch.protocols.postgresql.reply import Reply, read_load_report
 from sedgepitch.routing.messages import AttemptResult, EndpointEntry, EndpointState, LoadReport
-from sedgepitch.settings import report as load_report
+from sedgepitch.settings import translate_load_report
 
 IDLE_CHECK_INTERVAL_S = 1.0
 CONNECT_GRACE_S = 1.0  # beyond the pool's own bound, which is to end an opening first
@@ -50,7 +50,7 @@
         reactor: Any,
         clock: Clock,
         limits: PoolLimits,
-        descriptors: Room,
+        descriptors: ConnectionBudget,
         unix_offset: float,
         health_check_timeout: float,
         names: SessionNames | None = None,
@@ -74,7 +74,7 @@
 
     # The engine's side
 
-    def listed(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
+    def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
         """Take the endpoint list: new endpoints, new addresses, and those that are gone."""
         now = self.clock.now()
         for entry in entries:
@@ -98,20 +98,20 @@
             known.address = address
             known.pool = self._make_pool(endpoint, address)
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, by: float) -> InFlightAttempt:
-        """Send a statement; one that cannot leave before `by`, a time of the clock, ends as not sent."""
+    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+        """Send a statement; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
         pool = self.pools[endpoint].pool
         if self._descriptors_short():
             self.close_longest_idle()
-        return pool.send(payload, on_end, by)
+        return pool.send(payload, on_end, send_by)
 
-    def probe(self, endpoint: int, on_end: AttemptCallback) -> None:
+    def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask an endpoint for its load report."""
         known = self.pools.get(endpoint)
         if known is None:
             self.clock.soon(on_end, AttemptOutcome(AttemptResult.NOT_SENT, why="not listed any more"))
         else:
-            known.pool.ask(HealthCheckQuery(), on_end, self.health_check_timeout)
+            known.pool.send_with_timeout(HealthCheckQuery(), on_end, self.health_check_timeout)
 
     def close_idle(self, endpoint: int) -> None:
         """Close the connections to an endpoint that are not in use."""
@@ -145,10 +145,10 @@
         """Close connections idle for too long, and forget endpoints that are gone and have none left."""
         now = self.clock.now()
         for known in list(self.pools.values()):
-            known.pool.tidy()
+            known.pool.close_expired()
             if known.gone_since < now:
                 known.pool.close_idle()
-                if not known.pool.lanes:
+                if not known.pool.connections:
                     del self.pools[known.id]
                     self.on_forgotten(known.id)
         self.clock.call_later(IDLE_CHECK_INTERVAL_S, self._close_unused)
@@ -177,8 +177,8 @@
         connection = EndpointConnection(self.names, self.clock.now, callbacks)
         if self.trace is not None:
             connection.trace = self.trace(endpoint)
-        opening = Opening(lambda: connection, callbacks.failed, self.limits.connect_within)
-        opening.open(self.reactor, address, self.limits.connect_within + CONNECT_GRACE_S)
+        opening = Opening(lambda: connection, callbacks.failed, self.limits.connect_timeout)
+        opening.open(self.reactor, address, self.limits.connect_timeout + CONNECT_GRACE_S)
 
         def give_up() -> None:
             if connection.transport is None:
@@ -209,4 +209,4 @@
         if not fields:
             self.unread_load_reports += 1
             return None
-        return load_report(fields, -self.unix_offset)
+        return translate_load_report(fields, -self.unix_offset)
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -12,32 +12,37 @@
 
 from sedgepitch.cli.main import main
 from sedgepitch.core import engine
+from sedgepitch.core.completion import Completion
+from sedgepitch.core.deadlines import NEVER, Deadlines
 from sedgepitch.protocols.mongodb.command_handler import CommandHandler
+from sedgepitch.routing.eligibility import Eligibility
+from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.messages import EndpointState
-from sedgepitch.routing.router import Router
+from sedgepitch.routing.outlier_detection import OutlierDetection
+from sedgepitch.routing.retries import Retries
+from sedgepitch.routing.selection import Selection
+from sedgepitch.routing.slow_start import SlowStart
 
 
 def lose_requests() -> None:
-    """Rule 1: a refusal never leaves, and the last guard is gone."""
-    engine.Engine._last_guard = lambda self, account: None
-    engine.Engine._refuse = lambda self, action: None
+    """Rule 1: a rejection never leaves, and the last guard is gone."""
+    Deadlines._answer_last = lambda self, pending: None
+    Completion.reject = lambda self, action: None
 
 
-def resend_anything() -> None:
-    """Rule 2: what may have run is sent again, whatever the class says."""
+def retry_anything() -> None:
+    """Rule 2: what may have run is retried, whatever the class says."""
 
-    def may_resend(self, request, endpoint):
-        return not request.done and not request.out and len(request.attempts) < 3
+    def may_attempt(self, request, endpoint):
+        return not request.done and not request.in_flight and len(request.attempts) < 3
 
-    def next_step(self, request):
-        (self.finish if self.now >= request.until else self.place)(request)
+    Retries.may_attempt = may_attempt
+    Retries.should_retry = lambda self, request: self.state.now < request.deadline
+    Retries.deduplication_window_over = lambda self, request: False
 
-    Router.may_resend, Router.next_step = may_resend, next_step
-    Router.window_over = lambda self, request: False
 
-
-def ignore_drains() -> None:
-    """Rule 3: what the list says of draining members is not heard."""
+def ignore_draining() -> None:
+    """Rule 3: what the list says of draining endpoints is ignored."""
     told = engine.Engine.list_changed
 
     def list_changed(self, event):
@@ -47,22 +52,22 @@
     engine.Engine.list_changed = list_changed
 
 
-def trust_the_cold() -> None:
-    """Rule 4: a member that has just started is sent as much as any other; silence is not felt."""
-    Router.distrust = lambda self, endpoint, why: None
-    Router.open_to = lambda self, endpoint, request: endpoint.state is EndpointState.UP
-    Router.warmth = lambda self, endpoint: 1.0
-    Router.may_send = lambda self, endpoint, request, room=1.0: endpoint.state is EndpointState.UP
-    Router.busyness = lambda self, endpoint: (-endpoint.cold_from, 0.0)  # the newest first
+def skip_slow_start() -> None:
+    """Rule 4: an endpoint that has just started is sent as much as any other, and none is ejected."""
+    OutlierDetection.eject = lambda self, endpoint, reason: None
+    SlowStart.accepts = lambda self, endpoint, request: endpoint.state is EndpointState.UP
+    SlowStart.capacity_share = lambda self, endpoint: 1.0
+    Eligibility.may_send = lambda self, endpoint, request, limit_share=1.0: endpoint.state is EndpointState.UP
+    Selection.load = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the newest first
 
 
 def read_anywhere() -> None:
     """Rule 5: every replica counts as fresh enough."""
-    Router.fresh_enough = lambda self, endpoint, request: True
+    FreshnessRules.fresh_enough = lambda self, endpoint, request: True
 
 
 def answer_late() -> None:
-    """Rule 1: answers wait in a queue of the driver's own, and nothing takes that from what is promised."""
+    """Rule 1: answers wait in a queue of the proxy's own, and no deadline accounts for it."""
 
     def response_callback(self, connection, command):
         respond = true_response_callback(self, connection, command)
@@ -75,31 +80,32 @@
 def send_after_the_answer() -> None:
     """Rule 1: what was decided before the answer is still sent long after it."""
 
-    def settle(self, account, answer):
-        if account.open and answer.endpoint is not None and not account.command.payload.writes:
-            again = (answer.endpoint, account.command.payload, lambda end: None, engine.NEVER)
-            self.clock.call_later(1.6, self.endpoints.send, *again)
-        true_settle(self, account, answer)
+    def respond(self, pending, response):
+        upstream = self.engine.upstream
+        if pending.open and response.endpoint is not None and not pending.request.payload.writes:
+            again = (response.endpoint, pending.request.payload, lambda outcome: None, NEVER)
+            self.engine.clock.call_later(1.6, upstream.send, *again)
+        true_respond(self, pending, response)
 
-    true_settle = engine.Engine._settle
-    engine.Engine._settle = settle
+    true_respond = Completion.respond
+    Completion.respond = respond
 
 
 def forget_own_delay() -> None:
-    """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the driver."""
+    """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the proxy."""
 
     def fresh_enough(self, endpoint, request):
-        now, self.now = self.now, self.now - 0.8
+        now, self.state.now = self.state.now, self.state.now - 0.8
         try:
             return true_fresh(self, endpoint, request)
         finally:
-            self.now = now
+            self.state.now = now
 
-    true_fresh = Router.fresh_enough
-    Router.fresh_enough = fresh_enough
+    true_fresh = FreshnessRules.fresh_enough
+    FreshnessRules.fresh_enough = fresh_enough
 
 
-GUARDS = (lose_requests, resend_anything, ignore_drains, trust_the_cold, read_anywhere)
+GUARDS = (lose_requests, retry_anything, ignore_draining, skip_slow_start, read_anywhere)
 MORE = (answer_late, send_after_the_answer, forget_own_delay)
 
 if __name__ == "__main__":
--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -76,7 +76,7 @@
 
     def start(self) -> None:
         budget = DescriptorBudget(SOCKETS)
-        limits = PoolLimits(most=6, connect_within=0.25, idle_for=1.0, linger=0.0)
+        limits = PoolLimits(6, 0.25, 1.0, 0.0)
         self.endpoints = PostgresUpstream(None, self.clock, limits, budget, WALL, 0.25)
         self.endpoints.addresses = {n: ("127.0.0.1", 5000 + n) for n in (1, 2, 3)}
         self.endpoints.log_event = lambda event, **fields: self.reports.append(str([*fields.values()]))
--- a/tests/support/router_harness.py
+++ b/tests/support/router_harness.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from random import Random
 
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import (
@@ -12,7 +13,9 @@
     Freshness,
     Idempotency,
 )
+from sedgepitch.routing.records import Endpoint, ReplicaGroup, RoutedRequest
 from sedgepitch.routing.router import Router
+from sedgepitch.routing.state import RouterState
 
 
 def make_class(name: str, freshness: Freshness, **changes) -> api.RequestClass:
@@ -82,7 +85,7 @@
 
 
 class Rig:
-    """One router, three members (1 is listed as primary), and the clock."""
+    """One router, three endpoints (1 is listed as primary), and the clock."""
 
     def __init__(self, settings: api.Settings = SETTINGS, endpoints=None, seed: int = 7) -> None:
         self.router, self.now, self.ids = Router(settings, seed), 100.0, 0
@@ -109,20 +112,20 @@
         self.now = end
         return self.log[start:]
 
-    def ask(self, name: str, ttl: float = 0.9, **fields) -> tuple[int, list[api.Action]]:
+    def receive(self, name: str, ttl: float = 0.9, **fields) -> tuple[int, list[api.Action]]:
         """A client's request; returns its id and what was done."""
         self.ids += 1
         return self.ids, self.feed(api.RequestReceived(self.ids, name, 1, ttl, **fields))
 
-    def end(
+    def finish(
         self, request: int, attempt: int, endpoint: int, result: AttemptResult, **fields
     ) -> list[api.Action]:
         """The end of an attempt."""
         final = fields.pop("final", result is AttemptResult.OK)
         return self.feed(api.AttemptFinished(request, attempt, endpoint, result, 0.02, final, **fields))
 
-    def heard(self, endpoint: int, age: float, primary: bool = False) -> None:
-        """A report that a probe brought: the position the member had some time ago."""
+    def report(self, endpoint: int, age: float, primary: bool = False) -> None:
+        """A report that a health check brought: the position that the endpoint had some seconds ago."""
         self.feed(
             api.HealthCheckFinished(
                 endpoint, AttemptResult.OK, 0.001, api.LoadReport(self.now - age, primary)
@@ -131,7 +134,7 @@
 
 
 def sends(actions, request: int | None = None) -> list[int]:
-    """The members sent to."""
+    """The endpoints sent to."""
     return [a.endpoint for a in actions if isinstance(a, api.SendAttempt) and request in (None, a.request)]
 
 
@@ -142,6 +145,36 @@
 
 def placed(rig: Rig, name: str, **fields) -> tuple[int, list[int]]:
     """Ask, let it wait for a position in vain, and return who was sent to."""
-    request, _ = rig.ask(name, **fields)
+    request, _ = rig.receive(name, **fields)
     rig.run(0.04)
     return request, sends(rig.log, request)
+
+
+def make_state(settings: api.Settings = SETTINGS, now: float = 100.0, seed: int = 7) -> RouterState:
+    """The shared state of a router, for tests of one part alone."""
+    return RouterState(settings, Random(seed), now)
+
+
+def make_endpoint(router_state: RouterState, number: int = 1, **fields) -> Endpoint:
+    """An endpoint of group 1 that is up and warm, in the state's records."""
+    group = router_state.groups.setdefault(1, ReplicaGroup())
+    stated = {"zone": "a", "size": 1.0, "state": EndpointState.UP, "started": 0.0, "preference_weight": 0.5}
+    endpoint = Endpoint(id=number, group_id=1, **(stated | fields))
+    group.endpoints.append(endpoint)
+    router_state.endpoints[number] = endpoint
+    return endpoint
+
+
+def make_request(state: RouterState, name: str = "any", number: int = 1, **fields) -> RoutedRequest:
+    """A request of that class for group 1, with the class's whole deadline left."""
+    request_class = next(c for c in CLASSES if c.name == name)
+    stated = {
+        "session": "",
+        "deadline": state.now + request_class.deadline,
+        "useful_until": state.now + request_class.latency_objective,
+        "wait_until": state.now + request_class.latency_objective,
+        "primary_only": request_class.freshness in (Freshness.WRITE, Freshness.FRESH),
+        "sampling_draw": 0.5,
+    }
+    group = state.groups.setdefault(1, ReplicaGroup())
+    return RoutedRequest(id=number, request_class=request_class, group=group, **(stated | fields))
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -194,7 +194,7 @@
     assert not (
         listener.open_request_ids or listener.connections or held.resting or held.talking or held.silent
     )
-    assert not stage.engine.request_table.accounts and stage.descriptors.clients == 0
+    assert not stage.engine.request_table.requests and stage.descriptors.clients == 0
 
 
 def fill(stage: Stage, busy: int) -> list:
@@ -296,12 +296,12 @@
         connection, wire = stage.client()
         connection.dataReceived(read(1, d="300"))
         stage.turn()
-        stage.engine.event_loop_lag.waited(
+        stage.engine.event_loop_lag.record(
             0.2, stage.clock.now()
         )  # this driver became late after it was taken
-        stage.engine.event_loop_lag.waited(0.2, stage.clock.now() + 0.3)
+        stage.engine.event_loop_lag.record(0.2, stage.clock.now() + 0.3)
         for _ in range(40):
             stage.turn(0.005, 1)
         (error,) = errors(wire)
-        assert stage.engine.hurried == 1 and error["C"] == "53300"
+        assert stage.engine.answered_early == 1 and error["C"] == "53300"
         assert ("D" in error) is told
