--- a/tests/test_capacity_estimate.py
+++ b/tests/test_capacity_estimate.py
@@ -185,7 +185,7 @@
 
     front = Front()
     admission = front.engine.admission = AdmissionController(AdmissionSettings(), 1, front.clock.now())
-    front.context.tenant_of = ("app_name", "address")
+    front.context.tenant_sources = ("app_name", "address")
     connection, transport = front.client()
     connection.app_name = "public"
     connection.dataReceived(command(1, find="readings", comment="history-read", maxTimeMS=300))
