--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -1,4 +1,4 @@
-"""A front without sockets for the tests: client connections on string transports, members played by hand."""
+"""A MongoDB proxy without sockets: client connections on string transports, endpoints played by the test."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 
 @dataclass
-class Sent:
-    """One attempt that a member holds."""
+class SentAttempt:
+    """One attempt that an endpoint holds."""
 
     endpoint: int
     payload: Any
@@ -46,22 +46,22 @@
         return False
 
     def answer(self, reply: dict | None = None, **fields) -> None:
-        """Let the member answer."""
+        """Let the endpoint answer."""
         body = bson.encode({"ok": 1.0, **(reply or {})})
         reply = EndpointReply(body, bsonwalk.find(body, b"cursor"))
         self.on_end(AttemptOutcome(fields.pop("result", api.AttemptResult.OK), reply, **fields))
 
 
 @dataclass
-class PlayedMembers:
-    """The members' side, played by the test."""
+class PlayedEndpoints:
+    """The upstream side, played by the test."""
 
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentAttempt] = field(default_factory=list)
     pools: dict[int, Any] = field(default_factory=dict)
     positions: dict[int, GroupPositions] = field(default_factory=lambda: {0: GroupPositions()})
 
     def send(self, endpoint, payload, on_end, by):
-        self.sent.append(Sent(endpoint, payload, on_end))
+        self.sent.append(SentAttempt(endpoint, payload, on_end))
         return self.sent[-1]
 
     def check_health(self, endpoint, on_end):
@@ -74,14 +74,14 @@
         pass
 
 
-class Front:
-    """One engine with three members (1 is the primary), and any number of clients."""
+class MongodbProxy:
+    """One engine with three endpoints (1 is the primary), and any number of clients."""
 
     def __init__(self, seed: int = 1) -> None:
         self.task = Clock()
         self.task.advance(1000.0)
         self.clock = FakeClock(self.task)
-        self.endpoints = PlayedMembers()
+        self.endpoints = PlayedEndpoints()
         settings = parse(EXAMPLE, "example")
         router = Router(settings.module_settings(), seed)
         self.engine = Engine(router, self.endpoints, self.clock)
--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -1,4 +1,4 @@
-"""The platform's front and members without sockets for the tests: string transports and a fake clock."""
+"""A PostgreSQL proxy without sockets: string transports, a fake clock, endpoints played by the test."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from sedgepitch.protocols.postgresql.codec import Reader
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
-from tests.support.mongodb_harness import PlayedMembers
+from tests.support.mongodb_harness import PlayedEndpoints
 from tests.support.router_harness import SETTINGS, entry
 
 WALL = 1_000_000.0  # s that Unix time is ahead of the tests' clock
@@ -80,14 +80,14 @@
 ROW = codec.row_description() + codec.data_row(b"value") + codec.complete("SELECT 1")
 
 
-class Stage:
-    """A front over one engine with three members (1 is the primary), played by the test."""
+class PostgresqlProxy:
+    """One engine with three endpoints (1 is the primary), played by the test."""
 
     def __init__(self, settings: api.Settings = SETTINGS, sockets: int = 0) -> None:
         self.task = Clock()
         self.task.advance(1000.0)
         self.clock = FakeClock(self.task)
-        self.endpoints = PlayedMembers()
+        self.endpoints = PlayedEndpoints()
         self.engine = Engine(Router(settings, 1), self.endpoints, self.clock)
         entries = (entry(1, primary=True), entry(2), entry(3))
         self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
@@ -117,7 +117,7 @@
             self.turn(step, 1)
 
     def answer(self, index: int = -1, **fields: Any) -> None:
-        """Let a member answer an attempt."""
+        """Let an endpoint answer an attempt."""
         result = fields.pop("result", api.AttemptResult.OK)
         reply = ROW if result is api.AttemptResult.OK else None
         self.endpoints.sent[index].on_end(AttemptOutcome(result, reply, **fields))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -17,7 +17,7 @@
 from sedgepitch.decisions.admission.pool import MIN_ALLOWANCE
 from sedgepitch.decisions.admission.reservations import GRACE_S, SLOT_S, ReservationSchedule
 from sedgepitch.decisions.admission.settings import AdmissionSettings
-from tests.support.mongodb_harness import Front
+from tests.support.mongodb_harness import MongodbProxy
 
 
 def arrival(number: int, tenant: str = "a", **changes) -> AdmissionRequest:
@@ -392,43 +392,43 @@
 
 
 def test_a_queued_request_gets_one_final_answer_like_any_other():
-    front = Front()
-    front.engine.admission = AdmissionController(
-        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
+    proxy = MongodbProxy()
+    proxy.engine.admission = AdmissionController(
+        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, proxy.clock.now()
     )
-    for endpoint in front.engine.router.endpoints.values():
+    for endpoint in proxy.engine.router.endpoints.values():
         endpoint.concurrency_limit = 0.0  # the router has capacity nowhere
     answers = []
     for number in range(8):
         command = ClientRequest(
             "note", 0, 0.5, "payload", tenant="t", client=str(number), reservation_token=str(number)
         )
-        front.engine.submit(command, answers.append)
-    front.turn()
-    assert front.engine.admission.queued == 6
-    assert len(front.engine.router.requests) == 2
+        proxy.engine.submit(command, answers.append)
+    proxy.turn()
+    assert proxy.engine.admission.queued == 6
+    assert len(proxy.engine.router.requests) == 2
     for _ in range(60):
-        front.turn(0.01)
+        proxy.turn(0.01)
     assert len(answers) == 8
     assert {a.status for a in answers} == {ResponseStatus.REJECTED}
-    assert not front.engine.request_table.requests
-    assert front.engine.answered_by_last_guard == 0
-    assert not front.engine.admission.requests
+    assert not proxy.engine.request_table.requests
+    assert proxy.engine.answered_by_last_guard == 0
+    assert not proxy.engine.admission.requests
 
 
 def test_a_client_that_disconnects_while_queued_is_forgotten():
-    front = Front()
-    front.engine.admission = AdmissionController(
-        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, front.clock.now()
+    proxy = MongodbProxy()
+    proxy.engine.admission = AdmissionController(
+        AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, proxy.clock.now()
     )
-    for endpoint in front.engine.router.endpoints.values():
+    for endpoint in proxy.engine.router.endpoints.values():
         endpoint.concurrency_limit = 0.0
     pending = [
-        front.engine.submit(ClientRequest("note", 0, 0.5, "p", reservation_token=str(n)), lambda a: None)
+        proxy.engine.submit(ClientRequest("note", 0, 0.5, "p", reservation_token=str(n)), lambda a: None)
         for n in range(4)
     ]
-    front.turn()
-    front.engine.client_disconnected(pending[3])
-    front.turn()
-    assert front.engine.admission.queued == 1
-    assert pending[3].id not in front.engine.admission.requests
+    proxy.turn()
+    proxy.engine.client_disconnected(pending[3])
+    proxy.turn()
+    assert proxy.engine.admission.queued == 1
+    assert pending[3].id not in proxy.engine.admission.requests
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,7 +9,7 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState
 from tests.support.platform import WITHIN, EmulatedEndpoint, Platform, look
-from tests.support.postgresql_harness import Stage, read, write
+from tests.support.postgresql_harness import PostgresqlProxy, read, write
 from tests.support.router_harness import Rig, entry, sends
 
 
@@ -76,23 +76,23 @@
 
 
 def test_fresh_ids_keys_and_connections_by_the_ten_thousand_leave_nothing_in_the_front():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     marks = []
     for number in range(1, 30_001):
         if number % 50 == 0:
             connection.connectionLost()
-            connection, wire = stage.client()
+            connection, wire = proxy.client()
         connection.dataReceived(read(number) if number % 9 else write(number))
-        stage.turn(0.01, 2)
-        while stage.endpoints.sent:
-            stage.answer(0)
-            stage.endpoints.sent.pop(0)
+        proxy.turn(0.01, 2)
+        while proxy.endpoints.sent:
+            proxy.answer(0)
+            proxy.endpoints.sent.pop(0)
         wire.clear()
         if number in (5_000, 30_000):
-            stage.pass_by(3.0)
-            marks.append(sizes(stage.engine) + sizes(stage.listener))
-    assert not stage.listener.open_request_ids and not stage.engine.request_table.requests
+            proxy.pass_by(3.0)
+            marks.append(sizes(proxy.engine) + sizes(proxy.listener))
+    assert not proxy.listener.open_request_ids and not proxy.engine.request_table.requests
     assert marks[1] <= marks[0] * 1.1 + 50, marks
 
 
--- a/tests/test_capacity_estimate.py
+++ b/tests/test_capacity_estimate.py
@@ -181,23 +181,23 @@
 def test_unread_requests_of_the_most_active_tenant_are_rejected_first():
     from sedgepitch.decisions.admission.controller import AdmissionController
     from sedgepitch.decisions.admission.settings import AdmissionSettings
-    from tests.support.mongodb_harness import Front, command, replies
+    from tests.support.mongodb_harness import MongodbProxy, command, replies
 
-    front = Front()
-    admission = front.engine.admission = AdmissionController(AdmissionSettings(), 1, front.clock.now())
-    front.context.tenant_sources = ("app_name", "address")
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    admission = proxy.engine.admission = AdmissionController(AdmissionSettings(), 1, proxy.clock.now())
+    proxy.context.tenant_sources = ("app_name", "address")
+    connection, transport = proxy.client()
     connection.app_name = "public"
     connection.dataReceived(command(1, find="readings", comment="history-read", maxTimeMS=300))
-    front.turn(0.4)
-    waits(front.engine.process_limit, 0.5, 0.3, 10, front.clock.now())
+    proxy.turn(0.4)
+    waits(proxy.engine.process_limit, 0.5, 0.3, 10, proxy.clock.now())
     for number, busiest, unread in ((2, "council", 0), (3, "public", 1)):
         admission.most_active_tenant = busiest
-        transport.arrived = front.clock.now() - 0.05
+        transport.arrived = proxy.clock.now() - 0.05
         connection.dataReceived(command(number, find="readings", comment="history-read", maxTimeMS=300))
-        assert front.engine.rejected_for_load == unread
+        assert proxy.engine.rejected_for_load == unread
         admission.most_active_tenant = busiest
-        front.turn(0.4)
+        proxy.turn(0.4)
         response_to, last = replies(transport)[-1]
         assert response_to == number
         assert "NoWritesPerformed" in last["errorLabels"]
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -10,7 +10,7 @@
 
 from sedgepitch.net.transport import ReadFailed, SocketFailed
 from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason, CloseReport
-from tests.support.postgresql_harness import Stage, read
+from tests.support.postgresql_harness import PostgresqlProxy, read
 
 
 def report(reason: CloseReason, request: str = "", read_bytes: int = 0) -> CloseReport:
@@ -51,13 +51,13 @@
     ],
 )
 def test_a_connection_that_ends_is_reported_with_its_request_and_its_cause(problem, reason):
-    stage = Stage()
+    proxy = PostgresqlProxy()
     found = []
-    stage.listener.closes.report = found.append
-    connection, _ = stage.client()
+    proxy.listener.closes.report = found.append
+    connection, _ = proxy.client()
     connection.dataReceived(read(1, d="60000"))
-    stage.turn()
+    proxy.turn()
     connection.connectionLost(Failure(problem))
-    assert stage.listener.closes.counts == {reason: 1} and stage.listener.closes.with_request == 1
+    assert proxy.listener.closes.counts == {reason: 1} and proxy.listener.closes.with_request == 1
     for line in found:
         assert line.request and line.attempts == 1 and str(problem) in line.detail
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -10,7 +10,7 @@
 from sedgepitch.decisions.event_loop_lag import EventLoopLag
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
-from tests.support.mongodb_harness import Front
+from tests.support.mongodb_harness import MongodbProxy
 
 BOUNDARIES = ("respond", "send", "health check", "observe", "log")
 
@@ -19,9 +19,9 @@
     pass
 
 
-def state(front: Front) -> dict:
+def state(proxy: MongodbProxy) -> dict:
     """What must be the same whether a callback raised or not."""
-    router, request_table = front.engine.router, front.engine.request_table
+    router, request_table = proxy.engine.router, proxy.engine.request_table
     return {
         "requests": len(request_table.requests),
         "pending": request_table.pending,
@@ -29,22 +29,22 @@
         "router_requests": len(router.requests),
         "in_flight_at_endpoints": sum(len(m.in_flight) for m in router.endpoints.values()),
         "probing": [m.id for m in router.endpoints.values() if m.health_check_pending],
-        "events": len(front.engine.dispatcher.events),
+        "events": len(proxy.engine.dispatcher.events),
     }
 
 
-def play(boundary: str | None, admission: bool = False) -> tuple[dict, Front, dict[int, list]]:
+def play(boundary: str | None, admission: bool = False) -> tuple[dict, MongodbProxy, dict[int, list]]:
     """Twelve requests, every third of which meets the raising callback; endpoints answer all they get."""
-    front = Front()
+    proxy = MongodbProxy()
     if admission:
         from sedgepitch.decisions.admission.controller import AdmissionController
         from sedgepitch.decisions.admission.settings import AdmissionSettings
 
-        front.engine.admission = AdmissionController(AdmissionSettings(), 1, front.clock.now())
+        proxy.engine.admission = AdmissionController(AdmissionSettings(), 1, proxy.clock.now())
     for endpoint in (2, 3):
-        front.engine.feed(
+        proxy.engine.feed(
             api.HealthCheckFinished(
-                endpoint, AttemptResult.OK, 0.001, api.LoadReport(front.clock.now(), False)
+                endpoint, AttemptResult.OK, 0.001, api.LoadReport(proxy.clock.now(), False)
             )
         )
     got: dict[int, list] = {}
@@ -54,7 +54,7 @@
         number[0] += 1
         return boundary == where and number[0] % 3 == 0
 
-    true_send = front.endpoints.send
+    true_send = proxy.endpoints.send
 
     def send(endpoint, payload, on_end, by):
         if raises("send"):
@@ -68,17 +68,17 @@
     def check_health(endpoint, on_end):
         if boundary == "health check":
             raise Broken
-        on_end(AttemptOutcome(AttemptResult.OK, report=api.LoadReport(front.clock.now(), False)))
+        on_end(AttemptOutcome(AttemptResult.OK, report=api.LoadReport(proxy.clock.now(), False)))
 
     def log(text):
         raise Broken
 
-    front.endpoints.send, front.endpoints.check_health = send, check_health
-    front.engine.on_response = observe
+    proxy.endpoints.send, proxy.endpoints.check_health = send, check_health
+    proxy.engine.on_response = observe
     if boundary == "log":
-        front.engine.log = log
-        front.engine.callbacks.on_error = lambda where, error: log(where)
-        front.engine.router.handle = _and_log(front.engine.router.handle)
+        proxy.engine.log = log
+        proxy.engine.callbacks.on_error = lambda where, error: log(where)
+        proxy.engine.router.handle = _and_log(proxy.engine.router.handle)
     for n in range(12):
         got[n] = []
 
@@ -88,16 +88,16 @@
                 raise Broken
 
         class_name = ("upload", "map-read", "history-read")[n % 3]
-        front.engine.submit(ClientRequest(class_name, 0, 0.5, f"payload {n}"), on_response)
+        proxy.engine.submit(ClientRequest(class_name, 0, 0.5, f"payload {n}"), on_response)
     for _ in range(6):
-        front.turn()
-        for sent in front.endpoints.sent:
+        proxy.turn()
+        for sent in proxy.endpoints.sent:
             if not sent.abandoned:
                 sent.abandoned = True
                 sent.answer()
-    front.turn(0.6)
-    front.turn(0.1)
-    return state(front), front, got
+    proxy.turn(0.6)
+    proxy.turn(0.1)
+    return state(proxy), proxy, got
 
 
 def _and_log(handle):
@@ -108,150 +108,152 @@
 @pytest.mark.parametrize("boundary", BOUNDARIES)
 def test_what_raises_at_a_boundary_leaves_the_same_state_behind(boundary, admission):
     calm, _, _ = play(None, admission)
-    after, front, got = play(boundary, admission)
+    after, proxy, got = play(boundary, admission)
     assert all(len(answers) == 1 for answers in got.values()), "each request has exactly one answer"
     assert after == calm
     assert calm["in_flight_at_endpoints"] == calm["requests"] == calm["router_requests"] == 0
-    if boundary != "health check" or front.engine.callbacks.errors:
-        assert front.engine.callbacks.errors > 0
+    if boundary != "health check" or proxy.engine.callbacks.errors:
+        assert proxy.engine.callbacks.errors > 0
     if admission:
-        assert not front.engine.admission.requests
-        assert all(not pool.in_flight for pool in front.engine.admission.pools.values())
+        assert not proxy.engine.admission.requests
+        assert all(not pool.in_flight for pool in proxy.engine.admission.pools.values())
 
 
 def test_a_response_callback_that_raises_is_reported_once():
     told = []
-    front = Front()
-    front.engine.callbacks.on_error = lambda where, error: told.append((where, type(error)))
+    proxy = MongodbProxy()
+    proxy.engine.callbacks.on_error = lambda where, error: told.append((where, type(error)))
 
     def on_response(response):
         raise Broken
 
-    front.engine.submit(ClientRequest("upload", 0, 0.5, "payload"), on_response)
-    front.turn()
-    front.endpoints.sent[0].answer()
-    front.turn()
+    proxy.engine.submit(ClientRequest("upload", 0, 0.5, "payload"), on_response)
+    proxy.turn()
+    proxy.endpoints.sent[0].answer()
+    proxy.turn()
     assert told == [("answer", Broken)]
 
 
 # The event loop's lag
 
 
-def ask(front: Front, class_name: str = "map-read", time_left: float = 0.5, arrived: float | None = None):
+def ask(
+    proxy: MongodbProxy, class_name: str = "map-read", time_left: float = 0.5, arrived: float | None = None
+):
     got: list = []
-    pending = front.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), got.append, arrived)
+    pending = proxy.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), got.append, arrived)
     return pending, got
 
 
-def make_late(front: Front, by: float) -> None:
+def make_late(proxy: MongodbProxy, by: float) -> None:
     """Two pauses, so that they count."""
     for _ in range(2):
-        front.engine.event_loop_lag.record(by, front.clock.now())
-        front.task.advance(0.3)
+        proxy.engine.event_loop_lag.record(by, proxy.clock.now())
+        proxy.task.advance(0.3)
 
 
 def test_time_counts_from_the_arrival_of_the_bytes():
-    front = Front()
-    pending, got = ask(front, "upload", 0.5, front.clock.now() - 0.3)
-    assert pending.deadline == pytest.approx(front.clock.now() + 0.2)
-    front.turn()
-    assert len(front.endpoints.sent) == 1
-    front.turn(0.21)
-    front.turn(0.03)
+    proxy = MongodbProxy()
+    pending, got = ask(proxy, "upload", 0.5, proxy.clock.now() - 0.3)
+    assert pending.deadline == pytest.approx(proxy.clock.now() + 0.2)
+    proxy.turn()
+    assert len(proxy.endpoints.sent) == 1
+    proxy.turn(0.21)
+    proxy.turn(0.03)
     assert [a.status for a in got] == [ResponseStatus.FAILED]
-    _, got = ask(front, "upload", 0.5, front.clock.now() - 0.6)
+    _, got = ask(proxy, "upload", 0.5, proxy.clock.now() - 0.6)
     assert [a.status for a in got] == [ResponseStatus.REJECTED], "its time was up before it was read"
 
 
 def test_what_the_router_sees_late_has_no_more_time_than_its_client():
     """Between the reading of a request and the router's turn the event loop stands still."""
-    front = Front()
+    proxy = MongodbProxy()
     told = []
-    decide = front.engine.router.handle
-    front.engine.router.handle = lambda now, events: decide(now, told.extend(events) or events)
-    pending, got = ask(front, "upload", 0.5)
-    front.task.advance(0.3)
+    decide = proxy.engine.router.handle
+    proxy.engine.router.handle = lambda now, events: decide(now, told.extend(events) or events)
+    pending, got = ask(proxy, "upload", 0.5)
+    proxy.task.advance(0.3)
     arrived = [event.time_left for event in told if isinstance(event, api.RequestReceived)]
-    assert arrived == [pytest.approx(pending.router_deadline - front.clock.now())]
+    assert arrived == [pytest.approx(pending.router_deadline - proxy.clock.now())]
     assert arrived[0] < 0.21
-    _, got = ask(front, "upload", 0.5)
-    front.turn(0.51)
+    _, got = ask(proxy, "upload", 0.5)
+    proxy.turn(0.51)
     assert [a.status for a in got] == [ResponseStatus.REJECTED], "not sent when its time is over"
-    assert len(front.endpoints.sent) == 1
+    assert len(proxy.endpoints.sent) == 1
 
 
 def test_the_last_guard_does_not_wait_for_lag_that_is_over():
-    front = Front()
-    front.engine.dispatcher.handlers = {
-        kind: lambda action: None for kind in front.engine.dispatcher.handlers
+    proxy = MongodbProxy()
+    proxy.engine.dispatcher.handlers = {
+        kind: lambda action: None for kind in proxy.engine.dispatcher.handlers
     }
-    _, got = ask(front, "upload", 0.3)
-    front.turn(0.4)  # stands still: reserve is now far above what the last guard waits
-    assert front.engine.event_loop_lag.deadline_margin(front.clock.now()) > 5 * LAST_GUARD_AFTER
+    _, got = ask(proxy, "upload", 0.3)
+    proxy.turn(0.4)  # stands still: reserve is now far above what the last guard waits
+    assert proxy.engine.event_loop_lag.deadline_margin(proxy.clock.now()) > 5 * LAST_GUARD_AFTER
     assert not got, "the router is asked first"
-    front.engine.event_loop_lag = EventLoopLag()  # and is on time from here on
-    front.turn(LAST_GUARD_AFTER)
-    front.turn(TICK)
+    proxy.engine.event_loop_lag = EventLoopLag()  # and is on time from here on
+    proxy.turn(LAST_GUARD_AFTER)
+    proxy.turn(TICK)
     assert [a.status for a in got] == [ResponseStatus.REJECTED]
-    assert front.engine.answered_by_last_guard == 1
+    assert proxy.engine.answered_by_last_guard == 1
 
 
 def test_answers_are_decided_earlier_by_the_deadline_margin():
-    front = Front()
-    make_late(front, 0.2)
-    pending, got = ask(front, "upload", 0.5)
-    asked = front.clock.now()
+    proxy = MongodbProxy()
+    make_late(proxy, 0.2)
+    pending, got = ask(proxy, "upload", 0.5)
+    asked = proxy.clock.now()
     assert pending.router_deadline == pytest.approx(pending.deadline - 0.2)
     while not got:
-        front.turn(0.01)
-    assert front.clock.now() - asked < 0.4
+        proxy.turn(0.01)
+    assert proxy.clock.now() - asked < 0.4
 
 
 def test_a_request_with_less_time_than_the_margin_is_rejected_on_arrival_with_retry_after():
-    front = Front()
-    make_late(front, 0.3)
-    _, got = ask(front, "history-read", 0.25)
+    proxy = MongodbProxy()
+    make_late(proxy, 0.3)
+    _, got = ask(proxy, "history-read", 0.25)
     assert [a.status for a in got] == [ResponseStatus.REJECTED]
     assert got[0].retry_after > 0
-    assert not front.endpoints.sent
-    assert front.engine.rejected_for_lag == 1
+    assert not proxy.endpoints.sent
+    assert proxy.engine.rejected_for_lag == 1
 
 
 def test_lag_that_grows_later_brings_the_answer_forward():
-    front = Front()
-    _, got = ask(front, "history-read", 0.5)
-    front.turn()
-    assert len(front.endpoints.sent) == 1
-    front.turn(0.1)
-    make_late(front, 0.4)  # with less than that left, the router still counting on the whole time
-    front.turn(0.011)
-    front.turn(0.011)
+    proxy = MongodbProxy()
+    _, got = ask(proxy, "history-read", 0.5)
+    proxy.turn()
+    assert len(proxy.endpoints.sent) == 1
+    proxy.turn(0.1)
+    make_late(proxy, 0.4)  # with less than that left, the router still counting on the whole time
+    proxy.turn(0.011)
+    proxy.turn(0.011)
     assert [a.status for a in got] == [ResponseStatus.REJECTED], "a read may be retried"
-    assert front.engine.answered_early == 1
-    assert not front.engine.router.requests
-    front.endpoints.sent[0].answer()
-    front.turn()
+    assert proxy.engine.answered_early == 1
+    assert not proxy.engine.router.requests
+    proxy.endpoints.sent[0].answer()
+    proxy.turn()
     assert len(got) == 1
 
 
 def test_whose_time_is_up_is_answered_before_a_new_request_is_read():
-    front = Front()
-    _, got = ask(front, "upload", 0.1)
-    front.turn()
-    front.task.rightNow += 0.2  # the loop has not looked at its timers since
-    front.engine.before_reading()
-    front.turn()
+    proxy = MongodbProxy()
+    _, got = ask(proxy, "upload", 0.1)
+    proxy.turn()
+    proxy.task.rightNow += 0.2  # the loop has not looked at its timers since
+    proxy.engine.before_reading()
+    proxy.turn()
     assert [a.status for a in got] == [ResponseStatus.FAILED]
 
 
 def test_in_a_long_turn_under_lag_answers_do_not_wait_for_the_last_moment():
-    front = Front()
-    _, got = ask(front, "upload", 0.5)
-    front.turn()
-    make_late(front, 0.1)  # and now asked long enough ago that 0.04 s are left, in the middle of a turn
-    front.task.rightNow = 1000.0 + 0.5 - 0.04
-    front.engine.before_reading()
-    front.turn()
+    proxy = MongodbProxy()
+    _, got = ask(proxy, "upload", 0.5)
+    proxy.turn()
+    make_late(proxy, 0.1)  # and now asked long enough ago that 0.04 s are left, in the middle of a turn
+    proxy.task.rightNow = 1000.0 + 0.5 - 0.04
+    proxy.engine.before_reading()
+    proxy.turn()
     assert [a.status for a in got] == [ResponseStatus.FAILED]
 
 
@@ -284,31 +286,31 @@
         return True
 
 
-def pool_and_connections(front: Front) -> tuple[ConnectionPool, PlayedConnections]:
+def pool_and_connections(proxy: MongodbProxy) -> tuple[ConnectionPool, PlayedConnections]:
     played = PlayedConnections()
     judge = lambda attempt, reply: AttemptOutcome(AttemptResult.OK, reply)  # noqa: E731
-    return ConnectionPool(front.clock, played.connector, judge, PoolLimits()), played
+    return ConnectionPool(proxy.clock, played.connector, judge, PoolLimits()), played
 
 
 def test_an_attempt_that_waits_for_its_connection_is_withdrawn_on_the_answer():
-    front = Front()
-    pool, played = pool_and_connections(front)
-    front.endpoints.send = lambda endpoint, payload, on_end, by: pool.send(payload, on_end, by)
-    pending, got = ask(front, "history-read", 0.5)
-    front.turn()
+    proxy = MongodbProxy()
+    pool, played = pool_and_connections(proxy)
+    proxy.endpoints.send = lambda endpoint, payload, on_end, by: pool.send(payload, on_end, by)
+    pending, got = ask(proxy, "history-read", 0.5)
+    proxy.turn()
     assert len(played.opening) == 1 and not played.sent
-    front.engine.client_disconnected(pending)
-    front.turn()
+    proxy.engine.client_disconnected(pending)
+    proxy.turn()
     played.opening[0](played)
-    front.turn()
+    proxy.turn()
     assert not played.sent
-    assert not front.engine.request_table.requests
-    assert not any(m.in_flight for m in front.engine.router.endpoints.values())
+    assert not proxy.engine.request_table.requests
+    assert not any(m.in_flight for m in proxy.engine.router.endpoints.values())
 
 
 def test_bytes_that_wait_behind_a_full_socket_end_with_their_connection():
-    front = Front()
-    pool, played = pool_and_connections(front)
+    proxy = MongodbProxy()
+    pool, played = pool_and_connections(proxy)
     attempt = pool.send("payload", lambda end: None)
     played.opening[0](played)
     played.queued = 100
@@ -317,15 +319,15 @@
 
 
 def test_a_decision_that_ages_ends_as_not_sent_when_its_connection_came_too_late():
-    front = Front()
-    pool, played = pool_and_connections(front)
+    proxy = MongodbProxy()
+    pool, played = pool_and_connections(proxy)
     ends: list = []
-    pool.send("payload", ends.append, front.clock.now() + 0.05)
-    front.task.advance(0.2)
+    pool.send("payload", ends.append, proxy.clock.now() + 0.05)
+    proxy.task.advance(0.2)
     played.opening[0](played)
     assert [e.result for e in ends] == [AttemptResult.NOT_SENT]
     assert not played.sent
-    pool.send("again", ends.append, front.clock.now() + 0.05)
+    pool.send("again", ends.append, proxy.clock.now() + 0.05)
     assert played.sent == ["again"], "the connection is there now, and serves the decision made anew"
 
 
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -26,8 +26,8 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import Router
-from tests.support.mongodb_harness import PlayedMembers
-from tests.support.postgresql_harness import ROW, Stage, errors, messages, read, write
+from tests.support.mongodb_harness import PlayedEndpoints
+from tests.support.postgresql_harness import ROW, PostgresqlProxy, errors, messages, read, write
 from tests.support.router_harness import SETTINGS, entry
 
 RESET = struct.pack("ii", 1, 0)
@@ -50,7 +50,7 @@
     theirs.close()
 
 
-def ahead(stage: Stage, connection, wire) -> int:
+def ahead(proxy: PostgresqlProxy, connection, wire) -> int:
     """Send statements ahead until the socket is left unread; returns how many."""
     for number in itertools.count(100):
         if wire.producerState != "producing":
@@ -63,154 +63,154 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_disconnect_behind_unread_bytes_is_noticed_and_nothing_more_is_sent(how):
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     theirs = peer(wire)
     connection.dataReceived(read(1, d="60000"))
-    stage.turn()
-    assert ahead(stage, connection, wire) > 100
+    proxy.turn()
+    assert ahead(proxy, connection, wire) > 100
     theirs.sendall(b"bytes that lie unread before the end")
     leave(theirs, how)
-    stage.pass_by(0.25)
-    assert wire.aborted and stage.listener.disconnects_found_unread == 1
-    stage.answer(0)
-    stage.pass_by(1.0)
-    assert len(stage.endpoints.sent) == 1, "what stood behind the first is not sent on"
+    proxy.pass_by(0.25)
+    assert wire.aborted and proxy.listener.disconnects_found_unread == 1
+    proxy.answer(0)
+    proxy.pass_by(1.0)
+    assert len(proxy.endpoints.sent) == 1, "what stood behind the first is not sent on"
     connection.connectionLost()
     assert (
-        not stage.engine.request_table.pending
-        and not stage.listener.read_ahead.paused
-        and not stage.listener.open_request_ids
+        not proxy.engine.request_table.pending
+        and not proxy.listener.read_ahead.paused
+        and not proxy.listener.open_request_ids
     )
 
 
 def test_what_is_sent_ahead_is_read_on_as_it_is_served_and_not_only_when_all_is_done(monkeypatch):
     monkeypatch.setattr(read_ahead, "EXTENDED_READ_AHEAD_BYTES", read_ahead.READ_AHEAD_BYTES)
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(read(1, d="60000"))
-    stage.turn()
-    count = ahead(stage, connection, wire)
+    proxy.turn()
+    count = ahead(proxy, connection, wire)
     for _ in range(count):
-        stage.answer()
+        proxy.answer()
         if wire.producerState == "producing":
             break
     assert wire.producerState == "producing" and read_ahead.READ_AHEAD_BYTES / 4 < connection.reader.held
 
 
 def test_a_request_read_late_whose_client_disconnected_is_not_sent():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     leave(peer(wire), "close")
-    wire.arrived = stage.clock.now() - 0.4  # this driver stood still meanwhile
+    wire.arrived = proxy.clock.now() - 0.4  # this driver stood still meanwhile
     connection.dataReceived(read(1, d="5000"))
-    stage.pass_by(1.0)
-    assert not stage.endpoints.sent and stage.listener.disconnects_found_late == 1
+    proxy.pass_by(1.0)
+    assert not proxy.endpoints.sent and proxy.listener.disconnects_found_late == 1
 
 
 def test_one_whose_client_is_still_there_is_sent_however_late_it_was_read():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     theirs = peer(wire)
-    wire.arrived = stage.clock.now() - 0.4
+    wire.arrived = proxy.clock.now() - 0.4
     connection.dataReceived(read(1, d="5000"))
-    stage.turn()
-    assert len(stage.endpoints.sent) == 1
+    proxy.turn()
+    assert len(proxy.endpoints.sent) == 1
     theirs.close()
 
 
 def test_a_request_whose_client_disconnects_while_it_waits_in_the_router_is_not_sent():
-    stage = Stage()
-    stage.engine.list_changed(
+    proxy = PostgresqlProxy()
+    proxy.engine.list_changed(
         api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
     )
-    connection, _ = stage.client()
+    connection, _ = proxy.client()
     connection.dataReceived(write(1, d="5000"))
-    stage.turn()
-    assert not stage.endpoints.sent
+    proxy.turn()
+    assert not proxy.endpoints.sent
     connection.connectionLost()
-    stage.engine.list_changed(api.EndpointListUpdate((entry(1, primary=True),), complete=True))
-    stage.pass_by(1.0)
-    assert not stage.endpoints.sent and not stage.engine.router.requests
+    proxy.engine.list_changed(api.EndpointListUpdate((entry(1, primary=True),), complete=True))
+    proxy.pass_by(1.0)
+    assert not proxy.endpoints.sent and not proxy.engine.router.requests
 
 
 def test_a_repeated_id_replaces_an_unsent_one_whose_client_disconnected():
-    stage = Stage()
-    stage.engine.list_changed(
+    proxy = PostgresqlProxy()
+    proxy.engine.list_changed(
         api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
     )
-    (old, old_wire), (new, new_wire) = stage.client(), stage.client()
+    (old, old_wire), (new, new_wire) = proxy.client(), proxy.client()
     theirs = peer(old_wire)
     old.dataReceived(write(1, d="5000"))
-    stage.turn()
+    proxy.turn()
     new.dataReceived(write(1, d="5000"))
     assert len(errors(new_wire)) == 1, "the old one is still there"
     leave(theirs, "close")  # its end lies unread
     new.dataReceived(write(1, d="5000"))
-    stage.turn()
+    proxy.turn()
     assert len(errors(new_wire)) == 1 and old_wire.aborted and not errors(old_wire)
     old.connectionLost()
-    assert stage.listener.open_request_ids == {b"1": new} and stage.engine.request_table.pending == 1
+    assert proxy.listener.open_request_ids == {b"1": new} and proxy.engine.request_table.pending == 1
 
 
 # Room for newcomers, and the end of a driver
 
 
 def test_no_idle_client_whose_request_lies_unread_is_evicted_for_a_newcomer():
-    stage = Stage(sockets=40)
-    for number in range(stage.descriptors.clients_most - 2):
-        stage.client()[0].dataReceived(read(number + 1))
-    stage.turn()
-    (_, first), (_, second) = stage.client(), stage.client()
+    proxy = PostgresqlProxy(sockets=40)
+    for number in range(proxy.descriptors.clients_most - 2):
+        proxy.client()[0].dataReceived(read(number + 1))
+    proxy.turn()
+    (_, first), (_, second) = proxy.client(), proxy.client()
     theirs = peer(first)
     theirs.sendall(read(77))
-    stage.client(greet=False)
+    proxy.client(greet=False)
     assert [first.aborted, second.aborted] == [False, True]
     theirs.close()
 
 
 def test_a_shutdown_closes_no_client_whose_request_lies_unread():
-    stage = Stage()
-    connection, wire = stage.client()
-    _, idle = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
+    _, idle = proxy.client()
     theirs, others = peer(wire), peer(idle)
-    stage.listener.begin_shutdown(ShutdownSchedule(stage.clock.now() - 10.0, 1.0))
+    proxy.listener.begin_shutdown(ShutdownSchedule(proxy.clock.now() - 10.0, 1.0))
     theirs.sendall(read(1))
-    stage.listener.close_idle_connections()
+    proxy.listener.close_idle_connections()
     assert idle.half_closed and not wire.half_closed and not wire.aborted
     wire.socket.recv(4096)
     connection.dataReceived(read(1))
-    stage.turn()
+    proxy.turn()
     assert [e["C"] for e in errors(wire)] == ["53300"], "too late to be served, but answered"
-    stage.listener.close_idle_connections()
+    proxy.listener.close_idle_connections()
     assert wire.half_closed
     for held in (theirs, others):
         held.close()
 
 
 def test_a_shutdown_answers_each_statement_sent_ahead():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(read(1, d="9000") + read(2, d="9000") + read(3, d="9000"))
-    stage.turn()
-    ending = ShutdownSchedule(stage.clock.now(), 0.5)
-    stage.listener.begin_shutdown(ending)
-    stage.engine.answer_all_by(ending.answered_by)
-    while stage.clock.now() < ending.over_by:
-        stage.listener.close_idle_connections()
-        stage.turn(0.02)
-    assert len(errors(wire)) == 3 and wire.half_closed and not stage.engine.request_table.pending
-    assert not stage.engine.answered_by_last_guard
+    proxy.turn()
+    ending = ShutdownSchedule(proxy.clock.now(), 0.5)
+    proxy.listener.begin_shutdown(ending)
+    proxy.engine.answer_all_by(ending.answered_by)
+    while proxy.clock.now() < ending.over_by:
+        proxy.listener.close_idle_connections()
+        proxy.turn(0.02)
+    assert len(errors(wire)) == 3 and wire.half_closed and not proxy.engine.request_table.pending
+    assert not proxy.engine.answered_by_last_guard
 
 
 def test_a_request_taken_long_before_the_signal_is_answered_before_the_end():
     for make, code in ((read, "53300"), (write, statement_handler.SQLSTATE_FAILED)):
-        stage = Stage()
-        connection, wire = stage.client()
+        proxy = PostgresqlProxy()
+        connection, wire = proxy.client()
         connection.dataReceived(make(1, d="60000"))
-        stage.turn()
-        stage.engine.answer_all_by(stage.clock.now() + 1.0)
-        stage.pass_by(1.05)
+        proxy.turn()
+        proxy.engine.answer_all_by(proxy.clock.now() + 1.0)
+        proxy.pass_by(1.05)
         assert [e["C"] for e in errors(wire)] == [code]
 
 
@@ -292,39 +292,39 @@
         pass
 
 
-def pooled(settings: api.Settings = SETTINGS) -> tuple[Stage, PooledMembers]:
-    """A stage whose members stand behind pools."""
-    stage = Stage(settings)
-    endpoints = PooledMembers(stage.clock, PoolLimits(connect_timeout=5.0, discard_timeout=0.0))
-    stage.engine.upstream = endpoints
-    return stage, endpoints
+def pooled(settings: api.Settings = SETTINGS) -> tuple[PostgresqlProxy, PooledMembers]:
+    """A proxy whose members stand behind pools."""
+    proxy = PostgresqlProxy(settings)
+    endpoints = PooledMembers(proxy.clock, PoolLimits(connect_timeout=5.0, discard_timeout=0.0))
+    proxy.engine.upstream = endpoints
+    return proxy, endpoints
 
 
 @pytest.mark.parametrize("told", ["draining", "gone", "missing", "restarted"])
 def test_what_waits_for_a_connection_is_taken_back_when_the_list_says_so(told):
-    stage, endpoints = pooled()
-    connection, wire = stage.client()
+    proxy, endpoints = pooled()
+    connection, wire = proxy.client()
     connection.dataReceived(write(1, d="5000"))
-    stage.turn()
+    proxy.turn()
     (opening,) = endpoints.doorways[1].asked
     state = {"draining": api.EndpointState.DRAINING, "gone": api.EndpointState.GONE}.get(
         told, api.EndpointState.UP
     )
     if told == "missing":
-        stage.engine.list_changed(api.EndpointListUpdate((entry(2), entry(3)), complete=True))
+        proxy.engine.list_changed(api.EndpointListUpdate((entry(2), entry(3)), complete=True))
     else:
-        started = stage.clock.now() if told == "restarted" else 0.0
+        started = proxy.clock.now() if told == "restarted" else 0.0
         changed = replace(entry(1, primary=True), state=state, started=started)
-        stage.engine.list_changed(api.EndpointListUpdate((changed,), complete=False))
-    stage.turn()
+        proxy.engine.list_changed(api.EndpointListUpdate((changed,), complete=False))
+    proxy.turn()
     opened = Opened()
     opening[0](opened)
-    stage.turn()
+    proxy.turn()
     sent_again = told == "restarted" and bool(opened.started)  # decided anew, for the new process
     assert not opened.started or sent_again
     connection.connectionLost()
-    stage.turn()
-    assert stage.engine.request_table.pending == 0
+    proxy.turn()
+    assert proxy.engine.request_table.pending == 0
 
 
 def test_an_endpoint_that_moved_gets_nothing_at_its_old_address():
@@ -385,17 +385,17 @@
 @pytest.mark.parametrize("begun", [0, 5])
 def test_a_client_whose_bytes_lie_unread_is_not_too_slow(begun):
     """They are read behind the timer, in the turn in which its time is up."""
-    stage = Stage()
-    connection, wire = stage.client(greet=False)
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client(greet=False)
     whole = codec.startup("web", "orders") + read(1, d="60000")
     connection.dataReceived(whole[:begun])
-    up = stage.clock.now() + TALK_WITHIN
-    while stage.clock.now() + client_listener.CHECK_INTERVAL_S < up - 1e-6:
-        stage.turn(client_listener.CHECK_INTERVAL_S)
-    stage.task.callLater(client_listener.CHECK_INTERVAL_S, connection.dataReceived, whole[begun:])
+    up = proxy.clock.now() + TALK_WITHIN
+    while proxy.clock.now() + client_listener.CHECK_INTERVAL_S < up - 1e-6:
+        proxy.turn(client_listener.CHECK_INTERVAL_S)
+    proxy.task.callLater(client_listener.CHECK_INTERVAL_S, connection.dataReceived, whole[begun:])
     for _ in range(3):
-        stage.turn(client_listener.CHECK_INTERVAL_S)
-    assert not errors(wire) and len(stage.endpoints.sent) == 1
+        proxy.turn(client_listener.CHECK_INTERVAL_S)
+    assert not errors(wire) and len(proxy.endpoints.sent) == 1
 
 
 def loops() -> list:
@@ -413,7 +413,7 @@
     """A turn lasts past the client's time, and the answer comes while it does."""
     loop = loops()[which]
     clock = ReactorClock(SimpleNamespace(_asyncioEventloop=loop))
-    endpoints, got = PlayedMembers(), []
+    endpoints, got = PlayedEndpoints(), []
     engine = Engine(Router(SETTINGS, 1), endpoints, clock)
     engine.list_changed(api.EndpointListUpdate((entry(1, primary=True), entry(2), entry(3)), complete=True))
     pairs = [socket.socketpair() for _ in range(2)]
@@ -518,18 +518,18 @@
 # All in one turn
 
 
-def happens(stage: Stage, connection, what: str) -> None:
+def happens(proxy: PostgresqlProxy, connection, what: str) -> None:
     """One of the events that may meet in a turn."""
     if what == "answer":
-        for sent in stage.endpoints.sent[:1]:
+        for sent in proxy.endpoints.sent[:1]:
             if not sent.abandoned:
                 sent.on_end(AttemptOutcome(AttemptResult.OK, ROW))
     elif what == "reset":
-        for sent in stage.endpoints.sent[:1]:
+        for sent in proxy.endpoints.sent[:1]:
             if not sent.abandoned:
                 sent.on_end(AttemptOutcome(AttemptResult.RESET))
     elif what == "time":
-        stage.task.advance(0.5)
+        proxy.task.advance(0.5)
     elif what == "leaves":
         connection.connectionLost()
     elif what == "drained":
@@ -538,67 +538,67 @@
             entry(2, state=api.EndpointState.DRAINING),
             entry(3),
         )
-        stage.engine.list_changed(api.EndpointListUpdate(drained, complete=True))
+        proxy.engine.list_changed(api.EndpointListUpdate(drained, complete=True))
 
 
 @pytest.mark.parametrize("make", [read, write])
 @pytest.mark.parametrize("turns", [False, True])
 def test_answer_reset_time_leaving_and_list_in_every_order_owe_one_answer_and_send_nothing_after(make, turns):
     for order in itertools.permutations(["answer", "reset", "time", "leaves", "drained"]):
-        stage = Stage()
-        connection, wire = stage.client()
+        proxy = PostgresqlProxy()
+        connection, wire = proxy.client()
         connection.dataReceived(make(1, d="450"))
-        stage.turn()
+        proxy.turn()
         left = False
         for what in order:
-            happens(stage, connection, what)
+            happens(proxy, connection, what)
             if what == "leaves":
-                left, written, sent = True, wire.value(), len(stage.endpoints.sent)
+                left, written, sent = True, wire.value(), len(proxy.endpoints.sent)
             if turns:
-                stage.turn()
-        stage.pass_by(1.0)
+                proxy.turn()
+        proxy.pass_by(1.0)
         assert left and wire.value() == written, order
-        assert len(stage.endpoints.sent) == sent, order
+        assert len(proxy.endpoints.sent) == sent, order
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
         assert len(answers) <= 1, order
-        held = stage.engine.request_table
+        held = proxy.engine.request_table
         assert (
-            held.pending == 0 and held.duplicate_responses == 0 and not stage.engine.answered_by_last_guard
+            held.pending == 0 and held.duplicate_responses == 0 and not proxy.engine.answered_by_last_guard
         ), order
-        assert not stage.engine.router.requests, order
+        assert not proxy.engine.router.requests, order
 
 
 def test_the_same_without_a_leaving_gives_exactly_one_answer():
     for make in (read, write):
         for order in itertools.permutations(["answer", "reset", "time", "drained"]):
-            stage = Stage()
-            connection, wire = stage.client()
+            proxy = PostgresqlProxy()
+            connection, wire = proxy.client()
             connection.dataReceived(make(1, d="450"))
-            stage.turn()
+            proxy.turn()
             for what in order:
-                happens(stage, connection, what)
-            stage.pass_by(1.5)
+                happens(proxy, connection, what)
+            proxy.pass_by(1.5)
             assert [k for k, _ in messages(wire.value())].count(b"Z") == 1, order
             assert (
-                stage.engine.request_table.pending == 0
-                and stage.engine.request_table.duplicate_responses == 0
+                proxy.engine.request_table.pending == 0
+                and proxy.engine.request_table.duplicate_responses == 0
             ), order
 
 
 def test_bytes_of_a_peer_that_breaks_off_at_any_byte_cost_its_own_connection_only():
     whole = codec.startup("web", "orders") + read(1) + read(2)
     for cut in range(len(whole)):
-        stage = Stage()
-        bad, _ = stage.client(greet=False)
+        proxy = PostgresqlProxy()
+        bad, _ = proxy.client(greet=False)
         bad.dataReceived(whole[:cut])
-        stage.turn()
+        proxy.turn()
         bad.connectionLost()
-        good, wire = stage.client()
+        good, wire = proxy.client()
         good.dataReceived(read(9))
-        stage.turn()
-        stage.answer()
+        proxy.turn()
+        proxy.answer()
         assert wire.value() == ROW + codec.READY
-        assert stage.descriptors.clients == 1 and stage.engine.request_table.pending == 0
+        assert proxy.descriptors.clients == 1 and proxy.engine.request_table.pending == 0
 
 
 # The end of a driver
@@ -623,8 +623,8 @@
 class Caller:
     """A client that follows the protocol: one statement, or several ahead; what it may expect is counted."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.connection, self.wire = stage.client()
+    def __init__(self, proxy: PostgresqlProxy) -> None:
+        self.connection, self.wire = proxy.client()
         self.rest, self.whole, self.left = b"", 0, False
 
     def open(self) -> bool:
@@ -662,13 +662,13 @@
 
 @given(STOP_STEPS)
 def test_in_every_order_a_shutdown_answers_all_that_was_read_and_then_ends(steps):
-    stage, callers, done = Stage(), [], []
-    admission = Door(lambda: callers.append(Caller(stage)))
+    proxy, callers, done = PostgresqlProxy(), [], []
+    admission = Door(lambda: callers.append(Caller(proxy)))
     driver = SimpleNamespace(
-        clock=stage.clock,
+        clock=proxy.clock,
         config=SimpleNamespace(settings=SETTINGS),
-        front=stage.listener,
-        engine=stage.engine,
+        proxy=proxy.listener,
+        engine=proxy.engine,
         lines=SimpleNamespace(say=lambda *_, **__: None),
         port=admission,
         opening=None,
@@ -680,21 +680,21 @@
     numbers, told, stopped = itertools.count(1), [], []
     for what, which in [*steps, ("stop", 0)]:
         caller = callers[which % len(callers)] if callers else None
-        live = [s for s in stage.endpoints.sent if not s.abandoned and s not in told]
+        live = [s for s in proxy.endpoints.sent if not s.abandoned and s not in told]
         if what in ("comes", "waits"):
             if not admission.closed and what == "comes":
                 admission.accept()
             elif not admission.closed:
                 admission.queue += 1
         elif what == "pass":
-            stage.pass_by(0.3 * which)
+            proxy.pass_by(0.3 * which)
         elif what == "stop":
             if not stopped:
                 stopped.append(True)
-                Driver.stop(driver, lambda: done.append(stage.clock.now()))
+                Driver.stop(driver, lambda: done.append(proxy.clock.now()))
         elif what == "list":
             drains = (entry(1 + which % 3, state=api.EndpointState.DRAINING),)
-            stage.engine.list_changed(api.EndpointListUpdate(drains, complete=False))
+            proxy.engine.list_changed(api.EndpointListUpdate(drains, complete=False))
         elif what in ("answer", "reset") and live:
             told.append(live[which % len(live)])
             ok = what == "answer"
@@ -712,23 +712,23 @@
         elif what == "leaves":
             caller.leave()
         if which % 2:
-            stage.turn()
+            proxy.turn()
     went = [caller.left for caller in callers]
     for _ in range(200):  # clients that are closed go, as they do
-        stage.turn(0.02)
+        proxy.turn(0.02)
         for caller in callers:
             if caller.wire.half_closed or caller.wire.aborted:
                 caller.leave()
-    sent = [s.payload.id for s in stage.endpoints.sent]
+    sent = [s.payload.id for s in proxy.endpoints.sent]
     assert len(done) == 1 and admission.closed and not admission.queue
-    request_table = stage.engine.request_table
+    request_table = proxy.engine.request_table
     assert (
         request_table.pending == 0
         and request_table.duplicate_responses == 0
-        and not stage.engine.answered_by_last_guard
+        and not proxy.engine.answered_by_last_guard
     )
     for caller, early in zip(callers, went + [False] * len(callers), strict=False):
         assert caller.answers() <= caller.whole if early else caller.answers() == caller.whole
-    stage.pass_by(2.0)
-    assert [s.payload.id for s in stage.endpoints.sent] == sent, "sent after the end"
-    assert stage.descriptors.clients == sum(not c.left for c in callers)
+    proxy.pass_by(2.0)
+    assert [s.payload.id for s in proxy.endpoints.sent] == sent, "sent after the end"
+    assert proxy.descriptors.clients == sum(not c.left for c in callers)
--- a/tests/test_mongodb_client.py
+++ b/tests/test_mongodb_client.py
@@ -1,4 +1,4 @@
-"""The client's side of the MongoDB front: frames in any shape, order, bounds, and bad input."""
+"""The client's side of the MongoDB proxy: frames in any shape, order, bounds, and bad input."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from sedgepitch.protocols.mongodb import codec
 from sedgepitch.protocols.mongodb.codec import MalformedMessage
-from tests.support.mongodb_harness import Front, command, replies
+from tests.support.mongodb_harness import MongodbProxy, command, replies
 
 PING = command(7, ping=1)
 
@@ -21,145 +21,145 @@
 
 
 def test_single_bytes_and_pipelined_commands_are_answered_in_order():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     for byte in command(1, ping=1) + command(2, hello=1) + command(3, buildInfo=1):
         connection.dataReceived(bytes([byte]))
-        front.turn()
+        proxy.turn()
     connection.dataReceived(b"".join(command(n, ping=1) for n in range(4, 40)))
-    front.turn(times=80)
+    proxy.turn(times=80)
     assert [number for number, _ in replies(transport)] == list(range(1, 40))
 
 
 @pytest.mark.parametrize("length", [0, -1, 15, 48_000_001, 2**31 - 1])
 def test_frame_lengths_that_cannot_be_end_the_connection_alone(length):
-    front = Front()
-    connection, transport = front.client()
-    other, other_transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
+    other, other_transport = proxy.client()
     connection.dataReceived(struct.pack("<iiii", length, 1, 0, 2013) + b"x" * 100)
-    front.turn()
+    proxy.turn()
     assert transport.disconnecting
     assert connection.buffered == 0
     other.dataReceived(PING)
-    front.turn()
+    proxy.turn()
     assert replies(other_transport)[0][1]["ok"] == 1.0
 
 
 def test_an_awaited_hello_waits_its_time_and_ends_with_its_client():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     connection.dataReceived(command(1, hello=1))
-    front.turn()
+    proxy.turn()
     known = replies(transport)[0][1]
     assert known["msg"] == "isdbgrid"
     awaited = command(2, hello=1, topologyVersion=known["topologyVersion"], maxAwaitTimeMS=10_000)
     connection.dataReceived(awaited)
-    front.turn(9.9)
+    proxy.turn(9.9)
     assert len(replies(transport)) == 1
-    front.turn(0.2)
+    proxy.turn(0.2)
     assert len(replies(transport)) == 2
     connection.dataReceived(awaited)
-    front.turn()
+    proxy.turn()
     connection.connectionLost()
-    front.turn(20.0)
+    proxy.turn(20.0)
     assert len(replies(transport)) == 2
 
 
 def test_the_first_hello_may_come_as_op_query_and_nothing_else():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     body = b"\0\0\0\0admin.$cmd\0" + struct.pack("<ii", 0, -1) + bson.encode({"isMaster": 1})
     connection.dataReceived(codec.HEADER.pack(16 + len(body), 3, 0, codec.OP_QUERY) + body)
-    front.turn()
+    proxy.turn()
     data = transport.value()
     assert codec.HEADER.unpack_from(data)[2:] == (3, codec.OP_REPLY)
     assert bson.decode(data[36:])["msg"] == "isdbgrid"
 
 
 def test_checksum_is_verified_and_made():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     frame = command(1, codec.CHECKSUM, ping=1)
     connection.dataReceived(frame)
-    front.turn()
+    proxy.turn()
     assert codec.parse(transport.value()).flags & codec.CHECKSUM
     connection.dataReceived(frame[:-1] + bytes([frame[-1] ^ 1]))
     assert transport.disconnecting
 
 
 def test_unacknowledged_write_gets_no_reply_and_completes_its_request():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     connection.dataReceived(insert(1, codec.MORE_TO_COME))
-    front.turn()
-    assert front.engine.request_table.pending == 1
-    front.endpoints.sent[0].answer({"n": 1})
-    front.turn()
-    assert front.engine.request_table.pending == 0
+    proxy.turn()
+    assert proxy.engine.request_table.pending == 1
+    proxy.endpoints.sent[0].answer({"n": 1})
+    proxy.turn()
+    assert proxy.engine.request_table.pending == 0
     assert transport.value() == b""
     connection.dataReceived(PING)
-    front.turn()
+    proxy.turn()
     assert [number for number, _ in replies(transport)] == [7]
 
 
 def test_a_write_without_a_key_is_not_idempotent_whatever_its_class_says():
-    front = Front()
-    connection, _ = front.client()
+    proxy = MongodbProxy()
+    connection, _ = proxy.client()
     connection.dataReceived(insert(1))
-    front.turn()
-    account = next(iter(front.engine.request_table.requests.values()))
+    proxy.turn()
+    account = next(iter(proxy.engine.request_table.requests.values()))
     assert account.request.class_name == "upload/unsafe"
-    keyed, _ = front.client()
+    keyed, _ = proxy.client()
     lsid = {"id": bson.Binary(bytes(16), 4)}
     keyed.dataReceived(insert(2, lsid=lsid, txnNumber=bson.Int64(1)))
-    front.turn()
-    assert [a.request.class_name for a in front.engine.request_table.requests.values()][1] == "upload"
+    proxy.turn()
+    assert [a.request.class_name for a in proxy.engine.request_table.requests.values()][1] == "upload"
 
 
 def test_read_ahead_is_bounded_and_a_client_that_does_not_read_is_not_served_further():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     connection.dataReceived(insert(1))
-    front.turn()
+    proxy.turn()
     connection.dataReceived(command(2, ping=1, pad="x" * 300_000))
     assert transport.producerState == "paused"
-    front.endpoints.sent[0].answer()
-    front.turn()
+    proxy.endpoints.sent[0].answer()
+    proxy.turn()
     assert transport.producerState == "producing"
     transport.producer.pauseProducing()  # the client does not take its answers
     connection.dataReceived(PING)
-    front.turn()
+    proxy.turn()
     before = len(replies(transport))
     connection.dataReceived(PING * 10)
-    front.turn()
+    proxy.turn()
     assert len(replies(transport)) == before
     transport.producer.resumeProducing()
-    front.turn(times=40)
+    proxy.turn(times=40)
     assert len(replies(transport)) == before + 11 - (before == 3)
 
 
 def test_rejected_and_failed_say_so_to_a_stock_client():
-    front = Front()
-    connection, transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
     connection.dataReceived(command(1, insert="readings", documents=[{}], maxTimeMS=100))
-    front.turn()
-    front.turn(0.1)
-    front.turn(0.1)
+    proxy.turn()
+    proxy.turn(0.1)
+    proxy.turn(0.1)
     failed = replies(transport)[0][1]
     assert (failed["ok"], failed["code"], "errorLabels" in failed) == (0.0, 50, False)
-    front.engine.stopping = True
+    proxy.engine.stopping = True
     connection.dataReceived(command(2, insert="readings", documents=[{}]))
-    front.turn()
+    proxy.turn()
     refused = replies(transport)[1][1]
     assert {"RetryableError", "SystemOverloadedError", "NoWritesPerformed"} <= set(refused["errorLabels"])
 
 
 def test_a_forwarded_read_says_that_a_replica_may_answer_and_is_else_unchanged():
-    front = Front()
-    connection, _ = front.client()
+    proxy = MongodbProxy()
+    connection, _ = proxy.client()
     connection.dataReceived(command(1, find="history", filter={"v": 1}, comment="history-read"))
-    front.turn()
-    body = bson.decode(codec.parse(codec.build_raw(front.endpoints.sent[0].payload.sections(), 1, 0)).body)
+    proxy.turn()
+    body = bson.decode(codec.parse(codec.build_raw(proxy.endpoints.sent[0].payload.sections(), 1, 0)).body)
     assert body.pop("$readPreference") == {"mode": "primaryPreferred"}
     assert body == {"find": "history", "filter": {"v": 1}, "comment": "history-read", "$db": "sky"}
 
@@ -192,21 +192,21 @@
 @settings(max_examples=400, deadline=None)
 @given(st.lists(bad_answers(), min_size=1, max_size=4), st.integers(1, 40))
 def test_no_input_ends_the_process_or_hurts_another_client(chunks, cut):
-    front = Front()
-    connection, transport = front.client()
-    other, other_transport = front.client()
+    proxy = MongodbProxy()
+    connection, transport = proxy.client()
+    other, other_transport = proxy.client()
     other.dataReceived(insert(5))
-    front.turn()
+    proxy.turn()
     data = b"".join(chunks)
     for at in range(0, len(data), cut):
         if not transport.disconnecting:
             connection.dataReceived(data[at : at + cut])
-        front.turn()
+        proxy.turn()
     assert connection.buffered <= len(data)
-    front.endpoints.sent[0].answer({"n": 1})
-    front.turn()
+    proxy.endpoints.sent[0].answer({"n": 1})
+    proxy.turn()
     assert replies(other_transport) == [(5, {"ok": 1.0, "n": 1})]
-    assert front.engine.request_table.duplicate_responses == 0
+    assert proxy.engine.request_table.duplicate_responses == 0
 
 
 @settings(max_examples=300, deadline=None)
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -10,13 +10,13 @@
 from sedgepitch.decisions.connections import client_connections as visitors
 from sedgepitch.protocols.postgresql import codec, read_ahead, statement_handler
 from sedgepitch.routing.messages import AttemptResult
-from tests.support.postgresql_harness import ROW, WALL, Stage, errors, messages, read, write
+from tests.support.postgresql_harness import ROW, WALL, PostgresqlProxy, errors, messages, read, write
 from tests.support.router_harness import SETTINGS
 
 
 def test_a_start_up_is_answered_and_an_empty_query():
-    stage = Stage()
-    connection, wire = stage.client(greet=False)
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client(greet=False)
     connection.dataReceived(struct.pack("!ii", 8, codec.SSL_REQUEST))
     assert wire.value() == b"N"
     wire.clear()
@@ -25,98 +25,98 @@
 
 
 def test_a_read_is_served_with_the_value_as_the_endpoint_sent_it():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(read(1))
-    stage.turn()
-    stage.answer()
+    proxy.turn()
+    proxy.answer()
     assert wire.value() == ROW + codec.READY
-    assert not stage.listener.open_request_ids
+    assert not proxy.listener.open_request_ids
 
 
 def test_what_an_endpoint_gets_says_how_long_the_proxy_waits():
-    stage = Stage()
-    connection, _ = stage.client()
-    stage.task.advance(1.0)
-    connection.transport.arrived = stage.clock.now() - 0.1  # the bytes waited that long to be read
+    proxy = PostgresqlProxy()
+    connection, _ = proxy.client()
+    proxy.task.advance(1.0)
+    connection.transport.arrived = proxy.clock.now() - 0.1  # the bytes waited that long to be read
     connection.dataReceived(read(1, d="500"))
-    stage.turn()
-    payload = stage.endpoints.sent[0].payload
-    assert payload.text(stage.clock.now()) == read(1, d="400")[5:-1]
+    proxy.turn()
+    payload = proxy.endpoints.sent[0].payload
+    assert payload.text(proxy.clock.now()) == read(1, d="400")[5:-1]
 
 
 def test_rejected_with_retry_after_where_settings_allow_it():
     for settings, told in ((SETTINGS, True), (replace(SETTINGS, retry_after=False), False)):
-        stage = Stage(settings)
-        connection, wire = stage.client()
+        proxy = PostgresqlProxy(settings)
+        connection, wire = proxy.client()
         connection.dataReceived(read(1, d="400"))
-        stage.turn()
-        stage.answer(result=AttemptResult.TIMEOUT)
+        proxy.turn()
+        proxy.answer(result=AttemptResult.TIMEOUT)
         while not errors(wire):
-            stage.turn(0.005, 1)
+            proxy.turn(0.005, 1)
         (error,) = errors(wire)
         assert error["C"] == "53300"
         assert ("D" in error) is told
 
 
 def test_a_write_that_may_have_run_fails():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(write(1))
-    stage.turn()
-    stage.pass_by(0.6)
+    proxy.turn()
+    proxy.pass_by(0.6)
     (error,) = errors(wire)
     assert error["C"] == statement_handler.SQLSTATE_FAILED
 
 
 def test_every_response_leaves_within_the_clients_time():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(read(1, d="300"))
-    stage.turn()
+    proxy.turn()
     for _ in range(29):
-        stage.turn(0.01, 1)
-    stage.turn(0.009)
+        proxy.turn(0.01, 1)
+    proxy.turn(0.009)
     assert len(errors(wire)) == 1
 
 
 def test_the_age_of_a_sessions_last_commit_comes_from_its_position():
-    stage = Stage()
+    proxy = PostgresqlProxy()
     seen = []
-    stage.engine.submit = lambda command, answered, arrived: seen.append(command) or type(
+    proxy.engine.submit = lambda command, answered, arrived: seen.append(command) or type(
         "A", (), {"open": False}
     )
-    connection, _ = stage.client()
-    after = int((stage.clock.now() + WALL - 2.5) * 1000)
+    connection, _ = proxy.client()
+    after = int((proxy.clock.now() + WALL - 2.5) * 1000)
     connection.dataReceived(read(1, "session", after=after))
     assert seen[0].session_age == pytest.approx(2.5, abs=0.002)
 
 
 def test_one_statement_at_a_time_and_the_next_counts_from_its_turn():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(read(1) + read(2) + read(3))
     for count in (1, 2, 3):
-        stage.turn()
-        assert len(stage.endpoints.sent) == count
-        stage.turn(0.1)
-        stage.answer()
+        proxy.turn()
+        assert len(proxy.endpoints.sent) == count
+        proxy.turn(0.1)
+        proxy.answer()
     assert wire.value() == 3 * (ROW + codec.READY)
 
 
 def test_the_id_of_an_open_request_is_rejected_and_the_open_one_served():
-    stage = Stage()
-    first, first_wire = stage.client()
-    second, second_wire = stage.client()
+    proxy = PostgresqlProxy()
+    first, first_wire = proxy.client()
+    second, second_wire = proxy.client()
     first.dataReceived(read(1))
     second.dataReceived(read(1))
-    stage.turn()
-    assert len(errors(second_wire)) == 1 and len(stage.endpoints.sent) == 1
-    stage.answer()
+    proxy.turn()
+    assert len(errors(second_wire)) == 1 and len(proxy.endpoints.sent) == 1
+    proxy.answer()
     assert first_wire.value() == ROW + codec.READY
     second.dataReceived(read(1))
-    stage.turn()
-    assert len(stage.endpoints.sent) == 2
+    proxy.turn()
+    assert len(proxy.endpoints.sent) == 2
 
 
 BAD_BYTES = [
@@ -135,19 +135,19 @@
 
 @pytest.mark.parametrize("data", BAD_BYTES)
 def test_what_cannot_be_read_is_an_error_or_a_close_at_once(data):
-    stage = Stage()
-    connection, wire = stage.client(greet=False)
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client(greet=False)
     connection.dataReceived(data)
-    stage.turn()
+    proxy.turn()
     assert wire.half_closed
     connection.dataReceived(b"y" * 100)  # what still comes is dropped
-    stage.pass_by(1.0)
-    assert wire.aborted and not stage.endpoints.sent
+    proxy.pass_by(1.0)
+    assert wire.aborted and not proxy.endpoints.sent
 
 
 def test_a_flood_behind_an_error_is_cut_off():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(struct.pack("!ci", b"Q", 60_000_000))
     for _ in range(10):
         connection.dataReceived(b"z" * 65536)
@@ -155,79 +155,79 @@
 
 
 def test_hundreds_of_bad_commands_are_each_an_error_and_delay_nobody():
-    stage = Stage()
-    bad, bad_wire = stage.client()
-    good, good_wire = stage.client()
+    proxy = PostgresqlProxy()
+    bad, bad_wire = proxy.client()
+    good, good_wire = proxy.client()
     bad.dataReceived(300 * codec.query(b"DROP TABLE entries"))
     good.dataReceived(read(1))
     assert len(errors(bad_wire)) == 1, "the rest waits for later turns"
-    stage.turn()
-    assert len(stage.endpoints.sent) == 1
+    proxy.turn()
+    assert len(proxy.endpoints.sent) == 1
     assert len(errors(bad_wire)) == 300
-    stage.answer()
+    proxy.answer()
     assert good_wire.value() == ROW + codec.READY
 
 
 def test_silent_and_incomplete_connections_time_out_and_idle_ones_stay():
-    stage = Stage()
-    _, silent = stage.client(greet=False)
-    half, half_wire = stage.client()
-    _, idle = stage.client()
+    proxy = PostgresqlProxy()
+    _, silent = proxy.client(greet=False)
+    half, half_wire = proxy.client()
+    _, idle = proxy.client()
     half.dataReceived(read(1)[:-5])
     for _ in range(25):  # a byte now and then does not help
-        stage.pass_by(0.1)
+        proxy.pass_by(0.1)
         half.dataReceived(b" ")
     assert silent.half_closed and half_wire.half_closed
     assert not idle.half_closed and not idle.aborted
-    assert not stage.endpoints.sent
+    assert not proxy.endpoints.sent
 
 
 def test_a_client_that_leaves_is_forgotten():
-    stage = Stage()
-    connection, _ = stage.client()
+    proxy = PostgresqlProxy()
+    connection, _ = proxy.client()
     connection.dataReceived(read(1))
-    stage.turn()
+    proxy.turn()
     connection.connectionLost()
-    stage.answer()
-    listener = stage.listener
+    proxy.answer()
+    listener = proxy.listener
     held = listener.activity
     assert not (
         listener.open_request_ids or listener.connections or held.resting or held.talking or held.silent
     )
-    assert not stage.engine.request_table.requests and stage.descriptors.clients == 0
+    assert not proxy.engine.request_table.requests and proxy.descriptors.clients == 0
 
 
-def fill(stage: Stage, busy: int) -> list:
+def fill(proxy: PostgresqlProxy, busy: int) -> list:
     """That many clients with a request under way, then two that rest."""
     for number in range(busy):
-        stage.client()[0].dataReceived(read(number + 1))
-    stage.turn()
-    return [stage.client()[1], stage.client()[1]]
+        proxy.client()[0].dataReceived(read(number + 1))
+    proxy.turn()
+    return [proxy.client()[1], proxy.client()[1]]
 
 
 def test_the_longest_idle_client_is_evicted_when_a_descriptor_is_needed():
-    stage = Stage(sockets=40)
-    held = fill(stage, busy=stage.descriptors.clients_most - 2)
-    stage.client(greet=False)
+    proxy = PostgresqlProxy(sockets=40)
+    held = fill(proxy, busy=proxy.descriptors.clients_most - 2)
+    proxy.client(greet=False)
     assert [wire.aborted for wire in held] == [True, False]
 
 
 def test_a_client_that_does_not_read_its_response_is_closed():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     wire.producer.pauseProducing()
     connection.dataReceived(read(1))
-    stage.turn()
-    assert not stage.endpoints.sent
-    stage.pass_by(visitors.TAKE_WITHIN + 1.0)
+    proxy.turn()
+    assert not proxy.endpoints.sent
+    proxy.pass_by(visitors.TAKE_WITHIN + 1.0)
     assert wire.aborted
 
 
 def test_a_client_that_sends_too_far_ahead_is_left_unread():
-    stage = Stage()
-    connection, wire = stage.client()
+    proxy = PostgresqlProxy()
+    connection, wire = proxy.client()
     connection.dataReceived(read(1))
-    stage.turn()
+    proxy.turn()
     for number in range(2, 20_000):
         if wire.producerState != "producing":
             break
@@ -237,71 +237,71 @@
 
 
 def test_few_clients_have_the_extended_read_ahead_and_others_are_left_unread_sooner():
-    stage = Stage()
-    held = [stage.client() for _ in range(read_ahead.EXTENDED_CLIENTS_MAX + 4)]
+    proxy = PostgresqlProxy()
+    held = [proxy.client() for _ in range(read_ahead.EXTENDED_CLIENTS_MAX + 4)]
     for index, (connection, _) in enumerate(held):
         connection.dataReceived(read(index + 1))
-    stage.turn()
+    proxy.turn()
     for connection, wire in held:
         while wire.producerState == "producing" and connection.reader.held < 2 * read_ahead.READ_AHEAD_BYTES:
             connection.dataReceived(8 * read(99_999))
     assert [wire.producerState for _, wire in held].count("paused") == 4
     for connection, _ in held:
         connection.connectionLost()
-    assert not stage.listener.read_ahead.extended and not stage.listener.read_ahead.paused
+    assert not proxy.listener.read_ahead.extended and not proxy.listener.read_ahead.paused
 
 
 def test_a_shutdown_serves_late_requests_only_where_the_response_leaves_in_time():
-    stage = Stage()
-    stage.listener.answer_by = stage.clock.now() + 0.3
-    stage.listener.close_idle_from = stage.clock.now() + 0.25
-    (early, early_wire), (late, late_wire), (_, idle) = stage.client(), stage.client(), stage.client()
+    proxy = PostgresqlProxy()
+    proxy.listener.answer_by = proxy.clock.now() + 0.3
+    proxy.listener.close_idle_from = proxy.clock.now() + 0.25
+    (early, early_wire), (late, late_wire), (_, idle) = proxy.client(), proxy.client(), proxy.client()
     early.dataReceived(read(1, d="5000"))
-    stage.turn()
-    assert len(stage.endpoints.sent) == 1
-    stage.pass_by(0.29, step=0.005)
+    proxy.turn()
+    assert len(proxy.endpoints.sent) == 1
+    proxy.pass_by(0.29, step=0.005)
     late.dataReceived(read(2, d="5000"))
-    stage.turn()
-    assert errors(late_wire)[0]["C"] == "53300" and len(stage.endpoints.sent) <= 2
+    proxy.turn()
+    assert errors(late_wire)[0]["C"] == "53300" and len(proxy.endpoints.sent) <= 2
     assert [k for k, _ in messages(early_wire.value())] == [b"E", b"Z"], "its time was cut, and it is told"
-    stage.listener.close_idle_connections()
+    proxy.listener.close_idle_connections()
     assert idle.half_closed and not idle.aborted, "ended in order, what it still takes arrives"
 
 
 def test_a_silent_newcomer_is_not_evicted_for_the_next_while_others_are_idle():
-    stage = Stage(sockets=40)
-    held = fill(stage, busy=stage.descriptors.clients_most - 3)
-    _, newcomer = stage.client(greet=False)
-    stage.client(greet=False)
+    proxy = PostgresqlProxy(sockets=40)
+    held = fill(proxy, busy=proxy.descriptors.clients_most - 3)
+    _, newcomer = proxy.client(greet=False)
+    proxy.client(greet=False)
     assert held[0].aborted and not newcomer.aborted
-    stage.pass_by(visitors.SPARED + 0.1)
-    stage.client(greet=False)
+    proxy.pass_by(visitors.SPARED + 0.1)
+    proxy.client(greet=False)
     assert newcomer.aborted and not held[1].aborted
 
 
 def test_idle_connections_are_bounded_and_the_longest_idle_is_evicted():
-    stage = Stage(sockets=104)  # room for 40 clients, of which 13 may rest
-    held = [stage.client() for _ in range(13)]
+    proxy = PostgresqlProxy(sockets=104)  # room for 40 clients, of which 13 may rest
+    held = [proxy.client() for _ in range(13)]
     assert not any(wire.half_closed for _, wire in held)
     held[0][0].dataReceived(read(1))
-    stage.turn()
-    stage.answer()  # it has asked just now
-    stage.client()
+    proxy.turn()
+    proxy.answer()  # it has asked just now
+    proxy.client()
     assert [wire.half_closed for _, wire in held[:3]] == [False, True, False]
 
 
 def test_the_proxys_own_rejection_has_retry_after_only_where_settings_allow_it():
     for settings, told in ((SETTINGS, True), (replace(SETTINGS, retry_after=False), False)):
-        stage = Stage(settings)
-        connection, wire = stage.client()
+        proxy = PostgresqlProxy(settings)
+        connection, wire = proxy.client()
         connection.dataReceived(read(1, d="300"))
-        stage.turn()
-        stage.engine.event_loop_lag.record(
-            0.2, stage.clock.now()
+        proxy.turn()
+        proxy.engine.event_loop_lag.record(
+            0.2, proxy.clock.now()
         )  # this driver became late after it was taken
-        stage.engine.event_loop_lag.record(0.2, stage.clock.now() + 0.3)
+        proxy.engine.event_loop_lag.record(0.2, proxy.clock.now() + 0.3)
         for _ in range(40):
-            stage.turn(0.005, 1)
+            proxy.turn(0.005, 1)
         (error,) = errors(wire)
-        assert stage.engine.answered_early == 1 and error["C"] == "53300"
+        assert proxy.engine.answered_early == 1 and error["C"] == "53300"
         assert ("D" in error) is told
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -20,7 +20,7 @@
 from sedgepitch.protocols.postgresql.reply import read_load_report
 from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing.messages import AttemptResult
-from tests.support.postgresql_harness import ROW, WALL, Stage, Wire, read
+from tests.support.postgresql_harness import ROW, WALL, PostgresqlProxy, Wire, read
 from tests.test_postgresql_codec import NAMED
 
 GREETING = codec.WELCOME + codec.parameter("server_role", "reader") + codec.READY
@@ -31,16 +31,16 @@
     """One connection to a member, and what came of the exchange on it."""
 
     def __init__(self, payload=None) -> None:
-        stage = Stage()
-        self.clock = stage.clock
+        proxy = PostgresqlProxy()
+        self.clock = proxy.clock
         limits = PoolLimits(discard_timeout=0.0)
-        self.endpoints = PostgresUpstream(None, stage.clock, limits, DescriptorBudget(0), WALL, 0.25)
+        self.endpoints = PostgresUpstream(None, proxy.clock, limits, DescriptorBudget(0), WALL, 0.25)
         self.ready, self.ended, self.replies = [], [], []
         self.wire = Wire()
         callbacks = ConnectionCallbacks(
             self.ready.append, self.ended.append, self.ended.append, lambda arrived: None
         )
-        self.connection = EndpointConnection(SessionNames(), stage.clock.now, callbacks)
+        self.connection = EndpointConnection(SessionNames(), proxy.clock.now, callbacks)
         self.connection.makeConnection(self.wire)
         self.connection.dataReceived(GREETING)
         self.wire.clear()
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -8,7 +8,7 @@
 from sedgepitch.routing.freshness import SESSIONS_MAX
 from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.records import EjectionReason
-from tests.support.mongodb_harness import Front
+from tests.support.mongodb_harness import MongodbProxy
 from tests.support.router_harness import SETTINGS, Rig, entry, finals, sends
 from tests.test_engine import ask
 from tests.test_router_faults import serve
@@ -74,25 +74,25 @@
 
 
 def test_an_attempt_of_an_answered_request_ends_with_the_clients_time():
-    front = Front()
+    proxy = MongodbProxy()
     for endpoint in (2, 3):
-        front.engine.feed(
+        proxy.engine.feed(
             api.HealthCheckFinished(
-                endpoint, AttemptResult.OK, 0.001, api.LoadReport(front.clock.now(), False)
+                endpoint, AttemptResult.OK, 0.001, api.LoadReport(proxy.clock.now(), False)
             )
         )
-    _, got = ask(front, "map-read")
-    while len(front.endpoints.sent) < 2 and front.clock.now() < 1000.95:
-        front.turn(0.01)
-    silent, quick = front.endpoints.sent
+    _, got = ask(proxy, "map-read")
+    while len(proxy.endpoints.sent) < 2 and proxy.clock.now() < 1000.95:
+        proxy.turn(0.01)
+    silent, quick = proxy.endpoints.sent
     quick.answer()
-    front.turn()
+    proxy.turn()
     assert len(got) == 1 and not silent.abandoned
-    assert front.engine.request_table.requests and front.engine.router.endpoints[silent.endpoint].in_flight
-    front.turn(1.0)
+    assert proxy.engine.request_table.requests and proxy.engine.router.endpoints[silent.endpoint].in_flight
+    proxy.turn(1.0)
     assert silent.abandoned
-    assert not front.engine.request_table.requests
-    assert not any(m.in_flight for m in front.engine.router.endpoints.values())
+    assert not proxy.engine.request_table.requests
+    assert not any(m.in_flight for m in proxy.engine.router.endpoints.values())
 
 
 def test_an_endpoint_long_gone_is_forgotten_and_sessions_are_kept_only_where_they_are_needed():
