--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -667,7 +667,7 @@
     driver = SimpleNamespace(
         clock=proxy.clock,
         config=SimpleNamespace(settings=SETTINGS),
-        proxy=proxy.listener,
+        front=proxy.listener,
         engine=proxy.engine,
         lines=SimpleNamespace(say=lambda *_, **__: None),
         port=admission,
