--- a/sedgepitch/peers/zone_observer.py
+++ b/sedgepitch/peers/zone_observer.py
@@ -21,6 +21,7 @@
     """Counts attempts by endpoint. The engine calls the methods of `AttemptObserver`."""
 
     def __init__(self, engine: Engine, clock: Clock) -> None:
+        """Begin without counts; `attach` begins to count."""
         self.observations = ZoneObservations()
         self._engine = engine
         self._clock = clock
--- a/sedgepitch/protocols/mongodb/endpoint_connection.py
+++ b/sedgepitch/protocols/mongodb/endpoint_connection.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.net import transport
+from sedgepitch.net import socket_state
 from sedgepitch.protocols.common.transports import arrival_time, unsent_bytes
 from sedgepitch.protocols.mongodb import codec
 from sedgepitch.protocols.mongodb.codec import MalformedMessage, Message
@@ -61,7 +61,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next command."""
-        return transport.quiet(self.transport)
+        return socket_state.is_quiet(self.transport)
 
     def _write(self, payload: Payload) -> None:
         self.request_id = codec.next_request_id(self.request_id)
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -10,7 +10,7 @@
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.decisions.positions import UNPROVEN, EndpointEvidence, GroupPositions
-from sedgepitch.net.connecting import Opening
+from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.protocols.common.callbacks import ignore
 from sedgepitch.protocols.mongodb.bsonwalk import MalformedDocument
 from sedgepitch.protocols.mongodb.codec import Message
@@ -198,9 +198,11 @@
     def _open(self, address: tuple[str, int], callbacks: ConnectionCallbacks) -> Callable[[], None]:
         """Begin to connect; what is returned gives it up."""
         timeout = self.limits.connect_timeout
-        opening = Opening(lambda: EndpointConnection(self.hello, callbacks), callbacks.failed, timeout)
+        opening = OutgoingConnection(
+            lambda: EndpointConnection(self.hello, callbacks), callbacks.failed, timeout
+        )
         opening.open(self.reactor, address, max(CONNECT_TIMEOUT_MIN_S, timeout))
-        return opening.give_up
+        return opening.cancel
 
     # Replies
 
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from sedgepitch.core.request_table import PendingRequest
-from sedgepitch.net import transport
+from sedgepitch.net import socket_state
 from sedgepitch.protocols.common.client_side import NumberingFactory, WritePressure
 from sedgepitch.protocols.common.transports import arrival_time
 from sedgepitch.protocols.postgresql import codec
@@ -54,14 +54,14 @@
         listener = self.listener
         listener.connections.add(self)
         now = listener.clock.now()
-        if not listener.descriptors.client_came():
+        if not listener.descriptors.client_accepted():
             evicted = listener.evict_for(self, now)
             evicted.abort(CloseReason.EVICTED)
             if evicted is self:
                 return
         self.transport.set_no_delay()
         self.transport.registerProducer(WritePressure(self), True)
-        listener.activity.came(self, now)
+        listener.activity.accepted(self, now)
 
     def dataReceived(self, data: bytes) -> None:
         """Buffer bytes, and execute what is complete unless a statement is in flight."""
@@ -75,7 +75,7 @@
             listener.engine.record_wait(self.transport.read_delay(now), now)
         if not self.reader.held:
             self.message_since = arrived or listener.clock.now()
-            listener.activity.spoke(self)
+            listener.activity.bytes_received(self)
         self.reader.feed(data)
         self.advance()
         if self.state in BUSY_STATES and not self.reads_paused:
@@ -139,10 +139,10 @@
         listener = self.listener
         now = listener.clock.now()
         if self.state is ClientState.STARTUP or self.reader.held:
-            listener.activity.unfinished(self, now)
+            listener.activity.message_incomplete(self, now)
             return
-        evicted = listener.activity.rests(self, now)
-        if evicted is not None and transport.quiet(evicted.transport):
+        evicted = listener.activity.became_idle(self, now)
+        if evicted is not None and socket_state.is_quiet(evicted.transport):
             evicted.end(CloseReason.REST_LIMIT)
 
     # Statements
@@ -150,7 +150,7 @@
     def begin_request(self) -> None:
         """A statement becomes a pending request."""
         self.state = ClientState.EXECUTING
-        self.listener.activity.busy(self)
+        self.listener.activity.request_started(self)
 
     def send_response(self, message: bytes) -> None:
         """Send the response of the pending request."""
@@ -183,12 +183,12 @@
     def on_write_blocked(self) -> None:
         """The client does not read its responses."""
         self.write_blocked = True
-        self.listener.activity.stuck(self, self.listener.clock.now())
+        self.listener.activity.write_paused(self, self.listener.clock.now())
 
     def on_write_drained(self) -> None:
         """The client has been sent all responses."""
         self.write_blocked = False
-        self.listener.activity.unstuck(self)
+        self.listener.activity.write_resumed(self)
         self.advance()
 
     # Closing
@@ -208,7 +208,7 @@
         """
         if self.state in BUSY_STATES or self.state is ClientState.CLOSING:
             return
-        if not transport.quiet(self.transport):
+        if not socket_state.is_quiet(self.transport):
             return
         if not self.reader.held:
             self.end(CloseReason.SHUTDOWN)
@@ -221,7 +221,7 @@
         listener = self.listener
         self._note_close_reason(reason)
         self.state = ClientState.CLOSING
-        listener.activity.left(self)
+        listener.activity.closed(self)
         if last_message:
             self.transport.write(last_message)
         self.reader = Reader({})
@@ -256,9 +256,9 @@
         listener = self.listener
         listener.closes.closed(self._close_report(reason))
         listener.connections.discard(self)
-        listener.activity.left(self)
+        listener.activity.closed(self)
         listener.read_ahead.forget(self)
-        listener.descriptors.client_left()
+        listener.descriptors.client_closed()
         self._cancel_request()
 
     def _close_report(self, lost: Failure) -> CloseReport:
--- a/sedgepitch/protocols/postgresql/client_listener.py
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -10,7 +10,7 @@
 from sedgepitch.decisions.connections.client_connections import ClientConnections
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
-from sedgepitch.net import transport
+from sedgepitch.net import socket_state
 from sedgepitch.protocols.postgresql.close_reasons import CloseLog, CloseReason
 from sedgepitch.protocols.postgresql.read_ahead import ReadAhead
 from sedgepitch.protocols.postgresql.statement_handler import StatementHandler
@@ -46,7 +46,7 @@
         self.retry_after_max = settings.max_retry_after if settings.retry_after else 0.0  # s; 0: never sent
         self.statements = StatementHandler(self)
         self.connections: set[ClientConnection] = set()
-        self.activity: ClientConnections[ClientConnection] = ClientConnections(descriptors.clients_most)
+        self.activity: ClientConnections[ClientConnection] = ClientConnections(descriptors.max_clients)
         self.open_request_ids: dict[bytes, ClientConnection] = {}
         self.read_ahead = ReadAhead()
         self.closes = CloseLog()
@@ -65,10 +65,10 @@
         self.clock.after_reading(self._check, self.clock.now())
 
     def _check(self, at: float) -> None:
-        for connection in self.activity.too_slow(at):
+        for connection in self.activity.remove_timed_out(at):
             connection.time_out()
         for connection in list(self.read_ahead.paused):
-            if transport.left(connection.transport):
+            if socket_state.peer_has_closed(connection.transport):
                 self.disconnects_found_unread += 1
                 connection.abandon()
         self.clock.call_later(CHECK_INTERVAL_S, self._check_due)
@@ -80,15 +80,15 @@
 
         That request would be lost with its connection. Where all others are busy, the newcomer goes.
         """
-        while (evicted := self.activity.make_room(now)) is not None:
-            if transport.quiet(evicted.transport):
+        while (evicted := self.activity.evict(now)) is not None:
+            if socket_state.is_quiet(evicted.transport):
                 return evicted
         return newcomer
 
     def free_descriptor(self) -> None:
         """Close the connection that can best be spared; none that is busy or whose request lies unread."""
-        while (evicted := self.activity.make_room(self.clock.now())) is not None:
-            if transport.quiet(evicted.transport):
+        while (evicted := self.activity.evict(self.clock.now())) is not None:
+            if socket_state.is_quiet(evicted.transport):
                 evicted.end(CloseReason.EVICTED)  # in order: its next request may be on its way
                 return
 
@@ -96,8 +96,8 @@
 
     def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
         """Cut the time of every request taken from now on to the shutdown schedule."""
-        self.close_idle_from = schedule.closing_from
-        self.answer_by = schedule.answered_by
+        self.close_idle_from = schedule.close_idle_from
+        self.answer_by = schedule.drain_deadline
 
     def close_idle_connections(self) -> None:
         """Close the connections that have nothing in flight, once the shutdown schedule says so."""
--- a/sedgepitch/protocols/postgresql/endpoint_connection.py
+++ b/sedgepitch/protocols/postgresql/endpoint_connection.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from sedgepitch.net import transport
+from sedgepitch.net import socket_state
 from sedgepitch.protocols.common.transports import arrival_time, unsent_bytes
 from sedgepitch.protocols.postgresql import codec
 from sedgepitch.protocols.postgresql.codec import MalformedMessage, Reader
@@ -116,7 +116,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next statement."""
-        return not self.broken and not self.reader.held and transport.quiet(self.transport)
+        return not self.broken and not self.reader.held and socket_state.is_quiet(self.transport)
 
     # Messages
 
--- a/sedgepitch/protocols/postgresql/statement_handler.py
+++ b/sedgepitch/protocols/postgresql/statement_handler.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from sedgepitch.core.types import ClientRequest, Response, ResponseStatus
-from sedgepitch.net import transport
+from sedgepitch.net import socket_state
 from sedgepitch.protocols.postgresql import codec, statements
 from sedgepitch.protocols.postgresql.statements import Statement, StatementError
 from sedgepitch.routing.messages import Freshness
@@ -59,7 +59,11 @@
         owner = self._listener.open_request_ids.get(request_id)
         if owner is None:
             return True
-        if owner.request is None or owner.request.attempt_count or not transport.left(owner.transport):
+        if (
+            owner.request is None
+            or owner.request.attempt_count
+            or not socket_state.peer_has_closed(owner.transport)
+        ):
             return False
         owner.abandon()
         return True
@@ -90,7 +94,7 @@
         """Whether the client of a statement read late has left; asking costs a system call."""
         if waited <= DISCONNECT_CHECK_AFTER_S and not connection.reads_paused:
             return False
-        return transport.left(connection.transport)
+        return socket_state.peer_has_closed(connection.transport)
 
     def _client_request(
         self, connection: ClientConnection, statement: Statement, now: float, arrived: float
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -9,7 +9,7 @@
 
 from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
-from sedgepitch.net.connecting import Opening
+from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.protocols.common.callbacks import ignore
 from sedgepitch.protocols.postgresql.endpoint_connection import (
     ConnectionCallbacks,
@@ -127,7 +127,7 @@
     # Descriptors and idle connections
 
     def _descriptors_short(self) -> bool:
-        return bool(getattr(self.descriptors, "members_short", False))
+        return bool(getattr(self.descriptors, "endpoints_nearly_exhausted", False))
 
     def close_longest_idle(self) -> bool:
         """Free a descriptor: close the connection that has been idle longest, of whatever endpoint.
@@ -177,12 +177,12 @@
         connection = EndpointConnection(self.names, self.clock.now, callbacks)
         if self.trace is not None:
             connection.trace = self.trace(endpoint)
-        opening = Opening(lambda: connection, callbacks.failed, self.limits.connect_timeout)
+        opening = OutgoingConnection(lambda: connection, callbacks.failed, self.limits.connect_timeout)
         opening.open(self.reactor, address, self.limits.connect_timeout + CONNECT_GRACE_S)
 
         def give_up() -> None:
             if connection.transport is None:
-                opening.give_up()
+                opening.cancel()
             else:  # connected, but its start-up is not complete and must not count any more
                 connection.close()
 
--- a/tests/support/golden_mongodb.py
+++ b/tests/support/golden_mongodb.py
@@ -8,7 +8,7 @@
 import bson
 from twisted.internet.error import ConnectionLost
 
-from sedgepitch.cli.daemon import group_finder
+from sedgepitch.cli.group_lookup import group_finder
 from sedgepitch.config.load import parse
 from sedgepitch.core.connection_pool import PoolLimits
 from sedgepitch.core.engine import Engine
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -18,10 +18,10 @@
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
 from sedgepitch.core.engine import Engine
 from sedgepitch.core.types import AttemptOutcome, ClientRequest, ResponseStatus
-from sedgepitch.decisions.connections.client_connections import TALK_WITHIN
+from sedgepitch.decisions.connections.client_connections import RECEIVE_TIMEOUT_S
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
-from sedgepitch.node.driver import Driver
+from sedgepitch.node.graceful_shutdown import GracefulShutdown
 from sedgepitch.protocols.postgresql import client_listener, codec, read_ahead, statement_handler
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
@@ -158,7 +158,7 @@
 
 def test_no_idle_client_whose_request_lies_unread_is_evicted_for_a_newcomer():
     proxy = PostgresqlProxy(sockets=40)
-    for number in range(proxy.descriptors.clients_most - 2):
+    for number in range(proxy.descriptors.max_clients - 2):
         proxy.client()[0].dataReceived(read(number + 1))
     proxy.turn()
     (_, first), (_, second) = proxy.client(), proxy.client()
@@ -195,8 +195,8 @@
     proxy.turn()
     ending = ShutdownSchedule(proxy.clock.now(), 0.5)
     proxy.listener.begin_shutdown(ending)
-    proxy.engine.answer_all_by(ending.answered_by)
-    while proxy.clock.now() < ending.over_by:
+    proxy.engine.answer_all_by(ending.drain_deadline)
+    while proxy.clock.now() < ending.exit_deadline:
         proxy.listener.close_idle_connections()
         proxy.turn(0.02)
     assert len(errors(wire)) == 3 and wire.half_closed and not proxy.engine.request_table.pending
@@ -217,11 +217,11 @@
 @pytest.mark.parametrize("longest", [0.05, 0.3, 1.0, 3.0, 60.0])
 def test_the_times_of_a_shutdown_are_in_order_for_every_deadline(longest):
     ending = ShutdownSchedule(100.0, longest)
-    times = [100.0, ending.accepting_until, ending.closing_from, ending.answered_by, ending.over_by]
+    times = [100.0, ending.accept_until, ending.close_idle_from, ending.drain_deadline, ending.exit_deadline]
     assert times == sorted(times) and times[-1] < 100.0 + min(3.0, longest) + 0.7
-    assert not ending.over(ending.over_by + 9.0, False, 0, pending=1)
-    assert ending.over(101.0, listening=False, connections=0, pending=0)
-    assert not ending.over(100.1, listening=True, connections=0, pending=0)
+    assert not ending.may_exit(ending.exit_deadline + 9.0, listening=False, connections=0, pending=1)
+    assert ending.may_exit(101.0, listening=False, connections=0, pending=0)
+    assert not ending.may_exit(100.1, listening=True, connections=0, pending=0)
 
 
 # Waiting for a connection to a member
@@ -389,7 +389,7 @@
     connection, wire = proxy.client(greet=False)
     whole = codec.startup("web", "orders") + read(1, d="60000")
     connection.dataReceived(whole[:begun])
-    up = proxy.clock.now() + TALK_WITHIN
+    up = proxy.clock.now() + RECEIVE_TIMEOUT_S
     while proxy.clock.now() + client_listener.CHECK_INTERVAL_S < up - 1e-6:
         proxy.turn(client_listener.CHECK_INTERVAL_S)
     proxy.task.callLater(client_listener.CHECK_INTERVAL_S, connection.dataReceived, whole[begun:])
@@ -664,19 +664,6 @@
 def test_in_every_order_a_shutdown_answers_all_that_was_read_and_then_ends(steps):
     proxy, callers, done = PostgresqlProxy(), [], []
     admission = Door(lambda: callers.append(Caller(proxy)))
-    driver = SimpleNamespace(
-        clock=proxy.clock,
-        config=SimpleNamespace(settings=SETTINGS),
-        front=proxy.listener,
-        engine=proxy.engine,
-        lines=SimpleNamespace(say=lambda *_, **__: None),
-        port=admission,
-        opening=None,
-        catalog=SimpleNamespace(stop=lambda: None),
-        endpoints=SimpleNamespace(close=lambda: None),
-        figures=dict,
-        _say_closes=lambda: None,
-    )
     numbers, told, stopped = itertools.count(1), [], []
     for what, which in [*steps, ("stop", 0)]:
         caller = callers[which % len(callers)] if callers else None
@@ -691,7 +678,16 @@
         elif what == "stop":
             if not stopped:
                 stopped.append(True)
-                Driver.stop(driver, lambda: done.append(proxy.clock.now()))
+                longest = max(c.deadline for c in SETTINGS.classes)
+                schedule = ShutdownSchedule(proxy.clock.now(), longest)
+                GracefulShutdown(
+                    proxy.clock,
+                    schedule,
+                    proxy.listener,
+                    proxy.engine,
+                    admission,
+                    lambda: done.append(proxy.clock.now()),
+                ).begin()
         elif what == "list":
             drains = (entry(1 + which % 3, state=api.EndpointState.DRAINING),)
             proxy.engine.list_changed(api.EndpointListUpdate(drains, complete=False))
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -192,7 +192,11 @@
     listener = proxy.listener
     held = listener.activity
     assert not (
-        listener.open_request_ids or listener.connections or held.resting or held.talking or held.silent
+        listener.open_request_ids
+        or listener.connections
+        or held.idle
+        or held.receiving
+        or held.awaiting_first_byte
     )
     assert not proxy.engine.request_table.requests and proxy.descriptors.clients == 0
 
@@ -207,7 +211,7 @@
 
 def test_the_longest_idle_client_is_evicted_when_a_descriptor_is_needed():
     proxy = PostgresqlProxy(sockets=40)
-    held = fill(proxy, busy=proxy.descriptors.clients_most - 2)
+    held = fill(proxy, busy=proxy.descriptors.max_clients - 2)
     proxy.client(greet=False)
     assert [wire.aborted for wire in held] == [True, False]
 
@@ -219,7 +223,7 @@
     connection.dataReceived(read(1))
     proxy.turn()
     assert not proxy.endpoints.sent
-    proxy.pass_by(visitors.TAKE_WITHIN + 1.0)
+    proxy.pass_by(visitors.WRITE_TIMEOUT_S + 1.0)
     assert wire.aborted
 
 
@@ -270,11 +274,11 @@
 
 def test_a_silent_newcomer_is_not_evicted_for_the_next_while_others_are_idle():
     proxy = PostgresqlProxy(sockets=40)
-    held = fill(proxy, busy=proxy.descriptors.clients_most - 3)
+    held = fill(proxy, busy=proxy.descriptors.max_clients - 3)
     _, newcomer = proxy.client(greet=False)
     proxy.client(greet=False)
     assert held[0].aborted and not newcomer.aborted
-    proxy.pass_by(visitors.SPARED + 0.1)
+    proxy.pass_by(visitors.FIRST_BYTE_GRACE_S + 0.1)
     proxy.client(greet=False)
     assert newcomer.aborted and not held[1].aborted
 
