--- a/sedgepitch/cli/group_lookup.py
+++ b/sedgepitch/cli/group_lookup.py
@@ -6,10 +6,10 @@
 from fnmatch import fnmatchcase
 
 from sedgepitch.config.models import Settings
-from sedgepitch.protocols.mongodb.commands import Request
+from sedgepitch.protocols.mongodb.commands import Command
 
 
-def group_finder(settings: Settings) -> Callable[[Request], int | None]:
+def group_finder(settings: Settings) -> Callable[[Command], int | None]:
     """Return a function from a request to the id of its group, None if no group holds it.
 
     A group that lists the request's shard value comes first, then the first whose name space patterns match.
@@ -17,7 +17,7 @@
     by_shard = {str(value): group.id for group in settings.groups for value in group.shards}
     patterns = [(g.id, g.database, g.collection) for g in settings.groups if not g.shards]
 
-    def find(request: Request) -> int | None:
+    def find(request: Command) -> int | None:
         if request.shard is not None and str(request.shard) in by_shard:
             return by_shard[str(request.shard)]
         for group, database, collection in patterns:
--- a/sedgepitch/node/endpoint_snapshot.py
+++ b/sedgepitch/node/endpoint_snapshot.py
@@ -48,7 +48,7 @@
     for endpoint in router.endpoints.values():
         if endpoint.id not in versions.present:
             continue
-        link = upstream.links.get(endpoint.id)
+        link = upstream.pools.get(endpoint.id)
         found.append(
             EndpointSnapshot(
                 name=versions.names.get(endpoint.id, str(endpoint.id)),
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -21,7 +21,8 @@
 from sedgepitch.node.port_binding import PortBinding
 from sedgepitch.node.runtime_statistics import RuntimeStatistics, collect_statistics
 from sedgepitch.node.structured_log import StructuredLog
-from sedgepitch.protocols.postgresql.client import ClientFactory, Front
+from sedgepitch.protocols.postgresql.client import ClientFactory
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
 from sedgepitch.protocols.postgresql.close_reasons import CloseReport
 from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing import messages
@@ -61,7 +62,9 @@
             handover_limit=HANDOVER_LIMIT_S,
             on_callback_error=self._callback_failed,
         )
-        self.clients = Front(self.engine, self.clock, self.engine.classes, unix_offset, self.descriptors)
+        self.clients = ClientListener(
+            self.engine, self.clock, self.engine.classes, unix_offset, self.descriptors
+        )
         self.clients.closes.report = self._client_closed
         self.discovery = DiscoveryClient(
             reactor,
@@ -90,11 +93,11 @@
             limits,
             self.descriptors,
             unix_offset,
-            probe_within=self.config.connect_within,
+            health_check_timeout=self.config.connect_within,
         )
-        upstream.heard = self._bytes_arrived
-        upstream.forgotten = self._endpoint_forgotten
-        upstream.say = self.log.log_event
+        upstream.on_bytes_arrived = self._bytes_arrived
+        upstream.on_forgotten = self._endpoint_forgotten
+        upstream.log_event = self.log.log_event
         return upstream
 
     def _make_router(self) -> Router:
--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -18,8 +18,9 @@
 import click
 import yaml
 
+from sedgepitch.audit.findings import ClassGuarantees, RuleParameters
 from sedgepitch.audit.records import read as read_records
-from sedgepitch.audit.rules import ClassFacts, Figures, audit
+from sedgepitch.audit.rules import audit
 from sedgepitch.emulator.recorder import Recorder
 from sedgepitch.scenarios.errors import ScenarioError
 from sedgepitch.scenarios.load_generator import ClientAttempt, ClientOutcome, LoadClient, now
@@ -348,7 +349,7 @@
 
     def _result(self, directory: Path) -> dict[str, Any]:
         records = read_records([directory / "clients.jsonl", directory / "members.jsonl"])
-        classes = {k.name: ClassFacts(k.freshness, k.max_age, k.effect, k.window) for k in KINDS}
+        classes = {k.name: ClassGuarantees(k.freshness, k.max_age, k.effect, k.window) for k in KINDS}
         findings = audit(records, classes, self.figures())
         return {
             "seed": self.seed,
@@ -384,12 +385,12 @@
                 out["drivers"][name] = sum(row[field_name] for row in told)
         return out
 
-    def figures(self) -> Figures:
+    def figures(self) -> RuleParameters:
         """The figures that the drivers were given, and the audit's slack."""
         from sedgepitch.config.models import RulesModel
 
         rules = RulesModel.model_validate(self.settings["rules"])
-        return Figures(
+        return RuleParameters(
             rules.drain_grace,
             rules.overload_factor,
             rules.overload_time,
--- a/sedgepitch/scenarios/report.py
+++ b/sedgepitch/scenarios/report.py
@@ -4,16 +4,16 @@
 
 from typing import Any
 
-from sedgepitch.audit.rules import Evidence, Roles
+from sedgepitch.audit.record_index import RecordIndex, RoleHistory
 
 
 def reads_by_side(records: list[dict[str, Any]]) -> dict[str, dict[str, int]]:
     """Reads served, by class: at the primary of that moment, or at a replica."""
-    evidence = Evidence(records)
-    roles = Roles(evidence)
+    index = RecordIndex(records)
+    roles = RoleHistory(index)
     out: dict[str, dict[str, int]] = {}
-    for rid, ask in evidence.asked.items():
-        answer = next((a for a in evidence.got.get(rid, []) if a["verdict"] == "served"), None)
+    for rid, ask in index.asked.items():
+        answer = next((a for a in index.answers.get(rid, []) if a["verdict"] == "served"), None)
         if ask["w"] or answer is None or answer.get("m") is None:
             continue
         side = "primary" if roles.primary(0, answer["t"]) == answer["m"] else "replicas"
