--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -17,7 +17,7 @@
 import pytest
 
 from sedgepitch.protocols.postgresql import codec
-from sedgepitch.protocols.postgresql.client import LEFT_AFTER
+from sedgepitch.protocols.postgresql.statement_handler import DISCONNECT_CHECK_AFTER_S
 from tests.support.platform import TIMEOUT_S, Client, Platform, read_statement
 from tests.support.syscall_faults import UNBOUNDED, Call, Kind, Rule, SystemCallFaults, name_of
 
@@ -223,7 +223,7 @@
     client = faulty.client()
     suspend(faulty)
     client.socket.sendall(codec.query(read_statement(1)))
-    time.sleep(2 * LEFT_AFTER)  # so that it is read late, which has the client looked at
+    time.sleep(2 * DISCONNECT_CHECK_AFTER_S)  # so that it is read late, which has the client looked at
     rule = faults.arm(Rule(Call.POLL, error=error))
     resume(faulty)
     messages = client.read_until_ready()
