--- a/sedgepitch/cli/assembly.py
+++ b/sedgepitch/cli/assembly.py
@@ -11,20 +11,20 @@
 from sedgepitch.core.types import Clock
 from sedgepitch.decisions.cursors import CursorTable
 from sedgepitch.net.twisted_types import Reactor
-from sedgepitch.protocols.mongodb.client import Context
+from sedgepitch.protocols.mongodb.client_context import ClientContext
 from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 from sedgepitch.routing.messages import Freshness
 
-SESSION_TOKEN_AGE_SHARE = 0.25  # of the tightest staleness bound, for which a session token serves
+OBSERVATION_AGE_SHARE = 0.25  # of the tightest staleness bound, for which an observation serves
 
 
-def session_token_age(settings: Settings) -> float:
-    """Return for how many seconds a session token serves.
+def observation_age_max(settings: Settings) -> float:
+    """Return for how many seconds an observation of the primary proves replicas fresh.
 
     That is a share of the tightest staleness bound, or of the lowest latency objective without one.
     """
     bounds = [c.max_age for c in settings.classes if c.freshness is Freshness.BOUNDED]
-    return min(bounds, default=min(c.aim for c in settings.classes)) * SESSION_TOKEN_AGE_SHARE
+    return min(bounds, default=min(c.aim for c in settings.classes)) * OBSERVATION_AGE_SHARE
 
 
 def make_upstream(settings: Settings, reactor: Reactor, clock: Clock) -> MongoUpstream:
@@ -37,7 +37,7 @@
         settings.driver.name,
         PoolLimits(limits.member_connections, limits.connect_within, limits.member_idle),
         limits.probe_within,
-        mark_age=session_token_age(settings),
+        observation_age_max=observation_age_max(settings),
     )
 
 
@@ -49,13 +49,13 @@
     seed: int,
     log_event: Callable[..., None],
     count_input_error: Callable[[str], None],
-) -> Context:
+) -> ClientContext:
     """Return what all client connections share."""
     limits = settings.limits
     admission = settings.door
-    return Context(
+    return ClientContext(
         engine=engine,
-        endpoints=endpoints,
+        upstream=endpoints,
         clock=clock,
         classifier=settings.classifier(),
         cursors=CursorTable(limits.cursors, limits.cursor_idle, seed),
@@ -63,10 +63,10 @@
         answer_margin=limits.answer_margin,
         drain_grace=settings.rules.drain_grace,
         shard_field=tuple(p.encode() for p in settings.shard_field.split(".") if p),
-        most_frame=limits.frame,
-        tenant_of=tuple(admission.tenant) if admission else (),
-        client_of=tuple(admission.client) if admission else (),
-        most_connections=limits.connections,
-        log=log_event,
-        counted=count_input_error,
+        frame_bytes_max=limits.frame,
+        tenant_sources=tuple(admission.tenant) if admission else (),
+        client_sources=tuple(admission.client) if admission else (),
+        connections_max=limits.connections,
+        log_event=log_event,
+        count_input_error=count_input_error,
     )
--- a/sedgepitch/cli/daemon.py
+++ b/sedgepitch/cli/daemon.py
@@ -23,7 +23,7 @@
 from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.observe import log
 from sedgepitch.observe.metrics import Metrics
-from sedgepitch.protocols.mongodb.client import ClientFactory, close_at_members
+from sedgepitch.protocols.mongodb.client import ClientFactory
 from sedgepitch.routing import messages
 from sedgepitch.routing.router import Router
 from sedgepitch.tracebacks import describe, innermost_place
@@ -70,7 +70,6 @@
             log_event=self._log_event,
             count_input_error=lambda kind: self.metrics.input_errors.labels(kind).inc(),
         )
-        self.endpoints.heard = self.context.read
         self.peers = self._make_peers()
         self.zones = self._make_zones()
         self.ports: list[listener.Listener] = []
@@ -142,7 +141,7 @@
         self.clock.call_later(CURSOR_CHECK_INTERVAL_S, self._close_expired_cursors)
         self.log.info("listening", address=f"{address.host}:{address.port}", pid=os.getpid())
         self._on_ready = lambda: on_ready(address.host, address.port)
-        if self.endpoints.links:
+        if self.endpoints.pools:
             self._report_ready()
 
     def _use_configured_list(self) -> None:
@@ -237,9 +236,9 @@
         self.endpoints.addresses.update(update.addresses)
         entries = tuple(x for x in update.entries if x.endpoint in self.endpoints.addresses)
         self.engine.list_changed(messages.EndpointListUpdate(entries, complete=update.complete))
-        if self.endpoints.links:
+        if self.endpoints.pools:
             self._report_ready()
-        drained = self.endpoints.links.keys() & self.engine.draining_since.keys()
+        drained = self.endpoints.pools.keys() & self.engine.draining_since.keys()
         if drained:
             self.log.info("endpoint_list.drained", endpoints=sorted(drained))
 
@@ -294,5 +293,6 @@
         )
 
     def _close_expired_cursors(self) -> None:
-        close_at_members(self.context, self.context.cursors.expire(self.clock.now()))
+        expired = self.context.cursors.expire(self.clock.now())
+        self.context.cursor_handler.close_on_endpoints(expired)
         self.clock.call_later(CURSOR_CHECK_INTERVAL_S, self._close_expired_cursors)
--- a/sedgepitch/node/graceful_shutdown.py
+++ b/sedgepitch/node/graceful_shutdown.py
@@ -8,7 +8,7 @@
 from sedgepitch.core.types import Clock
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
 from sedgepitch.net.listener import Listener
-from sedgepitch.protocols.postgresql.client import Front
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
 
 CHECK_INTERVAL_S = 0.02
 
@@ -20,7 +20,7 @@
         self,
         clock: Clock,
         schedule: ShutdownSchedule,
-        clients: Front,
+        clients: ClientListener,
         engine: Engine,
         port: Listener | None,
         on_drained: Callable[[], None],
@@ -34,7 +34,7 @@
 
     def begin(self) -> None:
         """Cut all deadlines to the schedule, and follow it from now on."""
-        self._clients.ends(self._schedule)
+        self._clients.begin_shutdown(self._schedule)
         self._engine.answer_all_by(self._schedule.drain_deadline)
         self._check()
 
@@ -42,7 +42,7 @@
         now = self._clock.now()
         if now >= self._schedule.accept_until:
             self._close_port(now)
-        self._clients.close_free()
+        self._clients.close_idle_connections()
         may_exit = self._schedule.may_exit(
             now,
             listening=self._port is not None,
--- a/sedgepitch/node/runtime_statistics.py
+++ b/sedgepitch/node/runtime_statistics.py
@@ -7,7 +7,7 @@
 
 from sedgepitch.core.engine import Engine
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
-from sedgepitch.protocols.postgresql.client import Front
+from sedgepitch.protocols.postgresql.client_listener import ClientListener
 from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 
 MS_PER_S = 1000.0
@@ -48,14 +48,14 @@
 
 def collect_statistics(
     engine: Engine,
-    clients: Front,
+    clients: ClientListener,
     upstream: PostgresUpstream,
     descriptors: DescriptorBudget,
     now: float,
 ) -> RuntimeStatistics:
     """Read the statistics as they stand at `now` (monotonic seconds)."""
     requests = engine.request_table
-    connections = clients.visitors
+    connections = clients.activity
     lag = engine.event_loop_lag
     return RuntimeStatistics(
         requests_completed=requests.completed,
@@ -71,8 +71,8 @@
         protocol_errors=clients.bad_messages + clients.bad_statements,
         timed_out=connections.timed_out,
         evicted=connections.evicted,
-        malformed_responses=upstream.spoilt,
-        unreadable_load_reports=upstream.unread_reports,
+        malformed_responses=upstream.malformed_answers,
+        unreadable_load_reports=upstream.unread_load_reports,
         deadline_margin_ms=round(lag.deadline_margin(now) * MS_PER_S, 1),
         max_lag_ms=round(lag.longest * MS_PER_S, 1),
         rejected_for_load=engine.rejected_for_load,
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -14,7 +14,7 @@
 from sedgepitch.core import engine
 from sedgepitch.core.completion import Completion
 from sedgepitch.core.deadlines import NEVER, Deadlines
-from sedgepitch.protocols.mongodb.client import ClientConnection
+from sedgepitch.protocols.mongodb.command_handler import CommandHandler
 from sedgepitch.routing.eligibility import Eligibility
 from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.messages import EndpointState
@@ -69,12 +69,12 @@
 def answer_late() -> None:
     """Rule 1: answers wait in a queue of the proxy's own, and no deadline accounts for it."""
 
-    def answered(self, request):
-        tell = true_answered(self, request)
-        return lambda answer: self.context.clock.call_later(2.2, tell, answer)
+    def response_callback(self, connection, command):
+        respond = true_response_callback(self, connection, command)
+        return lambda response: self._context.clock.call_later(2.2, respond, response)
 
-    true_answered = ClientConnection._answered
-    ClientConnection._answered = answered
+    true_response_callback = CommandHandler.response_callback
+    CommandHandler.response_callback = response_callback
 
 
 def send_after_the_answer() -> None:
