--- a/sedgepitch/audit/record_index.py
+++ b/sedgepitch/audit/record_index.py
@@ -14,6 +14,7 @@
     """The records by kind and request."""
 
     def __init__(self, records: Iterable[Record]) -> None:
+        """Sort the records by kind, and those of requests by request."""
         self.by_kind: dict[str, list[Record]] = defaultdict(list)
         for record in records:
             self.by_kind[record["e"]].append(record)
@@ -33,6 +34,7 @@
     """Who was primary when, and when servers told which proxy that they are not."""
 
     def __init__(self, index: RecordIndex) -> None:
+        """Collect the terms of each group, and when servers denied to be primary."""
         self._terms: dict[int, list[tuple[float, int | None]]] = defaultdict(list)
         for record in index.by_kind["role"]:
             self._terms[record["g"]].append((record["t"], record["m"]))
--- a/sedgepitch/audit/rule_no_stale_read.py
+++ b/sedgepitch/audit/rule_no_stale_read.py
@@ -14,6 +14,7 @@
     """The commits of each group: when, and their indices in the log."""
 
     def __init__(self, index: RecordIndex) -> None:
+        """Collect the commits of each group in order of time."""
         self._times: dict[int, list[float]] = defaultdict(list)
         self._indices: dict[int, list[int]] = defaultdict(list)
         for record in index.by_kind["commit"]:
--- a/sedgepitch/decisions/cursors.py
+++ b/sedgepitch/decisions/cursors.py
@@ -33,6 +33,7 @@
     """
 
     def __init__(self, capacity: int, idle_timeout: float, seed: int) -> None:
+        """Make an empty table; `seed` decides the ids."""
         self.capacity = capacity
         self.idle_timeout = idle_timeout
         self.random = random.Random(seed)
--- a/sedgepitch/decisions/positions.py
+++ b/sedgepitch/decisions/positions.py
@@ -62,6 +62,7 @@
     """
 
     def __init__(self) -> None:
+        """Begin without observations."""
         self.optimes: list[OpTime] = []
         self.first_asked: list[float] = []  # the earliest question that found this optime
         self.last_asked: list[float] = []  # the latest
--- a/sedgepitch/decisions/request_classes.py
+++ b/sedgepitch/decisions/request_classes.py
@@ -107,6 +107,7 @@
     """
 
     def __init__(self, classes: Sequence[RequestClass], rules: Sequence[ClassRule]) -> None:
+        """Compile the rules."""
         self.classes = {cls.name: cls for cls in classes}
         self.rules = [self._compile(rule) for rule in rules]
         self.deadline_max = max((cls.deadline for cls in classes), default=0.0)
--- a/sedgepitch/emulator/document_store.py
+++ b/sedgepitch/emulator/document_store.py
@@ -14,6 +14,7 @@
 from sedgepitch.emulator.query_language import (
     CommandError,
     Document,
+    Value,
     document_key,
     grouped,
     matches,
@@ -29,6 +30,7 @@
     """The documents of one server as of what it has applied."""
 
     def __init__(self) -> None:
+        """Make an empty store."""
         self.spaces: dict[str, dict[Any, Document]] = {}  # namespace -> key -> document
 
     def apply(self, effects: Iterable[Effect]) -> None:
@@ -186,13 +188,13 @@
         self.effects: list[Effect] = []
         self.changes: dict[Any, Document | None] = {}  # by key
 
-    def get(self, identity: Any) -> Document | None:
+    def get(self, identity: Value) -> Document | None:
         key = document_key(identity)
         return (
             self.changes[key] if key in self.changes else self.store.spaces.get(self.namespace, {}).get(key)
         )
 
-    def put(self, identity: Any, document: Document | None) -> None:
+    def put(self, identity: Value, document: Document | None) -> None:
         key = document_key(identity)
         self.changes[key] = document
         self.effects.append((self.namespace, key, document))
--- a/sedgepitch/emulator/execution.py
+++ b/sedgepitch/emulator/execution.py
@@ -19,6 +19,7 @@
     """The commands of one server that wait or run. Their time passes as timers."""
 
     def __init__(self, server: EmulatedServer) -> None:
+        """Begin with nothing to run."""
         self._server = server
         self._waiting: deque[ReceivedCommand] = deque()
         self._running = 0
--- a/sedgepitch/emulator/fault_control.py
+++ b/sedgepitch/emulator/fault_control.py
@@ -36,6 +36,7 @@
     """
 
     def __init__(self, fleet: EmulatedFleet) -> None:
+        """Apply faults to the servers of this fleet."""
         self._fleet = fleet
         self._faults: dict[str, Callable[[EmulatedServer, Request], None]] = {
             "hang": self._hang,
--- a/sedgepitch/emulator/fleet.py
+++ b/sedgepitch/emulator/fleet.py
@@ -21,6 +21,7 @@
 from sedgepitch.emulator.replica_group import EmulatedGroup
 from sedgepitch.emulator.server import EmulatedServer
 from sedgepitch.net.listener import listen
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.common.callbacks import ignore
 
 LINE_BYTES_MAX = 1 << 20
@@ -36,6 +37,7 @@
     MAX_LENGTH = LINE_BYTES_MAX
 
     def __init__(self, fleet: EmulatedFleet) -> None:
+        """Serve one connection to this fleet's control socket."""
         self.fleet = fleet
         self.proxy = ""  # which follows the endpoint list
 
@@ -76,7 +78,7 @@
         message = {"event": "list", "complete": complete, "members": entries}
         self.sendLine(json.dumps(message).encode())
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
         """A proxy does not follow the list any more."""
         self.fleet.watchers.discard(self)
 
@@ -84,7 +86,8 @@
 class EmulatedFleet:
     """The servers of all groups. `timing` is the `standins` part of the settings; `specs` are its members."""
 
-    def __init__(self, reactor: Any, now: Callable[[], float], timing: Any, specs: list[Any]) -> None:
+    def __init__(self, reactor: Reactor, now: Callable[[], float], timing: Any, specs: list[Any]) -> None:
+        """Make the servers; `start` opens their ports."""
         self.reactor = reactor
         self.now = now
         self.timing = timing
--- a/sedgepitch/emulator/proxy_connection.py
+++ b/sedgepitch/emulator/proxy_connection.py
@@ -22,6 +22,7 @@
     """One connection of a proxy, whose name its hello tells."""
 
     def __init__(self, server: EmulatedServer) -> None:
+        """Accept a connection to this server."""
         super().__init__()
         self.server = server
         self.proxy = ""
@@ -37,7 +38,7 @@
         self.transport.set_no_delay()
         server.connections.add(self)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
         """The connection has ended, by either side."""
         self.server.connections.discard(self)
 
--- a/sedgepitch/emulator/queries.py
+++ b/sedgepitch/emulator/queries.py
@@ -24,6 +24,7 @@
     """The open cursors of one server: what is left of each."""
 
     def __init__(self) -> None:
+        """Begin without open cursors."""
         self._open: dict[int, tuple[str, list[Document]]] = {}  # id -> (namespace, documents)
         self._last_id = FIRST_CURSOR_ID
 
@@ -50,6 +51,7 @@
     """Runs commands on one server's documents."""
 
     def __init__(self, server: EmulatedServer) -> None:
+        """Run commands on this server's documents."""
         self._server = server
         self.cursors = ServerCursors()
 
--- a/sedgepitch/emulator/query_language.py
+++ b/sedgepitch/emulator/query_language.py
@@ -4,10 +4,11 @@
 
 import copy
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeAlias
 
 from sedgepitch.errors import ClientError
 
+Value: TypeAlias = Any  # of BSON
 Document = dict[str, Any]
 
 _COMPARE: dict[str, Callable[[Any, Any], bool]] = {
@@ -26,13 +27,14 @@
     """The command's own error: MongoDB's error code, its name, and one line."""
 
     def __init__(self, code: int, name: str, text: str) -> None:
+        """State the error as the client is to get it."""
         super().__init__(text)
         self.code = code
         self.name = name
         self.text = text
 
 
-def value_at(document: Any, path: str) -> Any:
+def value_at(document: Value, path: str) -> Value:
     """Return the value at a dotted path, None where there is none."""
     for part in path.split("."):
         if not isinstance(document, dict):
@@ -57,7 +59,7 @@
     return True
 
 
-def _fits(value: Any, wanted: Any) -> bool:
+def _fits(value: Value, wanted: Value) -> bool:
     if not isinstance(wanted, dict) or not any(k.startswith("$") for k in wanted):
         return bool(value == wanted or (isinstance(value, list) and wanted in value))
     for operator, operand in wanted.items():
@@ -87,7 +89,7 @@
     return result
 
 
-def _apply_modifier(document: Document, operator: str, path: str, operand: Any) -> None:
+def _apply_modifier(document: Document, operator: str, path: str, operand: Value) -> None:
     *parents, last = path.split(".")
     parent = document
     for part in parents:
@@ -128,7 +130,7 @@
     return {k: v for k, v in document.items() if k not in projection}
 
 
-def document_key(value: Any) -> Any:
+def document_key(value: Value) -> Value:
     """Return a hashable form of an `_id`."""
     return repr(value) if isinstance(value, (dict, list)) else value
 
--- a/sedgepitch/emulator/recorder.py
+++ b/sedgepitch/emulator/recorder.py
@@ -11,6 +11,7 @@
     """Writes records to a file, or nowhere."""
 
     def __init__(self, path: str = "", who: str = "members") -> None:
+        """Open the file; an empty path records nothing. `who` names the process in its last record."""
         self.file: IO[str] | None = open(path, "w", encoding="utf-8") if path else None
         self.who = who
         self.longest_wait = 0.0  # s that bytes waited for this process
--- a/sedgepitch/emulator/replica_group.py
+++ b/sedgepitch/emulator/replica_group.py
@@ -52,6 +52,7 @@
     """The log and the roles of one group. `later` makes a call after so many seconds."""
 
     def __init__(self, number: int, now: Callable[[], float], later: Callable[..., Any], timing: Any) -> None:
+        """Make a group without servers and without a primary."""
         self.number = number
         self.now = now
         self.later = later
--- a/sedgepitch/emulator/server.py
+++ b/sedgepitch/emulator/server.py
@@ -24,6 +24,7 @@
 from sedgepitch.emulator.replica_group import EmulatedGroup
 from sedgepitch.emulator.requests import CommandKind, ReceivedCommand
 from sedgepitch.net.listener import listen
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.mongodb import codec
 from sedgepitch.protocols.mongodb.codec import Message
 
@@ -40,7 +41,7 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         number: int,
         zone: str,
         address: tuple[str, int],
@@ -49,6 +50,7 @@
         record: Recorder,
         seed: int,
     ) -> None:
+        """Make a server that belongs to the group; `listen` opens its port."""
         self.reactor = reactor
         self.id = number
         self.zone = zone
--- a/sedgepitch/protocols/common/client_side.py
+++ b/sedgepitch/protocols/common/client_side.py
@@ -4,7 +4,7 @@
 
 from typing import Any, ClassVar, Protocol
 
-from twisted.internet.interfaces import IPushProducer
+from twisted.internet.interfaces import IProtocol, IPushProducer
 from twisted.internet.protocol import Factory
 from zope.interface import implementer
 
@@ -26,6 +26,7 @@
     __slots__ = ("_connection",)
 
     def __init__(self, connection: WriteBlockable) -> None:
+        """Tell this connection."""
         self._connection = connection
 
     def pauseProducing(self) -> None:
@@ -53,9 +54,11 @@
     connection_type: ClassVar[Any]
 
     def __init__(self, listener: ConnectionCounter) -> None:
+        """Make connections for this listener."""
         self.listener = listener
 
-    def buildProtocol(self, addr: object) -> Any:
+    def buildProtocol(self, _addr: object) -> IProtocol:
         """Return the protocol object of the next connection."""
         self.listener.accepted += 1
-        return self.connection_type(self.listener, self.listener.accepted)
+        connection: IProtocol = self.connection_type(self.listener, self.listener.accepted)
+        return connection
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -31,6 +31,7 @@
     """
 
     def __init__(self, context: ClientContext, number: int) -> None:
+        """Begin before the first byte."""
         super().__init__()
         self.context = context
         self.number = number
@@ -164,7 +165,7 @@
         self.broken = True
         self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
         """The client has disconnected: cancel its request."""
         self.context.connections.discard(self)
         if self.awaited_hello is not None:
--- a/sedgepitch/protocols/mongodb/command_handler.py
+++ b/sedgepitch/protocols/mongodb/command_handler.py
@@ -43,6 +43,7 @@
     __slots__ = ("_context",)
 
     def __init__(self, context: ClientContext) -> None:
+        """Execute the commands of the connections that share this context."""
         self._context = context
 
     def execute(self, connection: ClientConnection, message: Message) -> None:
--- a/sedgepitch/protocols/mongodb/commands.py
+++ b/sedgepitch/protocols/mongodb/commands.py
@@ -36,6 +36,7 @@
     """A command that cannot be taken: MongoDB's error code, its name, and one line."""
 
     def __init__(self, code: int, name: str, text: str) -> None:
+        """State the error as the client is to get it."""
         super().__init__(text)
         self.code = code
         self.name = name
--- a/sedgepitch/protocols/mongodb/cursor_handler.py
+++ b/sedgepitch/protocols/mongodb/cursor_handler.py
@@ -31,6 +31,7 @@
     __slots__ = ("_context",)
 
     def __init__(self, context: ClientContext) -> None:
+        """Serve the cursors of the connections that share this context."""
         self._context = context
 
     def forward(self, connection: ClientConnection, command: Command, response: Response) -> None:
--- a/sedgepitch/protocols/mongodb/endpoint_connection.py
+++ b/sedgepitch/protocols/mongodb/endpoint_connection.py
@@ -30,6 +30,7 @@
     """One connection to an endpoint: says `hello`, then carries one command at a time."""
 
     def __init__(self, hello: Payload, callbacks: ConnectionCallbacks) -> None:
+        """Prepare a connection that opens with this `hello`."""
         super().__init__()
         self.hello = hello
         self.callbacks = callbacks
--- a/sedgepitch/protocols/mongodb/framing.py
+++ b/sedgepitch/protocols/mongodb/framing.py
@@ -25,6 +25,7 @@
     transport: Any
 
     def __init__(self) -> None:
+        """Begin with an empty buffer."""
         self.buffered = 0  # bytes that are not in a frame handed on yet
         self.paused = False  # frames are kept back
         self.broken = False  # nothing that still comes is read
--- a/sedgepitch/protocols/mongodb/health_check.py
+++ b/sedgepitch/protocols/mongodb/health_check.py
@@ -11,6 +11,7 @@
     __slots__ = ("_on_end", "_outcome", "awaits_primary")
 
     def __init__(self, on_end: AttemptCallback) -> None:
+        """Begin with both answers missing; set `awaits_primary` where the primary is asked as well."""
         self._on_end = on_end
         self._outcome: AttemptOutcome | None = None
         self.awaits_primary = False
--- a/sedgepitch/protocols/mongodb/payload.py
+++ b/sedgepitch/protocols/mongodb/payload.py
@@ -22,6 +22,7 @@
     __slots__ = ("_sections", "writes")
 
     def __init__(self, sections: bytes, writes: bool = False) -> None:
+        """Take encoded sections; `writes` says whether they may change data."""
         self._sections = sections
         self.writes = writes
 
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -11,6 +11,7 @@
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.decisions.positions import UNPROVEN, EndpointEvidence, GroupPositions
 from sedgepitch.net.connecting import OutgoingConnection
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.common.callbacks import ignore
 from sedgepitch.protocols.mongodb.bsonwalk import MalformedDocument
 from sedgepitch.protocols.mongodb.codec import Message
@@ -62,7 +63,7 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         clock: Clock,
         addresses: dict[int, tuple[str, int]],
         app_name: str,
@@ -70,6 +71,7 @@
         health_check_timeout: float,
         observation_age_max: float,
     ) -> None:
+        """Begin without endpoints; `update_endpoints` opens their pools."""
         self.reactor = reactor
         self.clock = clock
         self.addresses = addresses
@@ -98,7 +100,9 @@
                 self.pools[entry.endpoint] = known
             known.listed_primary = entry.primary
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+    def send(
+        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
+    ) -> InFlightAttempt:
         """Send a command; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
         return self.pools[endpoint].pool.send(payload, on_end, send_by)
 
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -35,6 +35,7 @@
     transport: Any
 
     def __init__(self, listener: ClientListener, number: int) -> None:
+        """Begin before the startup message."""
         self.listener = listener
         self.number = number
         self.state = ClientState.STARTUP
--- a/sedgepitch/protocols/postgresql/client_listener.py
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -37,6 +37,7 @@
         unix_offset: float,
         descriptors: DescriptorBudget,
     ) -> None:
+        """Begin without connections, and check them periodically from now on."""
         self.engine = engine
         self.clock = clock
         self.classes = classes
--- a/sedgepitch/protocols/postgresql/close_reasons.py
+++ b/sedgepitch/protocols/postgresql/close_reasons.py
@@ -68,6 +68,7 @@
     """Counts closes by reason, and reports those that an operator should see to `report`."""
 
     def __init__(self, report: Callable[[CloseReport], None] | None = None) -> None:
+        """Begin with no closes counted."""
         self.counts: Counter[CloseReason] = Counter()
         self.with_request = 0  # connections that ended while a request on them had no answer
         self.report = report
--- a/sedgepitch/protocols/postgresql/codec.py
+++ b/sedgepitch/protocols/postgresql/codec.py
@@ -72,6 +72,7 @@
     __slots__ = ("_at", "_buffer", "_held", "_more", "_want", "bounds")
 
     def __init__(self, bounds: Mapping[bytes, int]) -> None:
+        """Begin with an empty buffer."""
         self.bounds = bounds
         self._buffer = b""
         self._at = 0  # where the first message not yet returned begins in the buffer
--- a/sedgepitch/protocols/postgresql/endpoint_connection.py
+++ b/sedgepitch/protocols/postgresql/endpoint_connection.py
@@ -73,6 +73,7 @@
     transport: Any
 
     def __init__(self, names: SessionNames, now: Callable[[], float], callbacks: ConnectionCallbacks) -> None:
+        """Prepare a connection; the transport starts it up."""
         self.names = names
         self.now = now
         self.callbacks = callbacks
--- a/sedgepitch/protocols/postgresql/read_ahead.py
+++ b/sedgepitch/protocols/postgresql/read_ahead.py
@@ -24,6 +24,7 @@
     __slots__ = ("extended", "paused")
 
     def __init__(self) -> None:
+        """Begin with no client ahead."""
         self.extended: set[ClientConnection] = set()  # read beyond READ_AHEAD_BYTES
         self.paused: set[ClientConnection] = set()  # sockets left unread
 
--- a/sedgepitch/protocols/postgresql/statement_handler.py
+++ b/sedgepitch/protocols/postgresql/statement_handler.py
@@ -33,6 +33,7 @@
     __slots__ = ("_listener",)
 
     def __init__(self, listener: ClientListener) -> None:
+        """Execute the statements of this listener's connections."""
         self._listener = listener
 
     def execute(self, connection: ClientConnection, text: bytes) -> None:
--- a/sedgepitch/protocols/postgresql/statements.py
+++ b/sedgepitch/protocols/postgresql/statements.py
@@ -46,6 +46,7 @@
     """A statement that is not served; the text says why, `code` is its SQLSTATE."""
 
     def __init__(self, why: str, code: str = SQLSTATE_SYNTAX_ERROR) -> None:
+        """State why, with the SQLSTATE that the client gets."""
         super().__init__(why)
         self.code = code
 
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -10,6 +10,7 @@
 from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.net.connecting import OutgoingConnection
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.common.callbacks import ignore
 from sedgepitch.protocols.postgresql.endpoint_connection import (
     ConnectionCallbacks,
@@ -47,7 +48,7 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         clock: Clock,
         limits: PoolLimits,
         descriptors: ConnectionBudget,
@@ -55,6 +56,7 @@
         health_check_timeout: float,
         names: SessionNames | None = None,
     ) -> None:
+        """Begin without endpoints; `update_endpoints` makes their pools."""
         self.reactor = reactor
         self.clock = clock
         self.limits = limits
@@ -98,7 +100,9 @@
             known.address = address
             known.pool = self._make_pool(endpoint, address)
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+    def send(
+        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
+    ) -> InFlightAttempt:
         """Send a statement; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
         pool = self.pools[endpoint].pool
         if self._descriptors_short():
