--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -55,7 +55,7 @@
         context = self.context
         context.connections.add(self)
         if len(context.connections) > context.connections_max:
-            context.log_event("client.rejected", connection=self.number, why="too many connections")
+            context.log_event("client.rejected", connection=self.number, reason="too many connections")
             self.transport.abortConnection()
             return
         self.address = str(getattr(self.transport.getPeer(), "host", ""))
@@ -155,12 +155,12 @@
 
     def length_refused(self, length: int) -> None:
         """End the connection on a frame length out of bounds; where the next frame begins cannot be told."""
-        self.context.log_event("client.bad_frame", connection=self.number, why=f"length {length}")
+        self.context.log_event("client.bad_frame", connection=self.number, reason=f"length {length}")
         self.context.count_input_error("bad_frame")
         self.transport.loseConnection()
 
     def _end_malformed(self, error: MalformedMessage) -> None:
-        self.context.log_event("client.bad_message", connection=self.number, why=str(error))
+        self.context.log_event("client.bad_message", connection=self.number, reason=str(error))
         self.context.count_input_error("bad_message")
         self.broken = True
         self.transport.loseConnection()
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -70,8 +70,8 @@
         self.on_forgotten: Callable[[int], None] = ignore
         self.trace: Callable[[int], Callable[..., None]] | None = None  # gives a connection's own trace
         self.log_event: Callable[..., None] = ignore
-        self.malformed_answers = 0
-        self.unread_load_reports = 0
+        self.malformed_responses = 0
+        self.unreadable_load_reports = 0
         self.clock.call_later(IDLE_CHECK_INTERVAL_S, self._close_unused)
 
     # The engine's side
@@ -195,8 +195,8 @@
     def outcome(self, endpoint: int, payload: Payload, reply: Reply) -> AttemptOutcome:
         """Return the outcome of an attempt, with the endpoint's load report where the reply has one."""
         if reply.malformed:
-            self.malformed_answers += 1
-            self.log_event("endpoint.malformed_answer", endpoint=endpoint, why=reply.malformed)
+            self.malformed_responses += 1
+            self.log_event("endpoint.malformed_response", endpoint=endpoint, reason=reply.malformed)
             return malformed_outcome(reply)
         outcome = outcome_of(reply, self.names, self.unix_offset)
         report = reply.load_report
@@ -211,6 +211,6 @@
     def _load_report(self, raw: bytes) -> LoadReport | None:
         fields = read_load_report(raw)
         if not fields:
-            self.unread_load_reports += 1
+            self.unreadable_load_reports += 1
             return None
         return translate_load_report(fields, -self.unix_offset)
--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -208,8 +208,8 @@
             listener.disconnects_found_unread,
             listener.disconnects_found_late,
             listener.accepted,
-            endpoints.malformed_answers,
-            endpoints.unread_load_reports,
+            endpoints.malformed_responses,
+            endpoints.unreadable_load_reports,
             listener.closes.with_request,
         )
         return f"{counts} {listener.closes.summary()}"
