--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -10,6 +10,7 @@
 from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
 from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
 from sedgepitch.net.connecting import OutgoingConnection
+from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.common.callbacks import ignore
 from sedgepitch.protocols.postgresql.endpoint_connection import (
     ConnectionCallbacks,
@@ -47,7 +48,7 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         clock: Clock,
         limits: PoolLimits,
         descriptors: ConnectionBudget,
@@ -55,6 +56,7 @@
         health_check_timeout: float,
         names: SessionNames | None = None,
     ) -> None:
+        """Begin without endpoints; `update_endpoints` makes their pools."""
         self.reactor = reactor
         self.clock = clock
         self.limits = limits
@@ -68,8 +70,8 @@
         self.on_forgotten: Callable[[int], None] = ignore
         self.trace: Callable[[int], Callable[..., None]] | None = None  # gives a connection's own trace
         self.log_event: Callable[..., None] = ignore
-        self.malformed_answers = 0
-        self.unread_load_reports = 0
+        self.malformed_responses = 0
+        self.unreadable_load_reports = 0
         self.clock.call_later(IDLE_CHECK_INTERVAL_S, self._close_unused)
 
     # The engine's side
@@ -98,7 +100,9 @@
             known.address = address
             known.pool = self._make_pool(endpoint, address)
 
-    def send(self, endpoint: int, payload: Any, on_end: AttemptCallback, send_by: float) -> InFlightAttempt:
+    def send(
+        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
+    ) -> InFlightAttempt:
         """Send a statement; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
         pool = self.pools[endpoint].pool
         if self._descriptors_short():
@@ -191,8 +195,8 @@
     def outcome(self, endpoint: int, payload: Payload, reply: Reply) -> AttemptOutcome:
         """Return the outcome of an attempt, with the endpoint's load report where the reply has one."""
         if reply.malformed:
-            self.malformed_answers += 1
-            self.log_event("endpoint.malformed_answer", endpoint=endpoint, why=reply.malformed)
+            self.malformed_responses += 1
+            self.log_event("endpoint.malformed_response", endpoint=endpoint, reason=reply.malformed)
             return malformed_outcome(reply)
         outcome = outcome_of(reply, self.names, self.unix_offset)
         report = reply.load_report
@@ -207,6 +211,6 @@
     def _load_report(self, raw: bytes) -> LoadReport | None:
         fields = read_load_report(raw)
         if not fields:
-            self.unread_load_reports += 1
+            self.unreadable_load_reports += 1
             return None
         return translate_load_report(fields, -self.unix_offset)
