--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -13,7 +13,6 @@
 
 import json
 import os
-import re
 import signal
 import subprocess
 import sys
@@ -31,6 +30,7 @@
 from sedgepitch.scenarios.network_links import Link
 from sedgepitch.scenarios.peer_processes import processor_time
 from sedgepitch.scenarios.traffic import RequestKind, scenario_settings
+from sedgepitch.scenarios.zone_report import WeightedOutcome, zone_events, zone_rows
 
 STEP_WAIT_MAX_S = 30.0  # s that a step waits at most for what has to be said before it
 POLL_INTERVAL_S = 0.2  # s between looks at what was said
@@ -82,7 +82,7 @@
         self.zone_of = {f"driver-{n}": zones[(n - 1) % len(zones)] for n in range(1, count + 1)}
         self.links: dict[tuple[str, str], Link] = {}
         self.metrics: dict[str, str] = {}
-        self.outcomes: list[tuple[float, bool, float]] = []  # when it began, in time, worth
+        self.outcomes: list[WeightedOutcome] = []
         self.key = Path()
         self.frozen: set[str] = set()
         self.used: dict[str, tuple[int, float]] = {}
@@ -330,12 +330,14 @@
     def _count(self, kind: RequestKind, got: ClientOutcome, passed: float) -> None:
         super()._count(kind, got, passed)
         good = got.verdict == "served" and passed <= kind.aim
-        self.outcomes.append((now() - passed, good, PRIORITY_WEIGHTS.get(kind.name, 1.0)))
+        weight = PRIORITY_WEIGHTS.get(kind.name, 1.0)
+        self.outcomes.append(WeightedOutcome(now() - passed, good, weight))
 
     def _result(self, directory: Path) -> dict[str, Any]:
         result = super()._result(directory)
         events = zone_events(directory)
-        result["zones"] = self._zones(directory, events)
+        zone_at = {member["id"]: member["zone"] for member in self.settings["members"]}
+        result["zones"] = zone_rows(directory, events, zone_at, self.outcomes, self.began)
         result["cores"] = round(self.cores, 5)  # of a core, the mean of drivers that lived through the day
         result["events"] = [
             {k: e[k] for k in ("driver", "zone", "state", "share")}
@@ -343,77 +345,3 @@
             for e in events
         ]
         return result
-
-    def worth(self, begin: float, end: float) -> float:
-        """The share of the worth of what began between two times that was served in time."""
-        there = [(good, worth) for at, good, worth in self.outcomes if begin <= at < end]
-        total = sum(w for _, w in there)
-        return sum(w for good, w in there if good) / total if total else 0.0
-
-    def _zones(self, directory: Path, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """For each trouble of a zone: who left it and came back when, and what went there meanwhile."""
-        zone_at = {m["id"]: m["zone"] for m in self.settings["members"]}
-        unseen = [
-            (r["t"], r["d"], zone_at[r["m"]])
-            for r in _records(directory / "members.jsonl")
-            if r["e"] == "unseen"
-        ]
-        rows = []
-        steps = [r for r in _records(directory / "clients.jsonl") if r["e"] == "step"]
-        for step in steps:
-            zone = step["to"] if step["do"] == "cut" else step["zone"]
-            if step["do"] not in ("lose", "crash", "cut", "slow", "leave") or not zone:
-                continue
-            begin, end = step["t"], step["t"] + (step["for"] or 4.0)
-            left = [
-                e["at"] - begin
-                for e in events
-                if e["zone"] == zone and e["state"] == "left" and begin <= e["at"] < end
-            ]
-            back = [
-                e["at"] - end
-                for e in events
-                if e["zone"] == zone and e["state"] == "normal" and e["at"] >= end
-            ]
-            sent = sorted(t - begin for t, _, where in unseen if where == zone and begin <= t < end)
-            rows.append(
-                {
-                    "do": step["do"],
-                    "zone": zone,
-                    "at": round(begin - self.began, 2),
-                    "left": len(left),
-                    "first_left_s": round(min(left), 3) if left else None,
-                    "last_left_s": round(max(left), 3) if left else None,
-                    "back_last_s": round(max(back[: len(left)]), 3) if back and left else None,
-                    "sent_in_vain": len(sent),
-                    "in_vain_95_s": round(sent[int(0.95 * (len(sent) - 1))], 3) if sent else None,
-                    "worth_during": round(self.worth(begin, end), 4),
-                    "worth_before": round(self.worth(begin - 4.0, begin), 4),
-                    "worth_after": round(self.worth(end, end + 6.0), 4),
-                }
-            )
-        return rows
-
-
-def _records(path: Path) -> list[dict[str, Any]]:
-    out = []
-    for line in path.read_text(encoding="utf-8").splitlines():
-        try:
-            out.append(json.loads(line))
-        except ValueError:
-            continue  # the last line of one that was killed
-    return out
-
-
-ZONE_LINE = re.compile(r'"event": "zone\.state_changed"')
-
-
-def zone_events(directory: Path) -> list[dict[str, Any]]:
-    """What the drivers said of zones in their logs, in order; times on the machine's monotonic clock."""
-    events = []
-    for log in sorted(directory.glob("driver-*.log")):
-        for line in log.read_text(encoding="utf-8", errors="replace").splitlines(keepends=True):
-            if ZONE_LINE.search(line) and line.endswith("\n"):  # the last may be half written
-                told = json.loads(line)
-                events.append({**told, "driver": log.stem})
-    return sorted(events, key=lambda e: e["at"])
