--- a/benchmarks/baddays.py
+++ b/benchmarks/fault_scenarios.py
@@ -1,6 +1,6 @@
 """Many bad days, several at once: rules, tracebacks and how late each kind of process was.
 
-`python -m benchmarks.baddays [--days 60] [--at-once 6] [--first-seed 1] [--burners 0] [--length 40]`.
+`python -m benchmarks.fault_scenarios [--days 60] [--at-once 6] [--first-seed 1] [--burners 0] [--length 40]`.
 Each day is a process of its own with its own seed; with burners each driver shares a core with that many
 processes that only compute. Ends by itself; exit code 1 where a rule broke or a log holds a traceback.
 """
