--- a/sedgepitch/routing/request_intake.py
+++ b/sedgepitch/routing/request_intake.py
@@ -13,9 +13,11 @@
 from sedgepitch.routing.state import RouterState
 from sedgepitch.routing.wait_queue import WaitQueue
 
-READ_WAIT_SHARE = 0.15  # share of its latency objective that a read may wait for an endpoint with headroom
+# Share of its latency objective that a request may wait for an endpoint with headroom. A write whose late
+# answer still earns something waits until its deadline.
+HEADROOM_WAIT_SHARE = 0.15
 INTERVAL_WEIGHT = 0.1  # weight of one more request in the mean interval
-INTERVAL_MAX_S = 5.0  # interval that one request counts at most
+INTERVAL_MAX_S = 5.0  # a longer interval counts as this one
 
 PRIMARY_ONLY = (Freshness.WRITE, Freshness.FRESH)
 """What only the primary serves."""
@@ -67,7 +69,7 @@
             useful_until = min(deadline, now + request_class.latency_objective)
         wait_until = deadline
         if not late_answer_counts or request_class.freshness is not Freshness.WRITE:
-            wait_until = min(deadline, now + READ_WAIT_SHARE * request_class.latency_objective)
+            wait_until = min(deadline, now + HEADROOM_WAIT_SHARE * request_class.latency_objective)
         return RoutedRequest(
             id=event.request,
             request_class=request_class,
