--- a/sedgepitch/routing/attempt_results.py
+++ b/sedgepitch/routing/attempt_results.py
@@ -50,12 +50,12 @@
     def attempt_finished(self, event: AttemptFinished) -> None:
         """Learn from the end of an attempt, then retry or answer its request where an answer is owed."""
         endpoint = self.state.endpoints.get(event.endpoint)
-        attempt = self.attempts.finished(endpoint, event) if endpoint is not None else None
+        attempt = self.attempts.remove_from_endpoint(endpoint, event) if endpoint is not None else None
         if endpoint is None or attempt is None:
             return
         request, group = attempt.request, self.state.groups[endpoint.group_id]
         self._learn(endpoint, attempt, event)
-        self.attempts.closed(request, event.attempt)
+        self.attempts.remove_from_request(request, event.attempt)
         if group.waiting:
             self.wait_queue.place_waiting(group)
         if request.done or event.final:
--- a/sedgepitch/routing/attempts.py
+++ b/sedgepitch/routing/attempts.py
@@ -47,7 +47,7 @@
         self.idle_connections.close_before_send(endpoint)
         state.actions.append(SendAttempt(request.id, endpoint.id, 0.0))
 
-    def finished(self, endpoint: Endpoint, event: AttemptFinished) -> InFlightAttempt | None:
+    def remove_from_endpoint(self, endpoint: Endpoint, event: AttemptFinished) -> InFlightAttempt | None:
         """Take an attempt that has ended off its endpoint; None where it is not known, or ended before."""
         key = (event.request, event.attempt)
         attempt = endpoint.in_flight.pop(key, None)
@@ -59,7 +59,7 @@
             self.state.endpoints_in_use.pop(endpoint.id, None)
         return attempt
 
-    def closed(self, request: RoutedRequest, number: int) -> None:
+    def remove_from_request(self, request: RoutedRequest, number: int) -> None:
         """Take an attempt that has ended, and from which all was learnt, off its request."""
         del request.in_flight[number]
 
--- a/sedgepitch/routing/eligibility.py
+++ b/sedgepitch/routing/eligibility.py
@@ -35,7 +35,9 @@
 
     def _may_try(self, endpoint: Endpoint, request: RoutedRequest) -> bool:
         # A trial is a copy of what others serve, unless that cannot be or no healthy endpoint takes it.
-        copies = request.request_class.idempotency is Idempotency.IDEMPOTENT and self.state.settings.hedging
-        if copies and not request.needs_trial:
+        may_be_copied = (
+            request.request_class.idempotency is Idempotency.IDEMPOTENT and self.state.settings.hedging
+        )
+        if may_be_copied and not request.needs_trial:
             return False
         return self.outlier_detection.trial_is_due(endpoint)
--- a/sedgepitch/routing/health_checks.py
+++ b/sedgepitch/routing/health_checks.py
@@ -8,9 +8,8 @@
 from sedgepitch.routing.records import Endpoint
 from sedgepitch.routing.state import RouterState
 
-INTERVAL_SHARE_OF_BOUND = (
-    0.25  # least time between two checks for a position, as a share of the staleness bound
-)
+# Least time between two checks for a position, as a share of the staleness bound.
+INTERVAL_SHARE_OF_BOUND = 0.25
 INTERVAL_SHARE_OF_LAG = 0.25  # the same for an endpoint that is behind the bound, as a share of its lag
 LAG_MAX_S = 5.0  # lag beyond which an endpoint is asked no more rarely
 
--- a/sedgepitch/routing/idle_connections.py
+++ b/sedgepitch/routing/idle_connections.py
@@ -12,7 +12,7 @@
 from sedgepitch.routing.messages import CloseIdleConnections
 from sedgepitch.routing.records import NEVER, Endpoint
 
-IDLE_MIN_ANSWERS = 8.0  # typical latencies without a send from which on a connection counts as idle
+IDLE_MIN_LATENCIES = 8.0  # typical latencies without a send from which on a connection counts as idle
 LOSSES_IN_A_ROW = 2  # first sends after idleness that must go unanswered, with none answered between
 LIMIT_GROWTH = 1.5  # growth of the idle limit each period, so that it is forgotten with time
 NEVER_SENT_S = 1e9  # an idle time above this means that nothing was sent before
@@ -36,7 +36,7 @@
 
         It may where the only attempt in flight was the first send after idleness.
         """
-        idle_from = IDLE_MIN_ANSWERS * self.latencies.typical
+        idle_from = IDLE_MIN_LATENCIES * self.latencies.typical
         idle = idle_from < endpoint.idle_before_send < min(self.limit, NEVER_SENT_S)
         if len(endpoint.in_flight) != 1 or not idle:
             return False
@@ -47,7 +47,7 @@
 
     def answered(self, endpoint: Endpoint) -> None:
         """An answer after idleness shows that idle connections are not lost."""
-        if endpoint.idle_before_send > IDLE_MIN_ANSWERS * self.latencies.typical:
+        if endpoint.idle_before_send > IDLE_MIN_LATENCIES * self.latencies.typical:
             self.losses = 0
 
     def end_period(self) -> None:
--- a/sedgepitch/routing/records.py
+++ b/sedgepitch/routing/records.py
@@ -56,7 +56,7 @@
     state: EndpointState
     started: float
     preference_weight: float
-    """Position in this instance's own order of preference: the highest first."""
+    """A draw that fixes its place in this instance's own order of preference: the highest comes first."""
     periods_gone: int = 0
 
     # concurrency_limit
--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -134,6 +134,7 @@
         return state.actions
 
     def _dispatch(self, event: messages.Event) -> None:
+        # TimerExpired has no case: `handle` compares the time itself, so any event may bring what was due.
         match event:
             case messages.RequestReceived():
                 self.request_intake.request_received(event)
--- a/sedgepitch/routing/selection.py
+++ b/sedgepitch/routing/selection.py
@@ -21,10 +21,11 @@
 POSITION_CHECKS_MAX = 2  # replicas that a read may have checked for their position before it is placed
 POSITION_CHECK_MARGINS = 2.0  # answer margins that must be left of a read's wait for such a check
 LIKELY_REPLICAS = 2  # replicas that such a check chooses from
-CONNECTION_IN_USE_S = 0.5  # an instance spreads over as many endpoints as it would use this often each
+ENDPOINT_USE_INTERVAL_S = 0.5  # an instance spreads over as many endpoints as each get a read this often
 ENDPOINTS_MIN = 2  # but over this many at least
 OTHER_ZONE_PENALTY = 0.15  # latency ratio by which an endpoint of another zone must be better to win a tie
-CHECK_SERVES_READS = 2.0  # reads within a staleness bound from which on a replica's position is kept known
+# Reads an endpoint within a staleness bound, from which on expired positions are checked in advance.
+READS_PER_POSITION_CHECK_MIN = 2.0
 
 
 @dataclass(slots=True, eq=False)
@@ -89,9 +90,9 @@
     def _qualify(self, request: RoutedRequest, limit_share: float) -> tuple[list[Endpoint], list[Endpoint]]:
         # The eligible replicas, and of these the fresh enough, in order of preference until there are enough.
         group, attempts = request.group, request.attempts
-        reach = self._endpoints_in_use(group)
-        interval = group.request_interval * len(group.endpoints) * CHECK_SERVES_READS
-        keeps_positions = interval < self.health_checks.staleness_bound
+        enough = self._endpoints_to_spread_over(group)
+        interval = group.request_interval * len(group.endpoints) * READS_PER_POSITION_CHECK_MIN
+        checks_in_advance = interval < self.health_checks.staleness_bound
         may_send, fresh_enough = self.eligibility.may_send, self.freshness.fresh_enough
         eligible, qualified = [], []
         for endpoint in group.endpoints:
@@ -102,16 +103,16 @@
             eligible.append(endpoint)
             if fresh_enough(endpoint, request):
                 qualified.append(endpoint)
-                if len(qualified) == reach:
+                if len(qualified) == enough:
                     break
-            elif keeps_positions and self.health_checks.position_check_due(endpoint):
+            elif checks_in_advance and self.health_checks.position_check_due(endpoint):
                 self.health_checks.request(endpoint)
         return eligible, qualified
 
-    def _endpoints_in_use(self, group: ReplicaGroup) -> int:
+    def _endpoints_to_spread_over(self, group: ReplicaGroup) -> int:
         # An instance with little traffic keeps to the first of its order, so that connections stay in use.
         interval = max(group.request_interval, self.state.settings.tick)
-        return max(ENDPOINTS_MIN, int(CONNECTION_IN_USE_S / interval))
+        return max(ENDPOINTS_MIN, int(ENDPOINT_USE_INTERVAL_S / interval))
 
     def load(self, endpoint: Endpoint) -> tuple[float, float]:
         """Return the order of load, the lowest first: own requests in flight for its size and warm-up.
--- a/sedgepitch/routing/slow_start.py
+++ b/sedgepitch/routing/slow_start.py
@@ -8,10 +8,9 @@
 from sedgepitch.routing.records import Endpoint, RoutedRequest
 from sedgepitch.routing.state import RouterState
 
-OVERLOAD_SHARE = (
-    0.5  # share of the stated overload multiple, for its capacity, that a warming endpoint is sent
-)
-GOLDEN_RATIO = 0.618034  # spreads one request's draw over the endpoints of a group
+# Share of the stated overload multiple that a warming endpoint is sent, of the capacity that it has by now.
+OVERLOAD_SHARE = 0.5
+GOLDEN_RATIO = 0.618034  # its fractional part; gives one request a draw of its own at each endpoint
 
 
 @dataclass(slots=True, eq=False)
--- a/sedgepitch/routing/state.py
+++ b/sedgepitch/routing/state.py
@@ -30,7 +30,9 @@
     event_loop_blocked: bool = False
     """The timer came late, so what waited for this process looks late and is not."""
     timer_at: float = -NEVER
+    """When the next periodic check is due, NEVER where none is; the first event brings the first one."""
     timer_nonce: int = 0
+    """Number of the last timer that was asked for."""
     latency_objective: float = field(init=False)
     """The shortest of all classes."""
     check_interval: float = field(init=False)
