--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -27,14 +27,19 @@
 
 
 class Deadlines:
-    """Ends requests whose time is up: by the router's answer, or without it by the last guard."""
+    """Ends requests whose time is up: by the router's answer, or without it by the engine's own.
+
+    The *last guard* is the second: it answers what is still pending LAST_GUARD_AFTER seconds after the router
+    was told that the deadline has passed.
+    """
 
     __slots__ = ("_guards", "_heap", "_tick_due", "engine")
 
     def __init__(self, engine: Engine) -> None:
         """Work on the requests of `engine`."""
         self.engine = engine
-        self._heap: list[tuple[float, int]] = []  # (deadline, request id); ended requests stay a while
+        # (deadline, request id); ended requests stay until `add` drops them or they are due
+        self._heap: list[tuple[float, int]] = []
         self._guards: deque[tuple[float, PendingRequest]] = deque()  # when the last guard answers each
         self._tick_due = NEVER
 
@@ -161,5 +166,5 @@
         if pending.attempt_count and not idempotent:
             return Response(ResponseStatus.FAILED, why=why)
         now = engine.clock.now()
-        retry_after = engine.event_loop_lag.margin_below_in(pending.request.time_left, now)
+        retry_after = engine.event_loop_lag.seconds_until_margin_below(pending.request.time_left, now)
         return Response(ResponseStatus.REJECTED, retry_after=retry_after, why=why)
--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -16,6 +16,7 @@
 
 NEVER = float("inf")
 DECISION_MAY_AGE = (Freshness.BOUNDED, Freshness.FRESH)
+"""Reads whose endpoint may cease to qualify: it falls behind the bound, or its role passes on."""
 
 
 class Dispatcher:
@@ -63,8 +64,10 @@
             while self.events:
                 events, self.events = self.events, []
                 now = self.decided_at = engine.clock.now()
-                shown = [self._received(e, now) if isinstance(e, PendingRequest) else e for e in events]
-                for action in engine.router.handle(now, shown):
+                router_events = [
+                    self._received(e, now) if isinstance(e, PendingRequest) else e for e in events
+                ]
+                for action in engine.router.handle(now, router_events):
                     engine.callbacks.call("action", self.handlers[type(action)], action)
                 if engine.admission is not None:
                     engine.intake.carry_out(engine.admission.router_decided(engine.clock.now()))
--- a/sedgepitch/core/intake.py
+++ b/sedgepitch/core/intake.py
@@ -97,6 +97,8 @@
         if pending.admitted:
             engine.dispatcher.feed(api.ClientDisconnected(pending.id))
         if engine.admission is not None:
+            # `served` means "not rejected" here: no allowance falls, and the key is not remembered as that of
+            # a rejected request. The time in flight so far counts as a latency.
             self.carry_out(engine.admission.ended(pending.id, engine.clock.now(), served=True))
 
     def carry_out(self, decisions: list[Decision]) -> None:
@@ -163,7 +165,7 @@
         elif pending.router_deadline <= now + MIN_TIME_LEFT and margin > 0.0:
             engine.rejected_for_lag += 1
             why = reasons.EVENT_LOOP_LAG.format(lag=margin)
-            retry_after = engine.event_loop_lag.margin_below_in(pending.request.time_left, now)
+            retry_after = engine.event_loop_lag.seconds_until_margin_below(pending.request.time_left, now)
         else:
             return None
         return Response(ResponseStatus.REJECTED, retry_after=retry_after, why=why)
--- a/sedgepitch/core/request_table.py
+++ b/sedgepitch/core/request_table.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from sedgepitch.core.types import ClientRequest, InFlightAttempt, ResponseCallback
+from sedgepitch.core.types import AttemptHandle, ClientRequest, ResponseCallback
 
 
 @dataclass(slots=True, eq=False)
@@ -18,7 +18,7 @@
 
     endpoint: int
     sent_at: float
-    in_flight: InFlightAttempt
+    in_flight: AttemptHandle
 
 
 class PendingRequest:
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -67,8 +67,8 @@
 AttemptCallback = Callable[[AttemptOutcome], None]
 
 
-class InFlightAttempt(Protocol):
-    """One attempt that has been handed to the upstream side and has not ended."""
+class AttemptHandle(Protocol):
+    """What the upstream side gives for an attempt that it was handed and that has not ended."""
 
     def abandon(self) -> None:
         """Stop waiting for its end: its callback is not called any more."""
@@ -83,9 +83,7 @@
 class Upstream(Protocol):
     """The side of a protocol that speaks with the endpoints."""
 
-    def send(
-        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
-    ) -> InFlightAttempt:
+    def send(self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float) -> AttemptHandle:
         """Send a payload to an endpoint; `on_end` is called once, never before this returns.
 
         What cannot leave by the moment `send_by` ends with `AttemptResult.NOT_SENT`.
--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -36,8 +36,8 @@
 MIN_BASELINE_S = 0.002  # lower ones show the turns of the event loop, and 0 could not be divided by
 MIN_LIMIT = 2.0  # requests in flight
 INITIAL_LIMIT = 16.0  # requests in flight
-FIRST_MAX_DECREASE = 0.4  # the limit after the first queue, at least, of what was in flight
-MAX_DECREASE = 0.75  # the same after later ones
+FIRST_DECREASE_FACTOR_MIN = 0.4  # of what was in flight, that the first decrease leaves at least
+DECREASE_FACTOR_MIN = 0.75  # the same for later ones
 GROWTH_FACTOR = 1.1  # a span, of a limit that is in use
 MIN_GROWTH = 0.5  # requests a span
 SLOW_START_FACTOR = 2.0  # a span
@@ -50,8 +50,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClassLatency:
-    """Latencies of one request class in a span, in seconds."""
+class ClassSample:
+    """What one span showed of one request class; times in seconds."""
 
     objective: float
     median: float
@@ -136,14 +136,14 @@
         self.peak_in_flight = 0
         self._span_started_at = now
 
-    def _class_latencies(self, min_sample: int) -> dict[str, ClassLatency]:
+    def _class_latencies(self, min_sample: int) -> dict[str, ClassSample]:
         return {
-            name: ClassLatency(objective, median(latencies), len(latencies))
+            name: ClassSample(objective, median(latencies), len(latencies))
             for name, (objective, latencies) in self._samples.items()
             if len(latencies) >= min_sample
         }
 
-    def _end_probe(self, latencies: dict[str, ClassLatency]) -> None:
+    def _end_probe(self, latencies: dict[str, ClassSample]) -> None:
         """Take the latencies of a probe as the baseline, and plan the next probe."""
         changed = not latencies
         for name, latency in latencies.items():
@@ -155,13 +155,13 @@
         self._spans_in_doubt = 0
         self.current_limit = self.limit
 
-    def _move_limit(self, latencies: dict[str, ClassLatency]) -> None:
+    def _move_limit(self, latencies: dict[str, ClassSample]) -> None:
         """Lower the limit where answers queue, raise it where it is in use and they do not."""
         ratio = self._latency_ratio(latencies)
         if ratio > TARGET_RATIO:
             in_use = min(self.limit, float(max(1, self.peak_in_flight)))
-            max_decrease = FIRST_MAX_DECREASE if self.in_slow_start else MAX_DECREASE
-            self.limit = max(MIN_LIMIT, in_use * max(max_decrease, TARGET_RATIO / ratio))
+            factor_min = FIRST_DECREASE_FACTOR_MIN if self.in_slow_start else DECREASE_FACTOR_MIN
+            self.limit = max(MIN_LIMIT, in_use * max(factor_min, TARGET_RATIO / ratio))
             self.in_slow_start = False
         elif self.peak_in_flight >= self.limit - 1.0:
             factor = SLOW_START_FACTOR if self.in_slow_start else GROWTH_FACTOR
@@ -172,7 +172,7 @@
             if self._spans_in_doubt >= self._probe_pause:
                 self._begin_probe()
 
-    def _latency_ratio(self, latencies: dict[str, ClassLatency]) -> float:
+    def _latency_ratio(self, latencies: dict[str, ClassSample]) -> float:
         """Return the mean of median latency over baseline, by answers; a faster class lowers its baseline."""
         ratio = 0.0
         total = 0.0
@@ -184,7 +184,7 @@
             total += latency.count
         return ratio / total
 
-    def _baseline_in_doubt(self, latencies: dict[str, ClassLatency]) -> bool:
+    def _baseline_in_doubt(self, latencies: dict[str, ClassSample]) -> bool:
         """Whether answers take long while the limit is full: they may all have queued."""
         slow = any(latency.median > latency.noise_floor for latency in latencies.values())
         return slow and self.peak_in_flight >= max(2.0 * MIN_LIMIT, self.limit - 1.0)
--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -30,7 +30,7 @@
 USAGE_SKETCH_WIDTH = 4096  # cells a row
 USAGE_TOP_TENANTS = 16  # that are known by name
 USAGE_HALF_LIFE_S = 30.0
-POOL_SEED_STEP = 7
+POOL_SEED_STEP = 7  # between the seeds of two pools; arbitrary
 NO_LIMIT = float("inf")
 
 TOO_MANY_RETRIES = "too many retries"
@@ -122,6 +122,7 @@
     def ended(self, number: int, now: float, served: bool, received_at: float = 0.0) -> list[Decision]:
         """Note that a request has its final answer, or its client has disconnected; decide on queued ones.
 
+        `served` is false for a rejection or a failure; the engine passes true for a disconnected client.
         `received_at` is when the answer's bytes arrived, 0 where that is not known: what passed since then
         was this process's own delay and tells nothing of endpoints.
         """
--- a/sedgepitch/decisions/admission/retry_budget.py
+++ b/sedgepitch/decisions/admission/retry_budget.py
@@ -14,8 +14,9 @@
 class RetryBudget:
     """Counts first attempts and retries of each tenant, in memory that does not grow with tenants.
 
-    A retry is a request with the idempotency key of one that was lately rejected; at most `max_keys` of
-    these are remembered. Retries may be `share` of a tenant's first attempts, beside FREE_RETRIES.
+    A retry is a request with the idempotency key of one that was lately rejected or failed. At most
+    `max_keys` of these keys are remembered. Retries may be `share` of a tenant's first attempts, beside
+    FREE_RETRIES.
     """
 
     def __init__(self, share: float, max_keys: int, seed: int, now: float) -> None:
--- a/sedgepitch/decisions/event_loop_lag.py
+++ b/sedgepitch/decisions/event_loop_lag.py
@@ -22,11 +22,11 @@
 class EventLoopLag:
     """Lag samples of one process. Pure: moments are passed in, in monotonic seconds."""
 
-    __slots__ = ("_longest", "_margin", "_span", "longest", "samples", "total")
+    __slots__ = ("_longest_by_span", "_margin", "_span", "longest", "samples", "total")
 
     def __init__(self) -> None:
         """Start without samples: the margin is 0."""
-        self._longest = [0.0] * WINDOW_SPANS  # of each span, by its number modulo WINDOW_SPANS
+        self._longest_by_span = [0.0] * WINDOW_SPANS  # s, by the span's number modulo WINDOW_SPANS
         self._span = 0  # number of the present span
         self._margin = 0.0
         self.longest = 0.0  # s, since the start
@@ -44,8 +44,8 @@
         self._advance(now)
         # Waits that overlap end in the same span, so one pause counts once.
         index = self._span % WINDOW_SPANS
-        if seconds > self._longest[index]:
-            self._longest[index] = seconds
+        if seconds > self._longest_by_span[index]:
+            self._longest_by_span[index] = seconds
             self._update_margin()
 
     def deadline_margin(self, now: float) -> float:
@@ -53,14 +53,16 @@
         self._advance(now)
         return self._margin
 
-    def margin_below_in(self, seconds: float, now: float) -> float:
+    def seconds_until_margin_below(self, seconds: float, now: float) -> float:
         """Return in how many seconds the margin falls below `seconds`, if no more lag is seen.
 
         Never less than MIN_RETRY_AFTER.
         """
         self._advance(now)
         clears_in = 0.0
-        by_age = [(age, self._longest[(self._span - age) % WINDOW_SPANS]) for age in range(WINDOW_SPANS)]
+        by_age = [
+            (age, self._longest_by_span[(self._span - age) % WINDOW_SPANS]) for age in range(WINDOW_SPANS)
+        ]
         ages_over = [age for age, lag in by_age if lag >= seconds]
         if len(ages_over) > 1:  # until only one of them is left
             clears_in = (WINDOW_SPANS - ages_over[1]) * SPAN_S - now % SPAN_S
@@ -75,13 +77,13 @@
         if span <= self._span:
             return
         for new in range(max(self._span, span - WINDOW_SPANS) + 1, span + 1):
-            self._longest[new % WINDOW_SPANS] = 0.0
+            self._longest_by_span[new % WINDOW_SPANS] = 0.0
         self._span = span
         self._update_margin()
 
     def _update_margin(self) -> None:
         first = second = 0.0
-        for lag in self._longest:
+        for lag in self._longest_by_span:
             if lag > first:
                 first, second = lag, first
             elif lag > second:
--- a/sedgepitch/decisions/positions.py
+++ b/sedgepitch/decisions/positions.py
@@ -34,7 +34,7 @@
 OPTIME_LEAP_MAX_S = 60.0  # that a log may be ahead of the newest observation and of the time since then
 POSITION_UNKNOWN = 0.0  # the position of an endpoint that answered and proved nothing
 NO_TERM = -1
-NEVER = float("-inf")
+NEVER_ASKED = float("-inf")
 
 
 @dataclass(slots=True, frozen=True)
@@ -114,7 +114,7 @@
     optime: OpTime | None = None
     claimed_term: int = NO_TERM  # in which it last called itself primary
     claimed_since: float = 0.0  # when it was asked and first said so in that term
-    last_hello_sent: float = NEVER  # when the newest question that it answered by hello was sent
+    last_hello_sent: float = NEVER_ASKED  # when the newest question that it answered by hello was sent
 
 
 @dataclass(slots=True)
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from sedgepitch.core.connection_pool import ConnectionPool, PoolLimits
-from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
+from sedgepitch.core.types import AttemptCallback, AttemptHandle, AttemptOutcome, Clock
 from sedgepitch.decisions.positions import UNPROVEN, EndpointEvidence, GroupPositions
 from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.net.twisted_types import Reactor
@@ -100,9 +100,7 @@
                 self.pools[entry.endpoint] = known
             known.listed_primary = entry.primary
 
-    def send(
-        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
-    ) -> InFlightAttempt:
+    def send(self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float) -> AttemptHandle:
         """Send a command; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
         return self.pools[endpoint].pool.send(payload, on_end, send_by)
 
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
-from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock, InFlightAttempt
+from sedgepitch.core.types import AttemptCallback, AttemptHandle, AttemptOutcome, Clock
 from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.common.callbacks import ignore
@@ -100,9 +100,7 @@
             known.address = address
             known.pool = self._make_pool(endpoint, address)
 
-    def send(
-        self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float
-    ) -> InFlightAttempt:
+    def send(self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float) -> AttemptHandle:
         """Send a statement; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
         pool = self.pools[endpoint].pool
         if self._descriptors_short():
--- a/tests/support/golden_admission.py
+++ b/tests/support/golden_admission.py
@@ -277,7 +277,7 @@
         digest.line(
             "lag",
             lag.deadline_margin(now),
-            lag.margin_below_in(rng.choice((0.01, 0.1, 0.4)), now),
+            lag.seconds_until_margin_below(rng.choice((0.01, 0.1, 0.4)), now),
             lag.longest,
         )
         waited_s = rng.uniform(0.0, 0.1)
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -30,10 +30,10 @@
     event_loop_lag = EventLoopLag()
     event_loop_lag.record(0.3, 10.0)
     event_loop_lag.record(0.3, 11.0)
-    clears = event_loop_lag.margin_below_in(0.1, 11.0)
+    clears = event_loop_lag.seconds_until_margin_below(0.1, 11.0)
     assert event_loop_lag.deadline_margin(11.0 + clears - 0.01) >= 0.1
     assert event_loop_lag.deadline_margin(11.0 + clears + 0.01) < 0.1
-    assert event_loop_lag.margin_below_in(0.1, 30.0) == MIN_RETRY_AFTER
+    assert event_loop_lag.seconds_until_margin_below(0.1, 30.0) == MIN_RETRY_AFTER
 
 
 @settings(max_examples=300, deadline=None)
@@ -50,4 +50,7 @@
     longest = kept[-1] if kept else 0.0
     assert event_loop_lag.deadline_margin(now) == max(kept[-2] if len(kept) > 1 else 0.0, 0.5 * longest)
     below = 0.05
-    assert event_loop_lag.deadline_margin(now + event_loop_lag.margin_below_in(below, now) + 1e-6) < below
+    assert (
+        event_loop_lag.deadline_margin(now + event_loop_lag.seconds_until_margin_below(below, now) + 1e-6)
+        < below
+    )
