--- a/sedgepitch/node/config.py
+++ b/sedgepitch/node/config.py
@@ -36,7 +36,7 @@
     cores: float
     memory: float  # MB
     sockets: int
-    known: ListVersion | None  # the endpoint list as this instance last had it; may be out of date
+    cached_list: ListVersion | None  # the endpoint list as this instance last had it; may be out of date
     settings: messages.Settings
     connect_within: float  # s
     idle_for: float  # s after which endpoints close idle connections
@@ -61,7 +61,9 @@
             seed=_seed(raw.get("seed", "0")),
             listen=read_address(listen, "listen", min_port=0),
             discovery=read_address(discovery, "discovery"),
-            known=None if raw.get("known") is None else read_version(raw["known"], unix_offset, "known"),
+            cached_list=None
+            if raw.get("known") is None
+            else read_version(raw["known"], unix_offset, "known"),
             settings=translate_settings(settings),
             connect_within=_timeout(settings, "connectTimeoutS") or DEFAULT_CONNECT_TIMEOUT_S,
             idle_for=_timeout(settings, "idleCloseS") or DEFAULT_IDLE_CLOSE_S,
--- a/sedgepitch/node/endpoint_snapshot.py
+++ b/sedgepitch/node/endpoint_snapshot.py
@@ -48,7 +48,7 @@
     for endpoint in router.endpoints.values():
         if endpoint.id not in versions.present:
             continue
-        link = upstream.pools.get(endpoint.id)
+        endpoint_pool = upstream.pools.get(endpoint.id)
         found.append(
             EndpointSnapshot(
                 name=versions.names.get(endpoint.id, str(endpoint.id)),
@@ -56,8 +56,8 @@
                 primary=router.groups[endpoint.group_id].primary is endpoint,
                 ejection=endpoint.ejection_reason.value if endpoint.ejection_reason else "healthy",
                 in_flight=len(endpoint.in_flight),
-                connections=len(link.pool.connections) if link else 0,
-                idle_connections=len(link.pool.idle) if link else 0,
+                connections=len(endpoint_pool.pool.connections) if endpoint_pool else 0,
+                idle_connections=len(endpoint_pool.pool.idle) if endpoint_pool else 0,
                 connection_failures=endpoint.connection_failures,
                 ejected_for_s=max(0.0, endpoint.ejected_until - now),
                 concurrency_limit=endpoint.concurrency_limit,
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -35,7 +35,7 @@
 ACCEPTS_PER_TURN = 16
 STATISTICS_INTERVAL_S = 5.0
 TRACE_STATISTICS_INTERVAL_S = 0.5  # while the trace is switched on
-# What a reload does not change.
+# Fields of NodeConfig that a reload does not change; the log names them.
 FIXED_FIELDS = ("name", "listen", "cores", "memory", "sockets", "settings", "connect_within", "idle_for")
 
 
@@ -114,8 +114,8 @@
 
         `on_bind_failed` is called if the port cannot be bound.
         """
-        if self.config.known is not None:
-            self._apply_version(self.config.known, cached=True)
+        if self.config.cached_list is not None:
+            self._apply_version(self.config.cached_list, cached=True)
         self.discovery.start()
         self.port_binding = PortBinding(
             self.clock, self._open_port, self._port_bound, on_bind_failed, self.log.log_event
--- a/sedgepitch/protocols/postgresql/statement_handler.py
+++ b/sedgepitch/protocols/postgresql/statement_handler.py
@@ -24,7 +24,7 @@
 SQLSTATE_REJECTED = "53300"  # too_many_connections: nothing ran, the client may retry
 SQLSTATE_FAILED = "58000"  # system_error: the statement may have run
 SQLSTATE_DUPLICATE_ID = "42710"  # duplicate_object
-STICKY_FRESHNESS = (Freshness.WRITE, Freshness.SESSION)  # whose requests carry the session's key
+SESSION_FRESHNESS = (Freshness.WRITE, Freshness.SESSION)  # whose requests name their session
 
 
 class StatementHandler:
@@ -114,7 +114,7 @@
             statement.group,
             time_left - ANSWER_MARGIN_S,
             statement,
-            statement.session if freshness in STICKY_FRESHNESS else "",
+            statement.session if freshness in SESSION_FRESHNESS else "",
             session_age,
             connection.number,
         )
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -25,7 +25,7 @@
 from sedgepitch.settings import translate_load_report
 
 IDLE_CHECK_INTERVAL_S = 1.0
-CONNECT_GRACE_S = 1.0  # beyond the pool's own bound, which is to end an opening first
+CONNECT_GRACE_S = 1.0  # added to the pool's own bound, so that the pool gives up first
 NEVER = math.inf
 
 
@@ -85,20 +85,20 @@
                 self._set_address(entry.endpoint, address)
         named = {entry.endpoint for entry in entries}
         present = {entry.endpoint for entry in entries if entry.state is not EndpointState.GONE}
-        for pool in self.pools.values():
-            if pool.id in present:
-                pool.gone_since = NEVER
-            elif complete or pool.id in named:
-                pool.gone_since = min(pool.gone_since, now)
+        for endpoint_pool in self.pools.values():
+            if endpoint_pool.id in present:
+                endpoint_pool.gone_since = NEVER
+            elif complete or endpoint_pool.id in named:
+                endpoint_pool.gone_since = min(endpoint_pool.gone_since, now)
 
     def _set_address(self, endpoint: int, address: tuple[str, int]) -> None:
-        known = self.pools.get(endpoint)
-        if known is None:
+        endpoint_pool = self.pools.get(endpoint)
+        if endpoint_pool is None:
             self.pools[endpoint] = EndpointPool(endpoint, address, self._make_pool(endpoint, address))
-        elif known.address != address:
-            known.pool.retire()
-            known.address = address
-            known.pool = self._make_pool(endpoint, address)
+        elif endpoint_pool.address != address:
+            endpoint_pool.pool.retire()
+            endpoint_pool.address = address
+            endpoint_pool.pool = self._make_pool(endpoint, address)
 
     def send(self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float) -> AttemptHandle:
         """Send a statement; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
@@ -109,22 +109,22 @@
 
     def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
         """Ask an endpoint for its load report."""
-        known = self.pools.get(endpoint)
-        if known is None:
+        endpoint_pool = self.pools.get(endpoint)
+        if endpoint_pool is None:
             self.clock.soon(on_end, AttemptOutcome(AttemptResult.NOT_SENT, why="not listed any more"))
         else:
-            known.pool.send_with_timeout(HealthCheckQuery(), on_end, self.health_check_timeout)
+            endpoint_pool.pool.send_with_timeout(HealthCheckQuery(), on_end, self.health_check_timeout)
 
     def close_idle(self, endpoint: int) -> None:
         """Close the connections to an endpoint that are not in use."""
-        known = self.pools.get(endpoint)
-        if known is not None:
-            known.pool.close_idle()
+        endpoint_pool = self.pools.get(endpoint)
+        if endpoint_pool is not None:
+            endpoint_pool.pool.close_idle()
 
     def close(self) -> None:
         """Close all connections."""
-        for known in self.pools.values():
-            known.pool.close()
+        for endpoint_pool in self.pools.values():
+            endpoint_pool.pool.close()
 
     # Descriptors and idle connections
 
@@ -136,23 +136,23 @@
 
         Returns False where none is idle.
         """
-        idle = [known for known in self.pools.values() if known.pool.idle]
+        idle = [endpoint_pool for endpoint_pool in self.pools.values() if endpoint_pool.pool.idle]
         if not idle:
             return False
-        oldest = min(idle, key=lambda known: known.pool.idle[0].idle_since)
+        oldest = min(idle, key=lambda endpoint_pool: endpoint_pool.pool.idle[0].idle_since)
         oldest.pool.idle.pop(0).close()
         return True
 
     def _close_unused(self) -> None:
         """Close connections idle for too long, and forget endpoints that are gone and have none left."""
         now = self.clock.now()
-        for known in list(self.pools.values()):
-            known.pool.close_expired()
-            if known.gone_since < now:
-                known.pool.close_idle()
-                if not known.pool.connections:
-                    del self.pools[known.id]
-                    self.on_forgotten(known.id)
+        for endpoint_pool in list(self.pools.values()):
+            endpoint_pool.pool.close_expired()
+            if endpoint_pool.gone_since < now:
+                endpoint_pool.pool.close_idle()
+                if not endpoint_pool.pool.connections:
+                    del self.pools[endpoint_pool.id]
+                    self.on_forgotten(endpoint_pool.id)
         self.clock.call_later(IDLE_CHECK_INTERVAL_S, self._close_unused)
 
     # Connections and replies
@@ -167,7 +167,7 @@
         return ConnectionPool(
             self.clock,
             connect,
-            lambda exchange, reply: self.outcome(endpoint, exchange.payload, reply),
+            lambda attempt, reply: self.outcome(endpoint, attempt.payload, reply),
             self.limits,
             self.descriptors,
         )
