--- a/sedgepitch/decisions/gossip/failure_detection.py
+++ b/sedgepitch/decisions/gossip/failure_detection.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way. Times are on the own clock."""
+    """The probe under way. Times are seconds on this node's clock."""
 
     target: str
     sequence: int
@@ -58,7 +58,7 @@
         rng: random.Random,
     ) -> None:
         """Begin without a probe; the first one is due at once."""
-        self.relayed: dict[int, RelayedProbe] = {}  # by the sequence number of the own ping
+        self.relayed: dict[int, RelayedProbe] = {}  # by the sequence number of this node's ping
         self._settings = settings
         self._table = table
         self._membership = membership
@@ -118,7 +118,7 @@
         self._sender.send(now, request.target, Ping(self._sequence), actions)
 
     def acked(self, now: float, sequence: int, actions: list[Action]) -> None:
-        """Take an ack: pass it on, or end the own probe."""
+        """Take an ack: pass it on, or end this node's own probe."""
         relay = self.relayed.pop(sequence, None)
         if relay is not None:
             self._sender.send(now, relay.requester, Ack(relay.requester_sequence), actions)
@@ -131,7 +131,7 @@
             self._probe.nacks += 1
 
     def answered_by_stream(self, name: str) -> None:
-        """End the own probe of a member that answered over a stream."""
+        """End this node's probe of a member that answered over a stream."""
         if self._probe is not None and self._probe.target == name:
             self._succeed()
 
--- a/sedgepitch/decisions/gossip/members.py
+++ b/sedgepitch/decisions/gossip/members.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class HeldEntry:
-    """A state entry as held here; `published_at` is on the own clock."""
+    """A state entry as held here; `published_at` is in seconds of this node's clock."""
 
     version: int
     published_at: float
--- a/sedgepitch/decisions/gossip/replay_protection.py
+++ b/sedgepitch/decisions/gossip/replay_protection.py
@@ -45,7 +45,7 @@
 
 
 class SenderSessions:
-    """The proven session of each sender. Times are seconds on the own monotonic clock."""
+    """The proven session of each sender. Times are seconds on this node's monotonic clock."""
 
     def __init__(self, seed: int, max_senders: int = MAX_SENDERS) -> None:
         """Begin without sessions; `seed` is of the nonces."""
--- a/sedgepitch/decisions/zones/evidence.py
+++ b/sedgepitch/decisions/zones/evidence.py
@@ -1,14 +1,16 @@
 """What the digests of all instances amount to at one moment, as seen from one instance.
 
-Who judges. The instances of the own zone, its *zone peers*, decide for themselves by over two thirds of their
-weight: a zone that is cut off from here is lost here, while those inside it or elsewhere go on. All instances
-outside a zone together move each other by over half of theirs, unless the zone peers see it healthy.
-
-What a vote weighs. An instance's request rate, held between the median's 1/sqrt(2) and sqrt(2) times: no vote
-weighs over twice another. Let n instances vote, L of them Byzantine: their part of the weight is at most
-2L / (n + L), which reaches one half at L = n / 3. Below that neither a false leave nor a blocked one is had
-from the fleet. Among k zone peers, where over two thirds are asked for, a false leave needs L over k / 2, and
-at least three where there are three; a true one is blocked from k / 5 on, and then the fleet's half decides.
+Who decides. Those in this instance's zone, its *zone peers*, decide by over two thirds of their weight:
+they alone see that a zone cannot be reached from here, while instances inside it or elsewhere go on using it.
+All instances outside a zone decide together by over half of their weight, unless the zone peers see it
+healthy.
+
+What a vote weighs. An instance's request rate, held between 1/sqrt(2) and sqrt(2) times the median: no vote
+weighs over twice another. If L of n voting instances are Byzantine, their part of the weight is at most
+2L / (n + L), which reaches one half at L = n / 3. With fewer, they can neither make the fleet leave a healthy
+zone nor keep it from leaving a lost one. Among k zone peers, of whose weight over two thirds is asked for,
+they can make them leave a healthy zone where L is over k / 2 (and at least three, where there are three), and
+keep them from leaving a lost one from L = k / 5 on; then the fleet's half decides.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
 FLEET_QUORUM = 1 / 2
 COUNT_MIN = 3  # instances that must agree, where there are as many
 LEFT_PEERS_MIN = 2  # that have left a zone: one zone peer is no quorum to follow
-COUNTED_TIME_S = 1.5 * WINDOW_S  # that an observation's counts are of, in the mean
+COUNTED_TIME_S = 1.5 * WINDOW_S  # mean time that an observation's counts cover: one to two windows
 
 
 @dataclass(slots=True, frozen=True)
--- a/sedgepitch/decisions/zones/observations.py
+++ b/sedgepitch/decisions/zones/observations.py
@@ -15,7 +15,7 @@
 MAX_LATENCY_RATIO = 20.0  # of one attempt, so that one outlier does not make the mean
 MAX_SINCE_SUCCESS_MS = 60_000
 RATE_SMOOTHING = 0.5  # weight of the newest window in the request rate
-NEVER = -1e9  # s: before any time
+LONG_AGO = -1e9  # s; earlier than any time of the clock
 
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15
 MASK_64 = 0xFFFFFFFFFFFFFFFF
@@ -39,7 +39,7 @@
     timeouts: int = 0
     errors: int = 0
     latency_ratio_sum: float = 0.0  # latency over the objective, over the successes
-    last_success_at: float = NEVER
+    last_success_at: float = LONG_AGO
 
     @property
     def failures(self) -> int:
@@ -66,7 +66,7 @@
 class ZoneObservations:
     """Counts of one instance's own attempts, bounded by the endpoints that it uses within two windows.
 
-    Times are seconds on the own monotonic clock.
+    Times are seconds on this instance's monotonic clock.
     """
 
     def __init__(self) -> None:
--- a/sedgepitch/decisions/zones/recovery.py
+++ b/sedgepitch/decisions/zones/recovery.py
@@ -13,11 +13,11 @@
 from sedgepitch.decisions.zones.states import Zone, ZoneState, ZoneTable
 from sedgepitch.decisions.zones.votes import Vote
 
-TRIAL_RATE = 1.0  # requests a second that any endpoint can serve, whatever an instance's fair part is
+TRIAL_RATE = 1.0  # requests a second that a trial aims at, at least: any endpoint can serve them
 TRIAL_REQUESTS = 4.0  # that a turn should have room for
 TRIAL_TURN_FACTOR_MAX = 4.0  # times the length of a turn, where there are few requests
 RATE_MIN = 0.01  # requests a second, against a division by zero
-STEP_TOLERANCE_S = 0.1  # the interval between steps of a zone that is not in full use
+STEP_TOLERANCE_S = 0.1  # s between calls of ZoneController.step while a zone is not in full use
 SHARE_TOLERANCE = 1e-3  # shares are published in thousandths
 NAMES_IN_REASON = 3
 RANK_BYTES = 8
--- a/sedgepitch/decisions/zones/states.py
+++ b/sedgepitch/decisions/zones/states.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Zone:
-    """One zone as this instance uses it. Times are seconds on the own monotonic clock."""
+    """One zone as this instance uses it. Times are seconds on this instance's monotonic clock."""
 
     name: str
     trial_delay: float  # before a lost zone is tried; doubles with each relapse
