--- a/sedgepitch/routing/actions.py
+++ b/sedgepitch/routing/actions.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send the request to an endpoint. A time-out of 0 lasts until the client gives up."""
+    """Send the request to an endpoint. A time-out of 0, the only one used, ends with the client's time."""
 
     request: int
     endpoint: int
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt. No part of the router asks for it so far."""
 
     request: int
     attempt: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators' log."""
+    """A line for the operators' log. No part of the router writes one so far."""
 
     text: str
 
--- a/sedgepitch/routing/half_open_trials.py
+++ b/sedgepitch/routing/half_open_trials.py
@@ -43,7 +43,7 @@
             if may_copy and due and self.freshness.fresh_enough(endpoint, request):
                 self.attempts.send(request, endpoint)
             elif (may_copy or not due) and now - endpoint.health_checked_at >= CHECK_INTERVAL_S:
-                self.health_checks.request(endpoint)
+                self.health_checks.check(endpoint)
 
     def _may_copy(self, request: RoutedRequest, endpoint: Endpoint) -> bool:
         if not request.in_flight or endpoint in request.attempts:
--- a/sedgepitch/routing/health_checks.py
+++ b/sedgepitch/routing/health_checks.py
@@ -28,7 +28,7 @@
         bounds = [c.max_staleness for c in classes if c.freshness is Freshness.BOUNDED]
         self.staleness_bound = min(bounds, default=self.state.latency_objective)
 
-    def request(self, endpoint: Endpoint) -> None:
+    def check(self, endpoint: Endpoint) -> None:
         """Check the endpoint, unless the platform has no health checks or one is under way."""
         if not self.state.settings.health_checks or endpoint.health_check_pending:
             return
--- a/sedgepitch/routing/outlier_detection.py
+++ b/sedgepitch/routing/outlier_detection.py
@@ -141,7 +141,7 @@
         if endpoint.connection_failures >= CONNECTION_FAILURES_MAX:
             self.eject(endpoint, EjectionReason.UNREACHABLE)
         elif endpoint.connection_failures:
-            self.health_checks.request(endpoint)
+            self.health_checks.check(endpoint)
 
     def timed_out(self, endpoint: Endpoint, key: AttemptKey) -> None:
         """An attempt ended unanswered: that fails a trial."""
--- a/sedgepitch/routing/primary_discovery.py
+++ b/sedgepitch/routing/primary_discovery.py
@@ -100,4 +100,4 @@
         group.role_checks_resume_at = self.state.now + ROLE_CHECK_INTERVAL_S
         count = min(len(group.endpoints), len(group.waiting))
         for endpoint in self.state.random.sample(group.endpoints, count):
-            self.health_checks.request(endpoint)
+            self.health_checks.check(endpoint)
--- a/sedgepitch/routing/selection.py
+++ b/sedgepitch/routing/selection.py
@@ -106,7 +106,7 @@
                 if len(qualified) == enough:
                     break
             elif checks_in_advance and self.health_checks.position_check_due(endpoint):
-                self.health_checks.request(endpoint)
+                self.health_checks.check(endpoint)
         return eligible, qualified
 
     def _endpoints_to_spread_over(self, group: ReplicaGroup) -> int:
@@ -138,7 +138,7 @@
         likely = self._likely_replicas(request, max_staleness)
         if likely:
             request.position_checks += 1
-            self.health_checks.request(min(likely, key=self.load))
+            self.health_checks.check(min(likely, key=self.load))
         return bool(likely)
 
     def _likely_replicas(self, request: RoutedRequest, max_staleness: float) -> list[Endpoint]:
--- a/sedgepitch/routing/settings.py
+++ b/sedgepitch/routing/settings.py
@@ -84,7 +84,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RuleLimits:
-    """The figures of the binding rules."""
+    """The figures of the binding rules.
+
+    The router does not use `answer_slack`, `drain_grace` and `overload_duration`.
+    """
 
     answer_slack: float = 0.0
     """Time after its deadline by which a request must have its final answer."""
@@ -103,7 +106,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that a router is told when it starts; raises InvalidSettingsError."""
+    """Everything that a router is told when it starts; raises InvalidSettingsError.
+
+    The router does not use `stale_read_wait`, `load_reports_in_answers`, `list_reports_primary` and `cancel`.
+    """
 
     classes: tuple[RequestClass, ...]
     zone: str = ""
