--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -15,11 +15,9 @@
 from typing import Any, Protocol
 
 from sedgepitch.core.pooled_connection import Connector, PoolAttempt, PooledConnection
-from sedgepitch.core.types import AttemptCallback, AttemptOutcome, Clock
+from sedgepitch.core.types import NEVER, AttemptCallback, AttemptOutcome, Clock
 from sedgepitch.routing.messages import AttemptResult
 
-NEVER = float("inf")
-
 # Why an attempt ended, as a client may see it.
 DECIDED_TOO_LONG_AGO = "decided too long ago"
 ALL_IN_USE = "all connections to the member are in use"
--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -12,7 +12,7 @@
 
 from sedgepitch.core import reasons
 from sedgepitch.core.request_table import PendingRequest
-from sedgepitch.core.types import Response, ResponseStatus
+from sedgepitch.core.types import NEVER, Response, ResponseStatus
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import Idempotency
 
@@ -23,7 +23,6 @@
 LAST_GUARD_AFTER = 0.02  # s from telling the router that a deadline has passed until the engine answers
 CLOCK_TOLERANCE = 1e-6  # s
 MAX_STALE_ENTRIES = 64  # entries of ended requests that may stay in the heap, beside as many as are live
-NEVER = float("inf")
 
 
 class Deadlines:
--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -7,14 +7,13 @@
 
 from sedgepitch.core import reasons
 from sedgepitch.core.request_table import PendingRequest, SentAttempt
-from sedgepitch.core.types import AttemptOutcome
+from sedgepitch.core.types import NEVER, AttemptOutcome
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, Freshness, Idempotency, SessionTracking
 
 if TYPE_CHECKING:
     from sedgepitch.core.engine import Engine
 
-NEVER = float("inf")
 DECISION_MAY_AGE = (Freshness.BOUNDED, Freshness.FRESH)
 """Reads whose endpoint may cease to qualify: it falls behind the bound, or its role passes on."""
 
--- a/sedgepitch/core/intake.py
+++ b/sedgepitch/core/intake.py
@@ -7,6 +7,7 @@
 from sedgepitch.core import reasons
 from sedgepitch.core.request_table import PendingRequest, SentAttempt
 from sedgepitch.core.types import (
+    NEVER,
     AttemptOutcome,
     ClientRequest,
     Response,
@@ -16,14 +17,12 @@
 from sedgepitch.decisions.admission.messages import AdmissionRequest, Admit, Decision
 from sedgepitch.decisions.event_loop_lag import MIN_RETRY_AFTER
 from sedgepitch.routing import messages as api
-from sedgepitch.routing.messages import AttemptResult, Freshness, RequestClass
+from sedgepitch.routing.messages import PRIMARY_ONLY, AttemptResult, Freshness, RequestClass
 
 if TYPE_CHECKING:
     from sedgepitch.core.engine import Engine
 
 MIN_TIME_LEFT = 0.02  # s beyond the deadline margin; a request with less is rejected on arrival
-NEVER = float("inf")
-PRIMARY_ONLY = (Freshness.WRITE, Freshness.FRESH)
 
 
 class Intake:
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -12,6 +12,9 @@
 
 from sedgepitch.routing.messages import AttemptResult, EndpointEntry, LoadReport
 
+NEVER = float("inf")
+"""A time of the clock that does not come."""
+
 
 class ResponseStatus(Enum):
     """How a request was answered."""
--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -148,7 +148,7 @@
         changed = not latencies
         for name, latency in latencies.items():
             old = self._baseline.get(name, 0.0)
-            same_within = SAME_BASELINE * max(old, MIN_OBJECTIVE_SHARE * latency.objective, MIN_BASELINE_S)
+            same_within = SAME_BASELINE * max(old, latency.noise_floor)
             changed = changed or abs(latency.median - old) > same_within
             self._baseline[name] = latency.median
         self._probe_pause = MIN_PROBE_PAUSE if changed else min(2 * self._probe_pause, MAX_PROBE_PAUSE)
@@ -179,7 +179,7 @@
         for name, latency in latencies.items():
             baseline = min(self._baseline.get(name, latency.median), latency.median)
             self._baseline[name] = baseline
-            floor = max(baseline, MIN_OBJECTIVE_SHARE * latency.objective, MIN_BASELINE_S)
+            floor = max(baseline, latency.noise_floor)
             ratio += latency.count * latency.median / floor
             total += latency.count
         return ratio / total
--- a/sedgepitch/peers/wire.py
+++ b/sedgepitch/peers/wire.py
@@ -50,7 +50,6 @@
     state: ClusterState | None
 
 
-DatagramBody = Ping | PingRequest | Ack | Nack | UpdateMessage | Challenge | ChallengeResponse
 StreamBody = StreamHello | StreamHelloReply | StreamState
 Body = (
     Ping
--- a/sedgepitch/protocols/postgresql/client_listener.py
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from sedgepitch.core.engine import Engine
-from sedgepitch.core.types import Clock
+from sedgepitch.core.types import NEVER, Clock
 from sedgepitch.decisions.connections.client_connections import ClientConnections
 from sedgepitch.decisions.connections.descriptor_budget import DescriptorBudget
 from sedgepitch.decisions.connections.shutdown_schedule import ShutdownSchedule
@@ -20,7 +20,6 @@
     from sedgepitch.protocols.postgresql.client import ClientConnection
 
 CHECK_INTERVAL_S = 0.1  # between checks for slow clients and for those that disconnected unread
-NEVER = float("inf")
 
 
 class ClientListener:
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 from sedgepitch.core.connection_pool import ConnectionBudget, ConnectionPool, PoolLimits
-from sedgepitch.core.types import AttemptCallback, AttemptHandle, AttemptOutcome, Clock
+from sedgepitch.core.types import NEVER, AttemptCallback, AttemptHandle, AttemptOutcome, Clock
 from sedgepitch.net.connecting import OutgoingConnection
 from sedgepitch.net.twisted_types import Reactor
 from sedgepitch.protocols.common.callbacks import ignore
@@ -26,7 +25,6 @@
 
 IDLE_CHECK_INTERVAL_S = 1.0
 CONNECT_GRACE_S = 1.0  # added to the pool's own bound, so that the pool gives up first
-NEVER = math.inf
 
 
 @dataclass(slots=True)
--- a/sedgepitch/routing/messages.py
+++ b/sedgepitch/routing/messages.py
@@ -31,6 +31,7 @@
     ZoneWeights,
 )
 from sedgepitch.routing.settings import (
+    PRIMARY_ONLY,
     DeduplicationScope,
     Freshness,
     Idempotency,
@@ -44,6 +45,7 @@
 
 __all__ = [
     "NEVER_RAN",
+    "PRIMARY_ONLY",
     "Action",
     "AttemptFinished",
     "AttemptResult",
--- a/sedgepitch/routing/request_intake.py
+++ b/sedgepitch/routing/request_intake.py
@@ -7,7 +7,7 @@
 from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
 from sedgepitch.routing.freshness import FreshnessRules
 from sedgepitch.routing.half_open_trials import HalfOpenTrials
-from sedgepitch.routing.messages import Freshness, Reject, RequestClass, RequestReceived
+from sedgepitch.routing.messages import PRIMARY_ONLY, Freshness, Reject, RequestClass, RequestReceived
 from sedgepitch.routing.records import ReplicaGroup, RoutedRequest
 from sedgepitch.routing.retries import Retries
 from sedgepitch.routing.state import RouterState
@@ -19,9 +19,6 @@
 INTERVAL_WEIGHT = 0.1  # weight of one more request in the mean interval
 INTERVAL_MAX_S = 5.0  # a longer interval counts as this one
 
-PRIMARY_ONLY = (Freshness.WRITE, Freshness.FRESH)
-"""What only the primary serves."""
-
 
 @dataclass(slots=True, eq=False)
 class RequestIntake:
--- a/sedgepitch/routing/settings.py
+++ b/sedgepitch/routing/settings.py
@@ -29,6 +29,10 @@
     ANY = "any"
 
 
+PRIMARY_ONLY = (Freshness.WRITE, Freshness.FRESH)
+"""What only the primary can serve."""
+
+
 class Idempotency(Enum):
     """Whether a request may be executed more than once."""
 
