--- a/sedgepitch/routing/__init__.py
+++ b/sedgepitch/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing of requests to endpoints: a pure state machine, fed with events and answering with actions."""
+"""Routing of requests to endpoints: a pure state machine that consumes events and returns actions."""
--- a/sedgepitch/routing/actions.py
+++ b/sedgepitch/routing/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a router answers with; they are carried out in order."""
+"""The actions that a router returns; the caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send the request to an endpoint. A time-out of 0, the only one used, ends with the client's time."""
+    """Send the request to an endpoint.
+
+    A time-out of 0 means that the attempt ends at the client's deadline. The router uses no other value.
+    """
 
     request: int
     endpoint: int
@@ -16,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected; a retry by the client is harmless."""
+    """Final answer: rejected. The client can retry without side effects."""
 
     request: int
     retry_after: float = 0.0
@@ -24,14 +27,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: failed. The request may or may not have been executed."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for one attempt. No part of the router asks for it so far."""
+    """Stop waiting for one attempt. The router does not emit this action yet."""
 
     request: int
     attempt: int
@@ -39,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask an endpoint for its report."""
+    """Request a load report from an endpoint."""
 
     endpoint: int
 
@@ -53,12 +56,12 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpointList:
-    """Ask for changes of the endpoint list."""
+    """Subscribe to changes of the endpoint list."""
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerExpired event after that many seconds."""
+    """Schedule a TimerExpired event in `after` seconds."""
 
     after: float
     nonce: int
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators' log. No part of the router writes one so far."""
+    """Write a line to the operators' log. The router does not emit this action yet."""
 
     text: str
 
--- a/sedgepitch/routing/attempt_results.py
+++ b/sedgepitch/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches about its endpoint, and what becomes of its request."""
+"""Updates the endpoint's state when an attempt ends, and retries or answers the request."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
 from sedgepitch.routing.state import RouterState
 from sedgepitch.routing.wait_queue import WaitQueue
 
-AVERAGING_TIME_S = 5.0  # an answer's weight in the moving means is the time since the last one over this
-ANSWER_WEIGHT_MIN, ANSWER_WEIGHT_MAX = 0.1, 0.5  # so that few answers weigh more each
-LATENCY_RATIO_MAX = 1.5  # what one attempt counts at most; also an attempt that was rejected as overloaded
+# A response's weight in the moving averages is the time since the endpoint's previous response over this
+# time, within the limits below. Responses that arrive rarely therefore weigh more.
+AVERAGING_TIME_S = 5.0
+ANSWER_WEIGHT_MIN, ANSWER_WEIGHT_MAX = 0.1, 0.5
+LATENCY_RATIO_MAX = 1.5  # cap on the latency ratio of one attempt; an overload rejection counts as the cap
 
 ANSWERED = (
     AttemptResult.OK,
@@ -27,15 +29,15 @@
     AttemptResult.OVERLOADED,
     AttemptResult.NOT_ELIGIBLE,
 )
-"""Results that the endpoint itself answered with."""
+"""Results that include a response from the endpoint."""
 
 TIMED = (AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.OVERLOADED)
-"""Results whose latency tells how busy the endpoint is."""
+"""Results whose latency indicates how busy the endpoint is."""
 
 
 @dataclass(slots=True, eq=False)
 class AttemptResults:
-    """Takes each result through the parts that learn from it, in a fixed order."""
+    """Passes each result to the components that use it, in a fixed order."""
 
     state: RouterState
     attempts: Attempts
@@ -48,13 +50,13 @@
     wait_queue: WaitQueue
 
     def attempt_finished(self, event: AttemptFinished) -> None:
-        """Learn from the end of an attempt, then retry or answer its request where an answer is owed."""
+        """Update the endpoint's state, then retry or answer the request if no other attempt is in flight."""
         endpoint = self.state.endpoints.get(event.endpoint)
         attempt = self.attempts.remove_from_endpoint(endpoint, event) if endpoint is not None else None
         if endpoint is None or attempt is None:
             return
         request, group = attempt.request, self.state.groups[endpoint.group_id]
-        self._learn(endpoint, attempt, event)
+        self._record_result(endpoint, attempt, event)
         self.attempts.remove_from_request(request, event.attempt)
         if group.waiting:
             self.wait_queue.place_waiting(group)
@@ -74,26 +76,26 @@
         else:
             self.retries.answer(request)
 
-    def _learn(self, endpoint: Endpoint, attempt: InFlightAttempt, event: AttemptFinished) -> None:
+    def _record_result(self, endpoint: Endpoint, attempt: InFlightAttempt, event: AttemptFinished) -> None:
         if event.primary is not None:
-            self.reports.take_role(endpoint, event.primary, self.state.now)
-        self.reports.take(endpoint, event.report)
+            self.reports.record_role(endpoint, event.primary, self.state.now)
+        self.reports.record(endpoint, event.report)
         if event.primary is False and event.position is not None:
-            self.reports.take_position(endpoint, event.position)
-        since_answer = self.state.now - endpoint.last_answer_at
-        weight = min(ANSWER_WEIGHT_MAX, max(ANSWER_WEIGHT_MIN, since_answer / AVERAGING_TIME_S))
+            self.reports.record_position(endpoint, event.position)
+        since_last_answer = self.state.now - endpoint.last_answer_at
+        weight = min(ANSWER_WEIGHT_MAX, max(ANSWER_WEIGHT_MIN, since_last_answer / AVERAGING_TIME_S))
         key = (event.request, event.attempt)
         if event.result in ANSWERED:
-            self._learn_from_answer(endpoint, attempt.request, event, weight)
+            self._record_response(endpoint, attempt.request, event, weight)
         elif event.result in NOT_RUNNING:
-            self._learn_from_broken_connection(endpoint, key, event.result)
+            self._record_broken_connection(endpoint, key, event.result)
         elif event.result is AttemptResult.TIMEOUT:
             self.outlier_detection.timed_out(endpoint, key)
         self.outlier_detection.trial_ended(endpoint, key)
         if event.result in TIMED and not self.state.event_loop_blocked:
-            self._learn_from_latency(endpoint, attempt, event, weight)
+            self._update_latency_estimates(endpoint, attempt, event, weight)
 
-    def _learn_from_answer(
+    def _record_response(
         self, endpoint: Endpoint, request: RoutedRequest, event: AttemptFinished, weight: float
     ) -> None:
         now = self.state.now
@@ -101,22 +103,20 @@
         self.outlier_detection.answered(endpoint)
         self.state.last_answer_at = now
         if event.result is not AttemptResult.ERROR:
-            self.outlier_detection.answered_well(endpoint, (event.request, event.attempt), weight)
+            self.outlier_detection.answered_without_error(endpoint, (event.request, event.attempt), weight)
         else:
             self.outlier_detection.answered_with_error(endpoint, request)
         request.served = request.served or event.result is AttemptResult.OK
         self.outlier_detection.attribute_errors(request)
 
-    def _learn_from_broken_connection(
-        self, endpoint: Endpoint, key: AttemptKey, result: AttemptResult
-    ) -> None:
+    def _record_broken_connection(self, endpoint: Endpoint, key: AttemptKey, result: AttemptResult) -> None:
         refused = result is AttemptResult.CONNECT_FAILED
-        if refused and self.outlier_detection.process_runs(endpoint):
+        if refused and self.outlier_detection.process_is_running(endpoint):
             self.limits.connect_failed(endpoint)
         else:
             self.outlier_detection.connection_failed(endpoint, key, result)
 
-    def _learn_from_latency(
+    def _update_latency_estimates(
         self, endpoint: Endpoint, attempt: InFlightAttempt, event: AttemptFinished, weight: float
     ) -> None:
         request, result = attempt.request, event.result
@@ -125,7 +125,7 @@
             endpoint.answers += 1
             self.limits.answered(endpoint)
         elif result is AttemptResult.TIMEOUT and endpoint.answers >= attempt.overtaken_from:
-            return  # those sent later were answered, so the endpoint is not too busy
+            return  # later requests were answered, so this one was lost: the time-out is no sign of load
         ratio = min(LATENCY_RATIO_MAX, event.elapsed / request_class.latency_objective)
         if result is AttemptResult.OVERLOADED:
             ratio = LATENCY_RATIO_MAX
--- a/sedgepitch/routing/attempts.py
+++ b/sedgepitch/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Sends attempts and keeps count of those in flight."""
+"""Sends attempts and tracks those in flight."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from sedgepitch.routing.response_deadlines import overdue_after, silence_deadline
 from sedgepitch.routing.state import RouterState
 
-OVERTAKING_ANSWERS = 4  # answers to later requests that show an attempt as lost and not as waiting its turn
+# Responses to later requests after which an unanswered attempt is considered lost rather than queued.
+OVERTAKING_ANSWERS = 4
 
 
 @dataclass(slots=True, eq=False)
 class Attempts:
-    """Starts and ends attempts; whether one may be made is decided before."""
+    """Starts and ends attempts. The caller has checked that the attempt is allowed."""
 
     state: RouterState
     freshness: FreshnessRules
@@ -27,7 +28,7 @@
     latencies: LatencyEstimates
 
     def send(self, request: RoutedRequest, endpoint: Endpoint) -> None:
-        """Send the request to the endpoint; at an ejected one that is its trial."""
+        """Send the request to the endpoint. If it is ejected, the attempt is its half-open trial."""
         state, now = self.state, self.state.now
         number = len(request.attempts)
         key = (request.id, number)
@@ -48,7 +49,7 @@
         state.actions.append(SendAttempt(request.id, endpoint.id, 0.0))
 
     def remove_from_endpoint(self, endpoint: Endpoint, event: AttemptFinished) -> InFlightAttempt | None:
-        """Take an attempt that has ended off its endpoint; None where it is not known, or ended before."""
+        """Remove a finished attempt from its endpoint; return None if it is unknown or was removed before."""
         key = (event.request, event.attempt)
         attempt = endpoint.in_flight.pop(key, None)
         if attempt is None:
@@ -60,9 +61,9 @@
         return attempt
 
     def remove_from_request(self, request: RoutedRequest, number: int) -> None:
-        """Take an attempt that has ended, and from which all was learnt, off its request."""
+        """Remove a finished attempt from its request, once its result has been recorded."""
         del request.in_flight[number]
 
-    def take_for_lost(self, endpoint: Endpoint, key: AttemptKey) -> None:
-        """Later attempts overtook this one: its answer is not owed any more."""
+    def mark_lost(self, endpoint: Endpoint, key: AttemptKey) -> None:
+        """Mark an attempt that later ones have overtaken as lost: no response to it is expected any more."""
         endpoint.overtaken.add(key)
--- a/sedgepitch/routing/concurrency_limit.py
+++ b/sedgepitch/routing/concurrency_limit.py
@@ -1,8 +1,10 @@
-"""How many own requests an endpoint may have in flight, and which reads a primary takes.
+"""Concurrency limits: how many of this instance's requests an endpoint may have in flight.
 
-The limit of an endpoint falls by a factor with an answer that shows overload and grows with one in time. It
-is always counted but felt only where answers come late. A limit below one is a share of the time, given out
-by each request's draw: many proxy instances with little traffic together keep to it too.
+Also decides which optional reads the primary serves. A response that indicates overload multiplies the
+endpoint's limit by a factor below one, a response in time increases it. The limit is always maintained, but
+it only takes effect when responses are late. A limit below one is the fraction of time in which one request
+may be in flight. It is applied through each request's sampling draw, so that many proxy instances with little
+traffic each respect it in total.
 """
 
 from __future__ import annotations
@@ -14,19 +16,19 @@
 from sedgepitch.routing.records import Endpoint, RoutedRequest
 from sedgepitch.routing.state import RouterState
 
-LIMIT_MIN = 0.1  # requests in flight, or a share of the time
-INITIAL_LIMIT = 48.0  # requests in flight at an endpoint, of all proxy instances together
-INITIAL_PRIMARY_READS = 24.0  # the same for reads at a primary that another endpoint could serve
+LIMIT_MIN = 0.1  # requests in flight; below one, a fraction of time
+INITIAL_LIMIT = 48.0  # requests in flight at an endpoint, all proxy instances together
+INITIAL_PRIMARY_READS = 24.0  # likewise for reads at a primary that another endpoint could serve
 PRIMARY_READ_SHARE_MIN = 0.1
 DECREASE_FACTOR = 0.75
 INCREASE_FACTOR = 0.025
-INCREASE_MIN = 0.04  # a limit below one recovers within few answers
-LATE_RATIO = 0.8  # latency over the objective above which an answer shows that the endpoint is too busy
-LOADED_RATIO = 0.3  # mean latency ratio up to which a late answer is put down to a heavy request
-HEADROOM_RATIO = 0.5  # mean latency ratio from which on limits ease off and a primary takes no open reads
-LOWEST_PRIORITY_SHARE = 0.7  # share of a limit that the class of the lowest priority per work may fill
-CONNECT_FAILURE_MEMORY = 0.9  # weight of each failure to connect after one more answer
-CONNECT_FAILURES_TOLERATED = 1.2  # decayed failures above which an endpoint holds all connections it accepts
+INCREASE_MIN = 0.04  # lets a limit below one recover within a few responses
+LATE_RATIO = 0.8  # latency over the objective above which a response indicates an overloaded endpoint
+LOADED_RATIO = 0.3  # mean latency ratio up to which a late response is attributed to an expensive request
+HEADROOM_RATIO = 0.5  # mean latency ratio above which limits shrink and a primary takes no optional reads
+LOWEST_PRIORITY_SHARE = 0.7  # share of a limit open to the class with the lowest priority per unit of work
+CONNECT_FAILURE_MEMORY = 0.9  # decay of the count of connect failures with each served attempt
+CONNECT_FAILURES_TOLERATED = 1.2  # decayed count above which the endpoint's connection table counts as full
 
 
 @dataclass(slots=True, eq=False)
@@ -39,10 +41,10 @@
     initial_primary_read_share: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Share out the initial figures among the proxy instances.
+        """Divide the initial limits among the proxy instances.
 
-        Each instance may have one request of any class at an endpoint: below that the limit would be a share
-        of the time, and a large idle deployment would reject requests.
+        Each instance may have at least one request of any class in flight at an endpoint. With a smaller
+        limit, which is a fraction of time, a large idle deployment would reject requests.
         """
         instances = max(1, self.state.settings.proxy_instances)
         self.initial_limit = max(1.0 / LOWEST_PRIORITY_SHARE, INITIAL_LIMIT / instances)
@@ -50,18 +52,19 @@
         self.initial_primary_read_share = min(1.0, share)
 
     def limit_share(self, request_class: RequestClass) -> float:
-        """Return the share of a limit that the class may fill, by its priority weight per second of work."""
+        """Return the share of a limit open to the class, by priority weight per second of service time."""
         service_time = self.latencies.service_time
         classes = self.state.settings.classes
-        best = max(c.priority_weight / service_time[c.name] for c in classes)
+        highest = max(c.priority_weight / service_time[c.name] for c in classes)
         own = (1.0 - LOWEST_PRIORITY_SHARE) * request_class.priority_weight / service_time[request_class.name]
-        return LOWEST_PRIORITY_SHARE + own / best
+        return LOWEST_PRIORITY_SHARE + own / highest
 
     def has_headroom(self, endpoint: Endpoint, request: RoutedRequest, share: float) -> bool:
-        """Return whether the endpoint may have one more request within that share of its limit.
+        """Return whether one more request fits within the given share of the endpoint's limit.
 
-        A zone that answers late eases off the limits of endpoints that gave no answer of late. What only the
-        primary serves counts its own kind there: reads that may go elsewhere take no room from it.
+        If the endpoint has not responded recently and its zone responds late, the limit is reduced. For
+        requests that only the primary can serve, only requests of that kind count as in flight, so that reads
+        which other endpoints could serve take no capacity from them.
         """
         now = self.state.now
         zone_ratio = 0.0
@@ -72,16 +75,18 @@
         in_flight = len(endpoint.in_flight)
         if request.primary_only:
             in_flight = sum(other.request.primary_only for other in endpoint.in_flight.values())
-            # The draw is fixed: without the share of the time a request would wait until its deadline.
+            # The draw is fixed for a request, so with a limit below one it alone could keep the request
+            # waiting until its deadline. Admit it once the endpoint has been unused for long enough.
             unused_for = now - endpoint.last_sent_at
             if not in_flight and allowed < 1.0 and unused_for * allowed > self.latencies.typical:
                 return True
         return in_flight + request.sampling_draw < allowed
 
     def primary_for_read(self, request: RoutedRequest) -> Endpoint | None:
-        """Return the primary where it has headroom for a read that another endpoint may serve too.
+        """Return the primary if it has headroom for a read that another endpoint could serve as well.
 
-        Its share of such reads is given out by the request's draw, and only while another endpoint is up.
+        The request's sampling draw limits the primary to its share of such reads, as long as another endpoint
+        of the group is up.
         """
         primary = request.group.primary
         if primary is None or primary in request.attempts or primary.role_unconfirmed:
@@ -103,10 +108,11 @@
         elapsed: float,
         mean_ratio: float,
     ) -> None:
-        """Adapt the limit to one attempt that took `elapsed` seconds.
+        """Adapt the limit to the result of one attempt that took `elapsed` seconds.
 
-        `mean_ratio` is the endpoint's latency ratio before it. At most one decrease is made within a service
-        time of the class, as the attempts in flight meanwhile tell of the same moment.
+        `mean_ratio` is the endpoint's mean latency ratio before this attempt. The limit decreases at most
+        once per service time of the class, because the attempts in flight at that time reflect the same
+        overload.
         """
         overloaded = result is AttemptResult.OVERLOADED
         late = result is not AttemptResult.OK or elapsed > LATE_RATIO * request_class.latency_objective
@@ -132,11 +138,11 @@
             endpoint.primary_read_share = min(1.0, endpoint.primary_read_share + INCREASE_MIN)
 
     def connect_failed(self, endpoint: Endpoint) -> None:
-        """Count a failure to connect to a process that runs: its table of connections may be full."""
+        """Count a failed connect to a running process, whose connection table may be full."""
         endpoint.recent_connect_failures += 1.0
         if endpoint.recent_connect_failures > CONNECT_FAILURES_TOLERATED:
             endpoint.concurrency_limit = max(LIMIT_MIN, len(endpoint.in_flight) * DECREASE_FACTOR)
 
     def answered(self, endpoint: Endpoint) -> None:
-        """An answer was served: earlier failures to connect count less."""
+        """Decay the count of connect failures after a served attempt."""
         endpoint.recent_connect_failures *= CONNECT_FAILURE_MEMORY
--- a/sedgepitch/routing/eligibility.py
+++ b/sedgepitch/routing/eligibility.py
@@ -1,4 +1,7 @@
-"""Whether an endpoint may be sent a request now, by list, ramps, ejection, queueing delay and headroom."""
+"""Eligibility: whether a request may be sent to an endpoint now.
+
+Considers the endpoint list, slow start and zone weights, ejection, the queueing delay and headroom.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Eligibility:
-    """Asks each part that may keep an endpoint from a request."""
+    """Combines the checks that can rule out an endpoint for a request."""
 
     state: RouterState
     slow_start: SlowStart
@@ -24,17 +27,18 @@
     limits: ConcurrencyLimits
 
     def may_send(self, endpoint: Endpoint, request: RoutedRequest, limit_share: float = 1.0) -> bool:
-        """Return whether the request may go to the endpoint within that share of its concurrency limit."""
+        """Return whether the endpoint can take the request within that share of its concurrency limit."""
         if not self.slow_start.accepts(endpoint, request):
             return False
         if endpoint.ejection_reason is not None:
-            return self._may_try(endpoint, request)
+            return self._may_start_trial(endpoint, request)
         if self.state.now + self.latencies.queueing_delay(endpoint) > request.useful_until:
             return False
         return self.limits.has_headroom(endpoint, request, limit_share)
 
-    def _may_try(self, endpoint: Endpoint, request: RoutedRequest) -> bool:
-        # A trial is a copy of what others serve, unless that cannot be or no healthy endpoint takes it.
+    def _may_start_trial(self, endpoint: Endpoint, request: RoutedRequest) -> bool:
+        # Trials normally use copies of requests that other endpoints serve. The request itself becomes the
+        # trial only if it must not be copied, or if no healthy endpoint takes it.
         may_be_copied = (
             request.request_class.idempotency is Idempotency.IDEMPOTENT and self.state.settings.hedging
         )
--- a/sedgepitch/routing/endpoint_list.py
+++ b/sedgepitch/routing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list, keeps it watched, and forgets endpoints that are long gone."""
+"""Applies updates of the endpoint list, keeps the watch alive, and removes endpoints that are long gone."""
 
 from __future__ import annotations
 
@@ -7,41 +7,45 @@
 from sedgepitch.routing.concurrency_limit import ConcurrencyLimits
 from sedgepitch.routing.messages import EndpointEntry, EndpointListUpdate, EndpointState, WatchEndpointList
 from sedgepitch.routing.outlier_detection import OutlierDetection
-from sedgepitch.routing.primary_discovery import role_forgotten, role_listed
+from sedgepitch.routing.primary_discovery import role_listed, role_removed
 from sedgepitch.routing.records import NEVER, Endpoint, ReplicaGroup
 from sedgepitch.routing.slow_start import SlowStart
 from sedgepitch.routing.state import RouterState
 
 WATCH_BACKOFF_MIN_S = 0.5
-WATCHES_PER_POLL_INTERVAL = 4  # the longest backoff fits this often into the stated poll interval
-PERIODS_UNTIL_FORGOTTEN = 12  # that an endpoint must be gone: one that comes back within this is known
+WATCHES_PER_POLL_INTERVAL = 4  # the longest backoff is the maximum poll interval divided by this
+# Comparison periods after which an endpoint that is gone is removed; one that returns keeps its state.
+PERIODS_UNTIL_REMOVED = 12
 
 
 @dataclass(slots=True, eq=False)
 class EndpointList:
-    """The endpoints as the list states them. It is late, so what endpoints answer outranks its roles."""
+    """Keeps the endpoint records in line with the list.
+
+    The list arrives late, so roles that endpoints report themselves take precedence over the listed ones.
+    """
 
     state: RouterState
     limits: ConcurrencyLimits
     outlier_detection: OutlierDetection
     slow_start: SlowStart
     watch_at: float = field(init=False)
-    """When the list has to be watched anew."""
+    """Time of the next watch."""
     watch_backoff: float = WATCH_BACKOFF_MIN_S
 
     def __post_init__(self) -> None:
-        """Watch at once where the platform asks for a subscription, never where it sends the list unasked."""
+        """Schedule the first watch at once if the platform requires a subscription, otherwise never."""
         self.watch_at = -NEVER if self.state.settings.subscription_required else NEVER
 
     # Updates
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Apply an update; an endpoint that a complete one leaves out is gone."""
+        """Apply an update; an endpoint that is missing from a complete list is gone."""
         for entry in event.entries:
             self._apply(entry)
-        named = {entry.endpoint for entry in event.entries}
+        listed_ids = {entry.endpoint for entry in event.entries}
         for endpoint in self.state.endpoints.values():
-            if event.complete and endpoint.id not in named:
+            if event.complete and endpoint.id not in listed_ids:
                 endpoint.state = EndpointState.GONE
         if not event.remembered:
             self.watch_backoff = WATCH_BACKOFF_MIN_S
@@ -62,7 +66,7 @@
         role_listed(group, endpoint, entry.primary)
 
     def _add(self, entry: EndpointEntry, group: ReplicaGroup) -> Endpoint:
-        # The order of preference is drawn: the larger an endpoint, the likelier it comes early.
+        # The order of preference is random, with larger endpoints more likely to come first.
         draw = self.state.random.random() ** (1.0 / entry.size)
         endpoint = Endpoint(
             id=entry.endpoint,
@@ -82,7 +86,7 @@
         return endpoint
 
     def set_zone_weights(self, weights: dict[str, float]) -> None:
-        """Take the weights of zones that are used in part; where traffic returns, trials may start."""
+        """Set the zone weights below 1; allow trials in zones whose weight rises from 0."""
         returned = self.slow_start.set_zone_weights(weights)
         for group in self.state.groups.values():
             for endpoint in group.ejected.values():
@@ -92,7 +96,7 @@
     # Watching
 
     def watch_failed(self) -> None:
-        """A watch or a poll failed: try again after a backoff that doubles, with jitter."""
+        """Schedule another watch after a failed watch or poll, with exponential backoff and jitter."""
         state = self.state
         self.watch_at = state.now + self.watch_backoff * (1.0 + state.random.random())
         state.set_timer(self.watch_at)
@@ -101,25 +105,25 @@
         self.watch_backoff = min(self.watch_backoff * 2.0, backoff_max)
 
     def watch_if_due(self) -> None:
-        """Watch the list where that is due, and have a timer for the next time."""
+        """Watch the list if that is due, and set a timer for the next watch."""
         if self.state.now >= self.watch_at:
             self.watch_at = NEVER
             self.state.actions.append(WatchEndpointList())
         self.state.set_timer(self.watch_at)
 
-    # Forgetting
+    # Removal
 
-    def forget_gone(self) -> None:
-        """End a period: forget endpoints that have been gone for long and have no attempt in flight."""
+    def remove_gone(self) -> None:
+        """Remove endpoints that are long gone and have no attempt in flight; called once per period."""
         for endpoint in list(self.state.endpoints.values()):
             gone = endpoint.state is EndpointState.GONE
             endpoint.periods_gone = endpoint.periods_gone + 1 if gone else 0
-            if endpoint.periods_gone > PERIODS_UNTIL_FORGOTTEN and not endpoint.in_flight:
-                self._forget(endpoint)
+            if endpoint.periods_gone > PERIODS_UNTIL_REMOVED and not endpoint.in_flight:
+                self._remove(endpoint)
 
-    def _forget(self, endpoint: Endpoint) -> None:
+    def _remove(self, endpoint: Endpoint) -> None:
         group = self.state.groups[endpoint.group_id]
         group.endpoints.remove(endpoint)
-        self.outlier_detection.forgotten(endpoint)
-        role_forgotten(group, endpoint)
+        self.outlier_detection.removed(endpoint)
+        role_removed(group, endpoint)
         del self.state.endpoints[endpoint.id]
--- a/sedgepitch/routing/events.py
+++ b/sedgepitch/routing/events.py
@@ -1,7 +1,7 @@
-"""The events that a router is fed with, and the types that they carry.
+"""The events that a router consumes, and the types that they carry.
 
-All times are seconds on the proxy's clock, all durations seconds. A position is a time on that clock up to
-which an endpoint has applied every commit.
+All times are seconds on the proxy's clock, all durations are in seconds. A position is the time on that clock
+up to which an endpoint has applied every commit.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint according to the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -19,13 +19,13 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt or a health check ended."""
+    """Outcome of an attempt or a health check."""
 
     OK = "ok"
     ERROR = "error"
-    """The endpoint answered with an error."""
+    """The endpoint returned an error."""
     OVERLOADED = "full"
-    """The endpoint rejected it unseen."""
+    """The endpoint rejected the request without executing it."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -33,7 +33,7 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
     NOT_ELIGIBLE = "miss"
-    """A write at an endpoint that is no primary, or a read that it lags too far for."""
+    """A write sent to an endpoint that is not the primary, or a read that its replication lag rules out."""
 
 
 NEVER_RAN = (
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """One endpoint as the list states it."""
+    """One entry of the endpoint list."""
 
     endpoint: int
     group: int
@@ -55,24 +55,24 @@
     zone: str = ""
     primary: bool = False
     size: float = 1.0
-    """Its capacity in relation to other endpoints."""
+    """Capacity relative to other endpoints."""
     started: float = 0.0
-    """When its process started; 0 stands for long ago."""
+    """Start time of its process; 0 means long ago."""
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What an endpoint says of itself; as old as its position."""
+    """State that an endpoint reports about itself, as of its position."""
 
     position: float | None = None
     primary: bool | None = None
     load: float | None = None
-    """Requests in flight or queued there."""
+    """Requests in flight or queued at the endpoint."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The endpoint list: complete, or its changes only. A remembered list may be out of date."""
+    """The complete endpoint list or only its changes. A remembered list may be out of date."""
 
     entries: tuple[EndpointEntry, ...]
     complete: bool
@@ -81,45 +81,45 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListFailed:
-    """A watch or a poll failed; the old list still applies."""
+    """A watch or a poll failed; the previous list remains in effect."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request; one final answer is owed from here on."""
+    """A client's request, for which the router must produce exactly one final answer."""
 
     request: int
     class_name: str
     group: int
     time_left: float
-    """Seconds until the client gives up."""
+    """Seconds until the client's deadline."""
     session: str = ""
     session_age: float = 0.0
-    """Seconds since the session's last commit, where the client brings it; 0 where there is none."""
+    """Seconds since the session's last commit if the client sends this age; 0 if there is none."""
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptFinished:
-    """How one attempt ended."""
+    """The result of one attempt."""
 
     request: int
     attempt: int
     endpoint: int
     result: AttemptResult
     elapsed: float
-    """Seconds since it was sent."""
+    """Seconds since the attempt was sent."""
     final: bool
-    """Whether the request needs no answer any more."""
+    """Whether the request is complete and needs no answer from the router."""
     primary: bool | None = None
-    """The role that the endpoint answered in."""
+    """Whether the endpoint was the primary when it responded."""
     position: float | None = None
-    """The endpoint's position, or a write's commit time."""
+    """The endpoint's position; for a write, its commit time."""
     report: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckFinished:
-    """What a health check found."""
+    """The result of one health check."""
 
     endpoint: int
     result: AttemptResult
@@ -129,21 +129,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneWeights:
-    """By zone: the share of its reads that it may have; zones that are not named have all."""
+    """Share of its reads that each zone may serve; a zone that is not listed serves all of them."""
 
     shares: tuple[tuple[str, float], ...]
 
 
 @dataclass(slots=True, frozen=True)
 class TimerExpired:
-    """A timer the router asked for has come due."""
+    """A timer that the router set has expired."""
 
     nonce: int
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; nothing is owed."""
+    """The client has disconnected; no final answer is needed."""
 
     request: int
 
--- a/sedgepitch/routing/freshness.py
+++ b/sedgepitch/routing/freshness.py
@@ -1,4 +1,4 @@
-"""Which endpoints are recent enough for a read: positions, and what sessions have written."""
+"""Freshness rules: whether an endpoint's replication position is recent enough for a read."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from sedgepitch.routing.records import NEVER, POSITION_ROUNDING_S, Endpoint, ReplicaGroup, RoutedRequest
 from sedgepitch.routing.state import RouterState
 
-SESSIONS_MAX = 4096  # sessions of a group that are remembered one by one
+SESSIONS_MAX = 4096  # sessions of a group whose last commits are tracked individually
 
 
 @dataclass(slots=True, eq=False)
 class FreshnessRules:
-    """Judges endpoints' positions against what a read must see, at this moment."""
+    """Compares endpoints' last known positions with the position that a read requires now."""
 
     state: RouterState
-    remembers_sessions: bool = field(init=False)
-    """Whether a session's writes are remembered here; otherwise the client brings their age."""
+    tracks_sessions: bool = field(init=False)
+    """Whether the router tracks the commits of sessions; otherwise the client sends the last one's age."""
 
     def __post_init__(self) -> None:
-        """Read from the settings who tracks sessions."""
-        self.remembers_sessions = self.state.settings.session_tracking is not SessionTracking.BY_CLIENT
+        """Derive from the settings whether the router tracks sessions."""
+        self.tracks_sessions = self.state.settings.session_tracking is not SessionTracking.BY_CLIENT
 
     def fresh_enough(self, endpoint: Endpoint, request: RoutedRequest) -> bool:
-        """Return whether the endpoint's last known position holds all that the read must see."""
+        """Return whether the endpoint's last known position meets the read's freshness requirement."""
         freshness = request.request_class.freshness
         if freshness is Freshness.ANY:
             return True
@@ -43,12 +43,13 @@
         return False
 
     def required_position(self, request: RoutedRequest) -> float:
-        """Return the position that a session's read must see, as a time.
+        """Return the position, as a time, that an endpoint needs to serve a session's read.
 
-        It may grow while the read waits or is tried again. A write in flight may have been committed until
-        now: whether its answer is lost shows only later.
+        The position can advance while the read waits or is retried. While a write of the session is in
+        flight, it is the current time: the write may already be committed, although its response has not
+        arrived.
         """
-        if self.remembers_sessions:
+        if self.tracks_sessions:
             group = request.group
             known = group.session_commits.get(request.session, group.forgotten_sessions_position)
             request.required_position = max(request.required_position, known)
@@ -57,31 +58,31 @@
         return request.required_position
 
     def max_staleness(self, request: RoutedRequest) -> float:
-        """Return how many seconds behind an endpoint may be to serve the read."""
+        """Return the maximum replication lag, in seconds, of an endpoint that may serve the read."""
         if request.request_class.freshness is Freshness.BOUNDED:
             return request.request_class.max_staleness
         return self.state.now - self.required_position(request)
 
     # Sessions
 
-    def session_age_stated(self, request: RoutedRequest, age: float) -> None:
-        """The client brings the age of its session's last commit in seconds; 0 stands for none."""
-        if not self.remembers_sessions and age > 0:
+    def set_session_age(self, request: RoutedRequest, age: float) -> None:
+        """Set the required position from the age in seconds that the client sent; 0 means no commit."""
+        if not self.tracks_sessions and age > 0:
             request.required_position = self.state.now - age
 
     def write_started(self, request: RoutedRequest) -> None:
-        """A write attempt is sent: its session's reads need the present until it ends."""
-        if self._is_remembered(request):
+        """Record that a write attempt was sent; its session's reads require the present until it ends."""
+        if self._is_tracked_write(request):
             writes = request.group.session_writes
             writes[request.session] = writes.get(request.session, 0) + 1
 
     def write_finished(self, request: RoutedRequest, event: AttemptFinished) -> None:
-        """A write attempt has ended: remember what its session's reads must see from now on.
+        """Record that a write attempt has ended, and the position that its session's reads now require.
 
-        That is the commit, or all until now where the commit is not stated: an attempt that may have run,
-        though its answer was lost, may have committed until its end.
+        That position is the commit time, or the current time if the endpoint did not report a commit: an
+        attempt whose response was lost may have committed at any time until its end.
         """
-        if not self._is_remembered(request):
+        if not self._is_tracked_write(request):
             return
         group, session = request.group, request.session
         group.session_writes[session] -= 1
@@ -92,23 +93,25 @@
             known = group.session_commits.get(session, 0.0)
             group.session_commits[session] = max(known, commit or self.state.now)
 
-    def _is_remembered(self, request: RoutedRequest) -> bool:
-        if not self.remembers_sessions or not request.session:
+    def _is_tracked_write(self, request: RoutedRequest) -> bool:
+        if not self.tracks_sessions or not request.session:
             return False
         return request.request_class.freshness is Freshness.WRITE
 
-    def forget_sessions(self, group: ReplicaGroup) -> None:
-        """Forget sessions whose commits every endpoint holds, and the oldest above SESSIONS_MAX.
+    def drop_sessions(self, group: ReplicaGroup) -> None:
+        """Drop sessions whose commits every endpoint has applied, and the oldest ones above SESSIONS_MAX.
 
-        A forgotten session is held to the position up to which sessions were forgotten. Without the maximum
-        one endpoint that reports no position would keep all of them.
+        Reads of a dropped session require the highest position up to which sessions were dropped. Without the
+        maximum, a single endpoint that reports no position would prevent any session from being dropped.
         """
         commits = group.session_commits
         positions = (e.position for e in group.endpoints if e.state is EndpointState.UP)
-        forgotten = min(positions, default=-NEVER)
+        drop_until = min(positions, default=-NEVER)
         if len(commits) > SESSIONS_MAX:
-            forgotten = max(forgotten, sorted(commits.values())[-SESSIONS_MAX] + POSITION_ROUNDING_S)
-        group.forgotten_sessions_position = max(group.forgotten_sessions_position, forgotten)
+            drop_until = max(drop_until, sorted(commits.values())[-SESSIONS_MAX] + POSITION_ROUNDING_S)
+        group.forgotten_sessions_position = max(group.forgotten_sessions_position, drop_until)
         group.session_commits = {
-            session: commit for session, commit in commits.items() if commit + POSITION_ROUNDING_S > forgotten
+            session: commit
+            for session, commit in commits.items()
+            if commit + POSITION_ROUNDING_S > drop_until
         }
--- a/sedgepitch/routing/half_open_trials.py
+++ b/sedgepitch/routing/half_open_trials.py
@@ -1,4 +1,4 @@
-"""Tries ejected endpoints whose ejection time is over, so that they can return."""
+"""Half-open trials: test ejected endpoints whose ejection time is over, so that they can return."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 from sedgepitch.routing.slow_start import SlowStart
 from sedgepitch.routing.state import RouterState
 
-CHECK_INTERVAL_S = 0.25  # between two health checks of an ejected endpoint
+CHECK_INTERVAL_S = 0.25  # minimum time between two health checks of an ejected endpoint
 
 
 @dataclass(slots=True, eq=False)
 class HalfOpenTrials:
-    """Starts trials with copies of idempotent reads in flight elsewhere: nothing is lost by a trial."""
+    """Starts trials with copies of idempotent requests that are in flight at another endpoint.
+
+    A failed trial therefore does not affect the request.
+    """
 
     state: RouterState
     outlier_detection: OutlierDetection
@@ -30,13 +33,17 @@
     attempts: Attempts
 
     def start_due(self, group: ReplicaGroup, request: RoutedRequest) -> None:
-        """Try the group's ejected endpoints that are due, by a copy of the request or by a health check.
+        """Test the group's ejected endpoints that are due, by a copy of the request or by a health check.
 
-        None is tried in a zone that has no traffic.
+        Endpoints in a zone without traffic are skipped.
         """
         now = self.state.now
         for endpoint in list(group.ejected.values()):
-            if now < endpoint.ejected_until or endpoint.trial or self.slow_start.zone_is_left(endpoint):
+            if (
+                now < endpoint.ejected_until
+                or endpoint.trial
+                or self.slow_start.zone_has_no_traffic(endpoint)
+            ):
                 continue
             may_copy = self._may_copy(request, endpoint)
             due = self.outlier_detection.trial_is_due(endpoint)
--- a/sedgepitch/routing/hedging.py
+++ b/sedgepitch/routing/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt of an idempotent read whose first is overdue."""
+"""Hedged requests: a second attempt for a request whose first attempt is overdue."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from sedgepitch.routing.retries import Retries
 from sedgepitch.routing.selection import Selection
 
-HEDGE_LIMIT_SHARE = 0.4  # share of a limit that hedged requests may fill: they must not feed an overload
+HEDGE_LIMIT_SHARE = 0.4  # share of a limit open to hedged requests, so that they do not worsen an overload
 
 
 @dataclass(slots=True, eq=False)
 class Hedging:
-    """Sends hedged requests, one for a request, while the budget lasts."""
+    """Sends at most one hedged attempt for each request, within the retry budget."""
 
     selection: Selection
     eligibility: Eligibility
@@ -28,8 +28,9 @@
     def hedge(self, request: RoutedRequest, overtaken_at: Endpoint | None = None) -> None:
         """Send a second attempt of an idempotent read to another endpoint.
 
-        Where its attempt was overtaken at an endpoint, that endpoint answers others: it gets the second one
-        too if no other endpoint may.
+        `overtaken_at` is an endpoint that has answered later requests but not this one. It gets the second
+        attempt if no other endpoint is eligible, or if the request must go to the primary or is not
+        idempotent by itself; the rules for attempts still apply.
         """
         if request.done or request.hedged or self.retries.budget < 1.0:
             return
--- a/sedgepitch/routing/idle_connections.py
+++ b/sedgepitch/routing/idle_connections.py
@@ -1,7 +1,7 @@
-"""When idle connections to an endpoint are taken for lost, and closed before the next send.
+"""Closes idle connections to an endpoint before the next send if the network has probably dropped them.
 
-A network may drop idle connections without a word: the next request on one goes unanswered though the
-endpoint is well.
+A network can drop idle connections silently. The next request on such a connection gets no response, although
+the endpoint is healthy.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from sedgepitch.routing.messages import CloseIdleConnections
 from sedgepitch.routing.records import NEVER, Endpoint
 
-IDLE_MIN_LATENCIES = 8.0  # typical latencies without a send from which on a connection counts as idle
-LOSSES_IN_A_ROW = 2  # first sends after idleness that must go unanswered, with none answered between
-LIMIT_GROWTH = 1.5  # growth of the idle limit each period, so that it is forgotten with time
-NEVER_SENT_S = 1e9  # an idle time above this means that nothing was sent before
+IDLE_MIN_LATENCIES = 8.0  # idle time, in typical latencies, above which a connection counts as idle
+LOSSES_IN_A_ROW = 2  # consecutive unanswered first sends after an idle time that set the limit
+LIMIT_GROWTH = 1.5  # factor by which the limit grows each period, so that it expires over time
+NEVER_SENT_S = 1e9  # an idle time above this means that nothing has been sent before
 
 
 @dataclass(slots=True, eq=False)
 class IdleConnections:
-    """The idle time after which connections are taken for lost, in seconds; learnt, the same everywhere."""
+    """Estimates the idle time in seconds after which connections are lost; one limit for all endpoints."""
 
     latencies: LatencyEstimates
     limit: float = NEVER
     losses: int = 0
 
     def close_before_send(self, endpoint: Endpoint) -> None:
-        """Close the endpoint's idle connections where they have been unused beyond the limit."""
+        """Close the endpoint's idle connections if they have been unused for longer than the limit."""
         if self.limit < endpoint.idle_before_send < NEVER:
             self.latencies.state.actions.append(CloseIdleConnections(endpoint.id))
 
     def explains_silence(self, endpoint: Endpoint) -> bool:
-        """Return whether the endpoint's silence may be a lost connection's, and count it.
+        """Return whether a lost connection may explain the endpoint's silence, and count it if so.
 
-        It may where the only attempt in flight was the first send after idleness.
+        This is the case if the only attempt in flight was the first send after an idle time.
         """
         idle_from = IDLE_MIN_LATENCIES * self.latencies.typical
         idle = idle_from < endpoint.idle_before_send < min(self.limit, NEVER_SENT_S)
@@ -46,10 +46,10 @@
         return True
 
     def answered(self, endpoint: Endpoint) -> None:
-        """An answer after idleness shows that idle connections are not lost."""
+        """Reset the count of losses if the attempt was served after an idle time."""
         if endpoint.idle_before_send > IDLE_MIN_LATENCIES * self.latencies.typical:
             self.losses = 0
 
     def end_period(self) -> None:
-        """Let the limit be forgotten."""
+        """Raise the limit, so that it expires unless further losses confirm it."""
         self.limit *= LIMIT_GROWTH
--- a/sedgepitch/routing/load_reports.py
+++ b/sedgepitch/routing/load_reports.py
@@ -1,4 +1,4 @@
-"""Takes what an endpoint says of itself: its load, its position and its role."""
+"""Records what an endpoint reports about itself: its load, its position and its role."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(slots=True, eq=False)
 class LoadReports:
-    """Brings reports into the records; what waits for a primary is placed once one is known."""
+    """Applies reports to the endpoint records; places the waiting requests once a primary is known."""
 
     state: RouterState
     wait_queue: WaitQueue
 
-    def take(self, endpoint: Endpoint, report: LoadReport | None) -> None:
-        """Take a report. It is as old as its position, and so is the role in it."""
+    def record(self, endpoint: Endpoint, report: LoadReport | None) -> None:
+        """Record a report. Its role is valid as of its position."""
         if report is None:
             return
         if report.load is not None:
@@ -27,19 +27,19 @@
             endpoint.load_reported_at = self.state.now
         if report.position is None:
             return
-        self.take_position(endpoint, report.position)
+        self.record_position(endpoint, report.position)
         if report.primary is not None:
-            self.take_role(endpoint, report.primary, min(report.position, self.state.now))
+            self.record_role(endpoint, report.primary, min(report.position, self.state.now))
 
-    def take_position(self, endpoint: Endpoint, position: float) -> None:
-        """Take a position. It only grows, and one ahead of the clock is not believed."""
+    def record_position(self, endpoint: Endpoint, position: float) -> None:
+        """Record a position. A lower one than before or one ahead of the clock is ignored."""
         now = self.state.now
         if endpoint.position < position <= now + POSITION_ROUNDING_S:
             endpoint.position = position
             endpoint.replication_lag = now - position
 
-    def take_role(self, endpoint: Endpoint, primary: bool, at: float) -> None:
-        """Take an endpoint's word on its role as of `at`."""
+    def record_role(self, endpoint: Endpoint, primary: bool, at: float) -> None:
+        """Record the role that an endpoint reported as of `at`."""
         group = self.state.groups[endpoint.group_id]
         if role_reported(group, endpoint, primary, at):
             self.wait_queue.place_waiting(group)
--- a/sedgepitch/routing/messages.py
+++ b/sedgepitch/routing/messages.py
@@ -1,4 +1,4 @@
-"""The types of the router's interface: settings, events and actions, to be imported from here."""
+"""The router's public types: settings, events and actions. Other packages import them from here."""
 
 from __future__ import annotations
 
--- a/sedgepitch/routing/outlier_detection.py
+++ b/sedgepitch/routing/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Which endpoints are ejected, why and for how long, and what brings them back.
+"""Outlier detection: ejects faulty endpoints and lets them return.
 
-An ejected endpoint gets no traffic for its ejection time, which doubles with each failed trial. Then it is
-half-open: one attempt at a time tries it. An unreachable one has to pass a health check first.
+An ejected endpoint gets no traffic for its ejection time, which doubles with each failed trial. It is then
+half-open: one attempt at a time is sent to it as a trial. An unreachable endpoint must pass a health check
+first.
 """
 
 from __future__ import annotations
@@ -16,27 +17,31 @@
 
 EJECTION_TIME_MIN_S = 0.5
 EJECTION_TIME_MAX_S = 4.0
-JITTER_MIN, JITTER_RANGE = 0.75, 0.5  # factor of the ejection time: never all proxy instances at one moment
-CONNECTION_FAILURES_MAX = 3  # in a row, with no answer between, which show that an endpoint is unreachable
-ERROR_WEIGHT = 0.15  # weight of one more attributed error in the error rate
+# The ejection time is multiplied by a factor drawn from this range, so that proxy instances do not all start
+# their trials at once.
+JITTER_MIN, JITTER_RANGE = 0.75, 0.5
+CONNECTION_FAILURES_MAX = 3  # consecutive connection failures after which an endpoint is unreachable
+ERROR_WEIGHT = 0.15  # weight of an attributed error in the error rate
 ERROR_RATE_MAX = 0.35  # error rate above which an endpoint is ejected
-SUCCESSES_TO_RETURN = 3  # in a row, by trials, after errors
-RUNNING_WINDOW_S = 0.5  # an endpoint that answered within this time runs, though it takes no connection
+SUCCESSES_TO_RETURN = 3  # consecutive successful trials that end an ejection for errors
+RUNNING_WINDOW_S = (
+    0.5  # a process that responded within this time is running, even if it refuses a connection
+)
 
 NOT_RUNNING = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
-"""What a process that does not run answers with."""
+"""Results of an attempt at a process that is not running."""
 
 
 @dataclass(slots=True, eq=False)
 class OutlierDetection:
-    """Ejects endpoints and takes them back."""
+    """Ejects endpoints and reinstates them."""
 
     state: RouterState
     health_checks: HealthChecks
     slow_start: SlowStart
 
     def eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
-        """Keep traffic away for the ejection time; a further ejection without a return doubles it."""
+        """Eject the endpoint for its ejection time, which doubles if the endpoint is already ejected."""
         again = endpoint.ejection_reason is not None
         doubled = min(endpoint.ejection_time * 2.0, EJECTION_TIME_MAX_S)
         endpoint.ejection_time = doubled if again else EJECTION_TIME_MIN_S
@@ -49,10 +54,10 @@
         self.state.groups[endpoint.group_id].ejected[endpoint.id] = endpoint
 
     def trial_is_due(self, endpoint: Endpoint) -> bool:
-        """Return whether an ejected endpoint may be tried by a request.
+        """Return whether a request may be sent to the ejected endpoint as a trial.
 
-        An unreachable one is checked first; after the longest ejection time it is tried all the same, as its
-        health checks may be what fails.
+        An unreachable endpoint needs a successful health check first. Once its ejection time has reached the
+        maximum, a trial is allowed without one, because the health checks themselves may be what fails.
         """
         if endpoint.trial is not None or self.state.now < endpoint.ejected_until:
             return False
@@ -61,39 +66,39 @@
         return not (unreachable and checked_first)
 
     def trial_started(self, endpoint: Endpoint, key: AttemptKey) -> None:
-        """An attempt tries the ejected endpoint; no other one does within its ejection time."""
+        """Record the attempt as the endpoint's trial; no other trial starts within the ejection time."""
         endpoint.trial = key
         endpoint.ejected_until = self.state.now + endpoint.ejection_time
 
     def zone_returned(self, endpoint: Endpoint) -> None:
-        """The endpoint's zone has traffic again: it may be tried at once."""
+        """Allow a trial at once, because the endpoint's zone has traffic again."""
         endpoint.ejection_time = EJECTION_TIME_MIN_S
         endpoint.ejected_until = self.state.now
 
     def restarted(self, endpoint: Endpoint) -> None:
-        """The list says that the process has started anew: an unreachable one is tried soon."""
+        """Allow a trial of an unreachable endpoint soon, because the list shows a restart of its process."""
         if endpoint.ejection_reason is EjectionReason.UNREACHABLE:
             endpoint.ejected_until = self.state.now + EJECTION_TIME_MIN_S * self.state.random.random()
 
-    def forgotten(self, endpoint: Endpoint) -> None:
-        """The endpoint is long gone."""
+    def removed(self, endpoint: Endpoint) -> None:
+        """Drop an endpoint that is removed from the records."""
         self.state.groups[endpoint.group_id].ejected.pop(endpoint.id, None)
 
-    # What attempts show
+    # Results of attempts
 
     def answered(self, endpoint: Endpoint) -> None:
-        """Any answer shows that the endpoint takes connections."""
+        """Reset the count of connection failures: any response shows that connections work."""
         endpoint.connection_failures = 0
 
     def answered_with_error(self, endpoint: Endpoint, request: RoutedRequest) -> None:
-        """Note an error that may be the endpoint's own; one to a write is not judged."""
+        """Note an error response that may be the endpoint's fault; errors to writes are ignored."""
         if request.request_class.freshness is not Freshness.WRITE:
             request.errors.append(endpoint)
 
-    def answered_well(self, endpoint: Endpoint, key: AttemptKey, weight: float) -> None:
-        """Take an answer that is no error, with its weight in the error rate.
+    def answered_without_error(self, endpoint: Endpoint, key: AttemptKey, weight: float) -> None:
+        """Record a response that is not an error, with its weight in the error rate.
 
-        Any such answer ends silence; after errors several trials in a row have to succeed.
+        The response ends an ejection, except one for errors, which takes several successful trials in a row.
         """
         endpoint.error_rate *= 1.0 - weight
         if endpoint.ejection_reason is None:
@@ -102,9 +107,9 @@
         if failing and endpoint.trial == key:
             endpoint.consecutive_successes += 1
         if not failing or endpoint.consecutive_successes >= SUCCESSES_TO_RETURN:
-            self._take_back(endpoint)
+            self._reinstate(endpoint)
 
-    def _take_back(self, endpoint: Endpoint) -> None:
+    def _reinstate(self, endpoint: Endpoint) -> None:
         endpoint.ejection_reason = None
         endpoint.error_rate = 0.0
         endpoint.trial = None
@@ -112,9 +117,9 @@
         del self.state.groups[endpoint.group_id].ejected[endpoint.id]
 
     def attribute_errors(self, request: RoutedRequest) -> None:
-        """Count a request's errors against their endpoints once another endpoint has served it.
+        """Count a request's errors against their endpoints once an endpoint has served it.
 
-        An error that every endpoint answers with is the request's own.
+        If every endpoint returns an error, the request itself is at fault.
         """
         while request.served and request.errors:
             endpoint = request.errors.pop()
@@ -124,19 +129,25 @@
             if too_many or ejected_for is EjectionReason.FAILING:
                 self.eject(endpoint, EjectionReason.FAILING)
 
-    def process_runs(self, endpoint: Endpoint) -> bool:
-        """Return whether a failure to connect is no sign of a dead process: it holds requests and answers."""
+    def process_is_running(self, endpoint: Endpoint) -> bool:
+        """Return whether the process is running although a connect failed.
+
+        It is if attempts are in flight at the endpoint and it has responded recently.
+        """
         return bool(endpoint.in_flight) and self.state.now - endpoint.last_answer_at < RUNNING_WINDOW_S
 
     def connection_failed(self, endpoint: Endpoint, key: AttemptKey, result: AttemptResult) -> None:
-        """A connection broke or did not come about: eject after a trial, count it for a healthy endpoint."""
+        """Handle a failed connect or a broken connection.
+
+        The endpoint is ejected if the attempt was its trial. If it is not ejected, the failure is counted.
+        """
         if endpoint.trial == key:
             self.eject(endpoint, EjectionReason.UNREACHABLE)
         elif endpoint.ejection_reason is None:
             self._count_connection_failure(endpoint, result)
 
     def _count_connection_failure(self, endpoint: Endpoint, result: AttemptResult) -> None:
-        # One connection's end is not the endpoint's: check it, and see whether the next ones break as well.
+        # A single failure may concern only one connection, so the endpoint is checked before it is ejected.
         endpoint.connection_failures = endpoint.connection_failures + 1 if result in NOT_RUNNING else 0
         if endpoint.connection_failures >= CONNECTION_FAILURES_MAX:
             self.eject(endpoint, EjectionReason.UNREACHABLE)
@@ -144,19 +155,19 @@
             self.health_checks.check(endpoint)
 
     def timed_out(self, endpoint: Endpoint, key: AttemptKey) -> None:
-        """An attempt ended unanswered: that fails a trial."""
+        """Eject the endpoint again if the attempt that timed out was its trial."""
         if endpoint.trial == key:
             self.eject(endpoint, EjectionReason.SILENT)
 
     def trial_ended(self, endpoint: Endpoint, key: AttemptKey) -> None:
-        """An attempt has ended: if it was the endpoint's trial, another one may start."""
+        """Allow another trial if the attempt that ended was the endpoint's trial."""
         if endpoint.trial == key:
             endpoint.trial = None
 
-    # What health checks show
+    # Results of health checks
 
     def health_check_finished(self, endpoint: Endpoint, event: HealthCheckFinished) -> None:
-        """Judge the endpoint by a health check. One that passes shows only that a process runs."""
+        """Update the endpoint's state after a health check. A successful one shows only a running process."""
         reason = endpoint.ejection_reason
         if reason is EjectionReason.UNREACHABLE:
             self._unreachable_checked(endpoint, event.result is AttemptResult.OK)
@@ -165,9 +176,9 @@
         elif endpoint.connection_failures:
             self._count_connection_failure(endpoint, event.result)
         elif event.result is AttemptResult.TIMEOUT:
-            asked_at = self.state.now - event.elapsed
-            # Else reads that need its position would wait for such an endpoint again and again.
-            if self.state.last_answer_at > asked_at > endpoint.last_answer_at:
+            check_sent_at = self.state.now - event.elapsed
+            # Without this ejection, reads that need the endpoint's position would wait for it repeatedly.
+            if self.state.last_answer_at > check_sent_at > endpoint.last_answer_at:
                 self.eject(endpoint, EjectionReason.SILENT)
 
     def _unreachable_checked(self, endpoint: Endpoint, passed: bool) -> None:
@@ -175,7 +186,7 @@
             self.eject(endpoint, EjectionReason.UNREACHABLE)
             endpoint.failed_health_check = True
             return
-        if endpoint.failed_health_check:  # it did not run, so it has restarted
+        if endpoint.failed_health_check:  # the process was not running, so it has restarted since
             self.slow_start.started(endpoint, max(endpoint.warming_since, self.state.now))
         endpoint.ejection_reason = EjectionReason.SILENT
         endpoint.ejected_until = self.state.now
--- a/sedgepitch/routing/primary_discovery.py
+++ b/sedgepitch/routing/primary_discovery.py
@@ -1,7 +1,7 @@
-"""Which endpoint is a group's primary, and how it is found while none is known.
+"""Primary discovery: tracks which endpoint is a group's primary, and searches for it while none is known.
 
-The newest evidence of a role counts: an answer as of now, a report as of its position. The endpoint list is
-late, so it counts only where nothing better is known.
+The most recent evidence of a role wins: a response is valid as of now, a report as of its position. The
+endpoint list arrives late, so it is used only if no primary is known that serves requests.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from sedgepitch.routing.records import NEVER, Endpoint, ReplicaGroup, RoutedRequest
 from sedgepitch.routing.state import RouterState
 
-ATTEMPT_PAUSE_S = 0.5  # between two rounds of attempts at all endpoints of a group
-ROLE_CHECK_INTERVAL_S = 0.25  # between two rounds of health checks for roles
-ATTEMPTS_KEPT = 2  # attempts of a request that the discovery leaves for the primary once it is known
+ATTEMPT_PAUSE_S = 0.5  # pause between two rounds of attempts at all endpoints of a group
+ROLE_CHECK_INTERVAL_S = 0.25  # time between two rounds of health checks for roles
+ATTEMPTS_KEPT = 2  # attempts of a request that discovery reserves for the primary once it is known
 
 
 def role_reported(group: ReplicaGroup, endpoint: Endpoint, primary: bool, at: float) -> bool:
-    """Take an endpoint's own word on its role as of `at`; returns whether it makes a new primary known."""
+    """Record the role that an endpoint reported as of `at`; return whether the group has a new primary."""
     if at < endpoint.role_known_at:
         return False
     endpoint.role_known_at = at
@@ -37,9 +37,10 @@
 
 
 def role_listed(group: ReplicaGroup, endpoint: Endpoint, primary: bool) -> None:
-    """Take the list's word on a role, where no primary is known that serves.
+    """Record a role from the endpoint list; it has an effect only if the group has no primary that serves.
 
-    Against the endpoint's own word the role stays unconfirmed: writes may try it, reads wait.
+    If the endpoint has reported a role itself before, the listed role stays unconfirmed until its next
+    report: writes may be sent to it, reads wait.
     """
     newly_listed = primary and not endpoint.listed_as_primary
     endpoint.listed_as_primary = primary
@@ -54,32 +55,37 @@
     endpoint.role_unconfirmed = contradicts
 
 
-def role_forgotten(group: ReplicaGroup, endpoint: Endpoint) -> None:
-    """The endpoint is long gone: it is not the primary any more."""
+def role_removed(group: ReplicaGroup, endpoint: Endpoint) -> None:
+    """Clear the group's primary if it is the endpoint that is being removed."""
     if group.primary is endpoint:
         group.primary = None
 
 
 @dataclass(slots=True, eq=False)
 class PrimaryDiscovery:
-    """Looks for a primary with the writes that wait for it, and with health checks."""
+    """Searches for the primary with waiting writes and with health checks."""
 
     state: RouterState
     eligibility: Eligibility
     health_checks: HealthChecks
 
     def next_candidate(self, request: RoutedRequest) -> Endpoint | None:
-        """Return the endpoint that a write should try as the primary, if it is the one that looks for it.
+        """Return the endpoint to which a write should be sent next in search of the primary.
 
-        One write at a time tries the endpoints in the order of their ids, then there is a pause. The next
-        write goes on where it stopped: a group may have more endpoints than a request has attempts.
+        Return None unless this write is the one that searches. One write at a time tries the endpoints in the
+        order of their ids, followed by a pause. The next write continues where the previous one stopped,
+        because a group may have more endpoints than a request has attempts.
         """
         group = request.group
-        other_looks = (
+        other_searches = (
             group.discovering_request != request.id and group.discovering_request in self.state.requests
         )
         attempts_max = max(1, self.state.settings.max_attempts - ATTEMPTS_KEPT)
-        if other_looks or len(request.attempts) >= attempts_max or self.state.now < group.attempts_resume_at:
+        if (
+            other_searches
+            or len(request.attempts) >= attempts_max
+            or self.state.now < group.attempts_resume_at
+        ):
             return None
         for endpoint in sorted(group.endpoints, key=lambda e: (e.id <= group.last_candidate, e.id)):
             if endpoint not in request.attempts and self.eligibility.may_send(endpoint, request):
@@ -91,7 +97,7 @@
         return None
 
     def check_roles(self, group: ReplicaGroup) -> None:
-        """While requests wait for a primary, check the roles of as many endpoints as requests wait."""
+        """Check the roles of random endpoints, one for each waiting request, while no primary serves."""
         known = group.primary
         if known is not None and known.ejection_reason is None:
             return
--- a/sedgepitch/routing/records.py
+++ b/sedgepitch/routing/records.py
@@ -1,7 +1,7 @@
-"""What the router knows of endpoints, replica groups and the requests that await an answer.
+"""The router's records of endpoints, replica groups and pending requests.
 
-All times are seconds on the proxy's clock, all durations seconds. Each field is changed by the one module
-that the comment above it names; every other module only reads it.
+All times are seconds on the proxy's clock, all durations are in seconds. Each field is changed only by the
+module that the comment above it names; all other modules only read it.
 """
 
 from __future__ import annotations
@@ -11,15 +11,17 @@
 
 from sedgepitch.routing.messages import EndpointState, RequestClass
 
-NEVER = float("inf")  # a time that does not come; with a minus, one that has never been
-POSITION_ROUNDING_S = 0.001  # positions and commits are stated in whole milliseconds, rounded either way
+NEVER = float("inf")  # a time that is never reached; -NEVER is the time of an event that has not happened
+POSITION_ROUNDING_S = (
+    0.001  # positions and commit times are reported in whole milliseconds, rounded either way
+)
 
 AttemptKey = tuple[int, int]
-"""One attempt: the request's number and the attempt's number within the request."""
+"""Identifies an attempt: the request's number and the attempt's number within the request."""
 
 
 class EjectionReason(Enum):
-    """Why an endpoint is kept from traffic."""
+    """Why an endpoint is ejected."""
 
     UNREACHABLE = "unreachable"
     SILENT = "silent"
@@ -27,7 +29,7 @@
 
 
 class ReadPreference(Enum):
-    """The side of a replica group that serves the reads which either side may serve."""
+    """The preferred side of a replica group for reads that either side may serve."""
 
     PRIMARY = "primary"
     SECONDARY = "secondary"
@@ -35,17 +37,17 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """An attempt that has not ended yet."""
+    """An attempt that has not ended."""
 
     sent_at: float
     request: RoutedRequest
     overtaken_from: int
-    """Once the endpoint has given this many answers, later requests have overtaken this one."""
+    """Value of `Endpoint.answers` from which on later requests have overtaken this attempt."""
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What this proxy instance knows of one endpoint, from its own traffic, reports and the list."""
+    """State of one endpoint, from this proxy instance's own traffic, load reports and the endpoint list."""
 
     id: int
     group_id: int
@@ -56,26 +58,26 @@
     state: EndpointState
     started: float
     preference_weight: float
-    """A draw that fixes its place in this instance's own order of preference: the highest comes first."""
+    """Random weight that sets the endpoint's place in this instance's order of preference, highest first."""
     periods_gone: int = 0
 
     # concurrency_limit
     concurrency_limit: float = 1.0
-    """Own requests that may be in flight here; below one it is a share of the time."""
+    """Maximum of this instance's requests in flight at the endpoint; below one, a fraction of time."""
     limit_reduced_at: float = -NEVER
     primary_read_share: float = 1.0
-    """As a primary: the share of the reads that another endpoint could serve too."""
+    """Share of the reads that another endpoint could also serve which this one takes as the primary."""
     recent_connect_failures: float = 0.0
 
     # primary_discovery
     listed_as_primary: bool = False
     role_unconfirmed: bool = False
-    """The list names it primary, against the last that it said itself."""
+    """Whether it became the primary by the list alone, although it has reported a role before."""
     role_known_at: float = -NEVER
 
     # load_reports
     position: float = -NEVER
-    """The time up to which it has applied every commit."""
+    """Time up to which it has applied every commit."""
     replication_lag: float = NEVER
     reported_load: float = 0.0
     load_reported_at: float = -NEVER
@@ -84,35 +86,35 @@
     in_flight: dict[AttemptKey, InFlightAttempt] = field(default_factory=dict)
     last_sent_at: float = -NEVER
     idle_before_send: float = 0.0
-    """How long its connections had been unused before the last send."""
+    """Time for which its connections had been unused before the last send."""
     overtaken: set[AttemptKey] = field(default_factory=set)
-    """Of the attempts in flight, those whose answer is taken for lost on its way."""
+    """Attempts in flight that count as lost, because later ones were answered first."""
 
     # attempt_results
     last_answer_at: float = -NEVER
     answers: int = 0
-    """Attempts that it has served."""
+    """Number of attempts that it has served."""
 
     # latency_estimates
     latency_ratio: float = 0.0
     """Mean latency over the latency objective."""
 
     # silence_detection
-    silence_excused_at: float = -NEVER
+    silence_reset_at: float = -NEVER
 
     # outlier_detection
     ejection_reason: EjectionReason | None = None
     ejection_time: float = 0.0
     ejected_until: float = 0.0
     error_rate: float = 0.0
-    """Moving share of answers that were errors of the endpoint's own."""
+    """Moving average of the share of responses that were errors attributed to the endpoint."""
     connection_failures: int = 0
-    """Connections in a row that broke, with no answer between."""
+    """Number of consecutive connection failures, without a response between them."""
     trial: AttemptKey | None = None
-    """The attempt that tries an ejected endpoint (half-open)."""
+    """The attempt in flight that is the half-open trial of this ejected endpoint."""
     consecutive_successes: int = 0
     failed_health_check: bool = False
-    """A health check has failed since it was ejected, so its process did not run."""
+    """Whether a health check has failed since the ejection, so that its process was not running."""
 
     # slow_start
     warming_since: float = -NEVER
@@ -124,11 +126,11 @@
 
 @dataclass(slots=True, eq=False)
 class ReplicaGroup:
-    """The endpoints that hold the same data."""
+    """A set of endpoints that replicate the same data."""
 
     # endpoint_list
     endpoints: list[Endpoint] = field(default_factory=list)
-    """In this instance's own order of preference."""
+    """Sorted by this instance's order of preference."""
 
     # outlier_detection
     ejected: dict[int, Endpoint] = field(default_factory=dict)
@@ -136,9 +138,9 @@
     # primary_discovery
     primary: Endpoint | None = None
     discovering_request: int | None = None
-    """The write that looks for the primary."""
+    """Id of the write that searches for the primary."""
     last_candidate: int = -1
-    """The endpoint that the last such write tried."""
+    """Id of the endpoint that was tried last in search of the primary."""
     attempts_resume_at: float = -NEVER
     role_checks_resume_at: float = -NEVER
 
@@ -158,16 +160,16 @@
 
     # freshness
     session_commits: dict[str, float] = field(default_factory=dict)
-    """The last commit of each session, as far as it was seen here."""
+    """Time of the last commit of each session that this instance has observed."""
     session_writes: dict[str, int] = field(default_factory=dict)
-    """Write attempts in flight of each session."""
+    """Number of write attempts in flight for each session."""
     forgotten_sessions_position: float = -NEVER
-    """What a session that is not remembered any more may have committed up to."""
+    """Upper bound on the commit times of sessions that are no longer tracked."""
 
 
 @dataclass(slots=True, eq=False)
 class RoutedRequest:
-    """One request that is owed an answer, and the attempts made for it."""
+    """A request and the attempts made for it."""
 
     # request_intake
     id: int
@@ -176,14 +178,14 @@
     session: str
     deadline: float
     useful_until: float
-    """After this time an answer earns nothing."""
+    """Time after which an answer earns no priority weight."""
     wait_until: float
-    """Until then the request may wait for an endpoint with headroom."""
+    """Time until which the request may wait for an endpoint with headroom."""
     primary_only: bool
     sampling_draw: float
-    """One draw in [0, 1) for all that is decided by chance, so that shares add up over proxy instances."""
+    """Random number in [0, 1) used for all shares, so that shares add up across proxy instances."""
     limit_share: float = 1.0
-    """The share of an endpoint's concurrency limit that its class may fill."""
+    """Share of an endpoint's concurrency limit that is open to its class."""
 
     # freshness
     required_position: float = -NEVER
@@ -191,16 +193,16 @@
     # attempts
     attempts: list[Endpoint] = field(default_factory=list)
     in_flight: dict[int, float] = field(default_factory=dict)
-    """When each attempt that has not ended was sent."""
+    """Send time of each attempt in flight, by attempt number."""
 
     # attempt_results
     may_have_run: list[tuple[Endpoint, float]] = field(default_factory=list)
-    """Attempts that ended without proof that they never ran, and when they were sent."""
+    """Endpoint and send time of each ended attempt that may have been executed."""
     served: bool = False
 
     # outlier_detection
     errors: list[Endpoint] = field(default_factory=list)
-    """Endpoints that answered with an error which is not yet attributed to them."""
+    """Endpoints that returned an error which is not yet attributed to them."""
 
     # retries
     overload_rejections: int = 0
@@ -209,7 +211,7 @@
 
     # wait_queue
     needs_trial: bool = False
-    """No healthy endpoint takes it, so an ejected one may be tried with the request itself."""
+    """No healthy endpoint takes the request, so it may be sent to an ejected endpoint as its trial."""
 
     # selection
     position_checks: int = 0
--- a/sedgepitch/routing/request_intake.py
+++ b/sedgepitch/routing/request_intake.py
@@ -1,4 +1,4 @@
-"""Takes a client's request: what it needs, how long it may wait, and its first placement."""
+"""Request intake: creates the record of a client's request and places the request for the first time."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from sedgepitch.routing.state import RouterState
 from sedgepitch.routing.wait_queue import WaitQueue
 
-# Share of its latency objective that a request may wait for an endpoint with headroom. A write whose late
-# answer still earns something waits until its deadline.
+# Maximum wait of a request for an endpoint with headroom, as a share of its latency objective. A write with a
+# priority weight for late answers waits until its deadline instead.
 HEADROOM_WAIT_SHARE = 0.15
-INTERVAL_WEIGHT = 0.1  # weight of one more request in the mean interval
-INTERVAL_MAX_S = 5.0  # a longer interval counts as this one
+INTERVAL_WEIGHT = 0.1  # weight of a request in the mean interval
+INTERVAL_MAX_S = 5.0  # upper bound on a single interval in the mean
 
 
 @dataclass(slots=True, eq=False)
 class RequestIntake:
-    """Turns the event into a record, and has it placed."""
+    """Creates the record of a request and passes it to the wait queue."""
 
     state: RouterState
     limits: ConcurrencyLimits
@@ -33,11 +33,11 @@
     classes: dict[str, RequestClass] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Index the stated classes by their names."""
+        """Index the configured request classes by name."""
         self.classes = {c.name: c for c in self.state.settings.classes}
 
     def request_received(self, event: RequestReceived) -> None:
-        """Place a request; one of an unknown class or group is rejected, one that is known is ignored."""
+        """Place a request. Reject it if its class or group is unknown; ignore it if its id is in use."""
         state = self.state
         request_class, group = self.classes.get(event.class_name), state.groups.get(event.group)
         if event.request in state.requests:
@@ -48,8 +48,8 @@
         request = self._make_request(event, request_class, group)
         state.requests[event.request] = request
         self.retries.request_received()
-        self.freshness.session_age_stated(request, event.session_age)
-        self._count(group, request)
+        self.freshness.set_session_age(request, event.session_age)
+        self._update_interval(group, request)
         request.limit_share = self.limits.limit_share(request_class)
         self.wait_queue.place(request)
         if group.ejected:
@@ -79,7 +79,7 @@
             sampling_draw=self.state.random.random(),
         )
 
-    def _count(self, group: ReplicaGroup, request: RoutedRequest) -> None:
+    def _update_interval(self, group: ReplicaGroup, request: RoutedRequest) -> None:
         interval = min(INTERVAL_MAX_S, self.state.now - group.last_request_at)
         group.request_interval += INTERVAL_WEIGHT * (interval - group.request_interval)
         group.last_request_at = self.state.now
--- a/sedgepitch/routing/response_deadlines.py
+++ b/sedgepitch/routing/response_deadlines.py
@@ -1,31 +1,31 @@
-"""After what time a missing answer is remarkable."""
+"""Deadlines after which a missing response counts as silence of the endpoint or as overdue."""
 
 from __future__ import annotations
 
 from sedgepitch.routing.latency_estimates import LatencyEstimates
 from sedgepitch.routing.records import NEVER, Endpoint
 
-SILENCE_ANSWERS = 8.0  # answers that an endpoint should have given meanwhile, judged by the typical latency
-SILENCE_ANSWERS_MIN = 2.0  # the same for one with many attempts in flight
-OVERDUE_ANSWERS = 4.0  # times the mean latency after which an attempt that others overtook is taken for lost
+SILENCE_ANSWERS = 8.0  # silence limit in typical latencies, divided by the number of unanswered attempts
+SILENCE_ANSWERS_MIN = 2.0  # lower bound on it, which applies with many attempts in flight
+OVERDUE_ANSWERS = 4.0  # mean latencies after which an overtaken attempt is overdue, and counts as lost
 
 
 def unanswered_since(endpoint: Endpoint) -> float:
-    """Return since when the endpoint owes an answer, attempts that were overtaken left out."""
+    """Return the time since which a response from the endpoint is missing, ignoring overtaken attempts."""
     overtaken = endpoint.overtaken
     attempts = endpoint.in_flight.items()
     oldest = next((attempt.sent_at for key, attempt in attempts if key not in overtaken), NEVER)
-    return max(endpoint.last_answer_at, endpoint.silence_excused_at, oldest)
+    return max(endpoint.last_answer_at, endpoint.silence_reset_at, oldest)
 
 
 def silence_deadline(endpoint: Endpoint, latencies: LatencyEstimates) -> float:
-    """Return the time from which on the endpoint's silence is remarkable: sooner, the more it owes."""
+    """Return the time at which the endpoint counts as silent: the more unanswered attempts, the sooner."""
     unanswered = max(1, len(endpoint.in_flight) - len(endpoint.overtaken))
     answers = max(SILENCE_ANSWERS_MIN, SILENCE_ANSWERS / unanswered)
     return unanswered_since(endpoint) + answers * latencies.typical
 
 
 def overdue_after(endpoint: Endpoint, latencies: LatencyEstimates) -> float:
-    """Return the seconds after its send from which on an attempt that others overtook is overdue."""
+    """Return the time in seconds after which an attempt that later ones have overtaken is overdue."""
     mean = endpoint.latency_ratio * latencies.state.latency_objective
     return OVERDUE_ANSWERS * max(latencies.typical, mean)
--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -1,7 +1,7 @@
-"""The router of one proxy instance: a pure state machine that dispatches events to the parts that decide.
+"""The router of one proxy instance: a pure state machine that dispatches events to its components.
 
-The same settings, seed and events give the same actions. The types of events and actions stand in
-``routing/messages.py``; docs/design.md names the module of each decision.
+The same settings, seed and events produce the same actions. ``routing/messages.py`` exports the types of the
+events and actions; docs/design.md names the module of each decision.
 """
 
 from __future__ import annotations
@@ -36,10 +36,13 @@
 
 
 class Router:
-    """Decides for one proxy instance. Feed it events with ``handle``; carry out the actions, in order."""
+    """Makes all routing decisions of one proxy instance.
+
+    Pass events to ``handle`` and carry out the returned actions in order.
+    """
 
     def __init__(self, settings: messages.Settings, seed: int) -> None:
-        """Build the parts; each is given the parts that it asks."""
+        """Create the components and connect each to those that it depends on."""
         self.state = state = RouterState(settings, Random(seed))
         self.settings = settings
         self.endpoints = state.endpoints
@@ -117,9 +120,9 @@
         )
 
     def handle(self, now: float, events: Iterable[messages.Event]) -> list[messages.Action]:
-        """Take the events of one moment, in order, and return what to do about them.
+        """Process events that occurred at the same time, in order, and return the resulting actions.
 
-        `now` is the time in seconds on the proxy's clock; it never goes back.
+        `now` is the time in seconds on the proxy's clock, which is monotonic.
         """
         state = self.state
         state.now = now
@@ -134,7 +137,7 @@
         return state.actions
 
     def _dispatch(self, event: messages.Event) -> None:
-        # TimerExpired has no case: `handle` compares the time itself, so any event may bring what was due.
+        # TimerExpired needs no case: `handle` runs the periodic check with any event, once it is due.
         match event:
             case messages.RequestReceived():
                 self.request_intake.request_received(event)
@@ -158,7 +161,7 @@
             return
         group = self.groups[endpoint.group_id]
         self.health_checks.finished(endpoint)
-        self.reports.take(endpoint, event.report)
+        self.reports.record(endpoint, event.report)
         self.outlier_detection.health_check_finished(endpoint, event)
         if group.waiting:
             self.wait_queue.place_waiting(group)
@@ -181,5 +184,5 @@
         self.idle_connections.end_period()
         for group in self.groups.values():
             compare_sides(group)
-            self.freshness.forget_sessions(group)
-        self.endpoint_list.forget_gone()
+            self.freshness.drop_sessions(group)
+        self.endpoint_list.remove_gone()
--- a/sedgepitch/routing/selection.py
+++ b/sedgepitch/routing/selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request: the side of its replica group, then the endpoint within that side."""
+"""Selects the endpoint for a request: first the side of its replica group, then an endpoint of that side."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from sedgepitch.routing.slow_start import SlowStart
 from sedgepitch.routing.state import RouterState
 
-PRIMARY_LIMIT_SHARE = 0.7  # share of a primary's limit that reads fill by preference; the rest is for writes
-POSITION_CHECKS_MAX = 2  # replicas that a read may have checked for their position before it is placed
-POSITION_CHECK_MARGINS = 2.0  # answer margins that must be left of a read's wait for such a check
-LIKELY_REPLICAS = 2  # replicas that such a check chooses from
-ENDPOINT_USE_INTERVAL_S = 0.5  # an instance spreads over as many endpoints as each get a read this often
-ENDPOINTS_MIN = 2  # but over this many at least
-OTHER_ZONE_PENALTY = 0.15  # latency ratio by which an endpoint of another zone must be better to win a tie
-# Reads an endpoint within a staleness bound, from which on expired positions are checked in advance.
+PRIMARY_LIMIT_SHARE = 0.7  # share of a primary's limit open to reads that prefer it; the rest is for writes
+POSITION_CHECKS_MAX = 2  # position checks of replicas that one read may trigger before it is placed
+POSITION_CHECK_MARGINS = 2.0  # remaining wait of a read, in answer margins, that such a check requires
+LIKELY_REPLICAS = 2  # number of replicas from which such a check chooses
+ENDPOINT_USE_INTERVAL_S = 0.5  # reads are spread over so many endpoints that each gets one this often
+ENDPOINTS_MIN = 2  # lower bound on that number of endpoints
+OTHER_ZONE_PENALTY = 0.15  # added to the latency ratio of endpoints in other zones to break ties in load
+# Expired positions are checked in advance if each endpoint gets more reads than this per staleness bound.
 READS_PER_POSITION_CHECK_MIN = 2.0
 
 
 @dataclass(slots=True, eq=False)
 class Selection:
-    """Chooses endpoints; sends nothing."""
+    """Chooses endpoints; it does not send requests."""
 
     state: RouterState
     eligibility: Eligibility
@@ -42,7 +42,7 @@
     primary_discovery: PrimaryDiscovery
 
     def choose(self, request: RoutedRequest) -> Endpoint | None:
-        """Return the endpoint for the next attempt; None where none may take it now."""
+        """Return the endpoint for the next attempt, or None if no endpoint can take the request now."""
         if request.primary_only:
             return self._choose_primary(request)
         side = side_for_read(self.state, request)
@@ -60,7 +60,7 @@
         return None
 
     def _choose_primary(self, request: RoutedRequest) -> Endpoint | None:
-        # A write may go to an unconfirmed primary, and finds one while none is known; a read waits.
+        # A write may go to an unconfirmed primary, or search for the primary; a read waits in both cases.
         primary = request.group.primary
         writes = request.request_class.freshness is Freshness.WRITE
         if primary is None:
@@ -73,10 +73,11 @@
         return None
 
     def pick_replica(self, request: RoutedRequest, limit_share: float = 1.0) -> Endpoint | None:
-        """Return one of the replicas that are eligible and fresh enough, by two choices.
+        """Return a replica that is eligible and fresh enough, by the power of two choices.
 
-        Two are drawn by size and warm-up, the one with less load is taken. Where endpoints check freshness
-        themselves, the most advanced eligible one stands in for one that is known to be fresh enough.
+        Two replicas are drawn, weighted by size and warm-up, and the less loaded one is returned. If no
+        replica is known to be fresh enough and endpoints check freshness themselves, return the eligible
+        replica with the most recent position.
         """
         eligible, qualified = self._qualify(request, limit_share)
         if qualified:
@@ -88,7 +89,8 @@
         return max(eligible, key=lambda endpoint: endpoint.position, default=None)
 
     def _qualify(self, request: RoutedRequest, limit_share: float) -> tuple[list[Endpoint], list[Endpoint]]:
-        # The eligible replicas, and of these the fresh enough, in order of preference until there are enough.
+        # Returns the eligible replicas and those of them that are fresh enough, in order of preference. The
+        # search stops at the number of endpoints over which the instance spreads its reads.
         group, attempts = request.group, request.attempts
         enough = self._endpoints_to_spread_over(group)
         interval = group.request_interval * len(group.endpoints) * READS_PER_POSITION_CHECK_MIN
@@ -110,21 +112,23 @@
         return eligible, qualified
 
     def _endpoints_to_spread_over(self, group: ReplicaGroup) -> int:
-        # An instance with little traffic keeps to the first of its order, so that connections stay in use.
+        # With little traffic the first endpoints in the order of preference get all reads, so that their
+        # connections stay in use.
         interval = max(group.request_interval, self.state.settings.tick)
         return max(ENDPOINTS_MIN, int(ENDPOINT_USE_INTERVAL_S / interval))
 
     def load(self, endpoint: Endpoint) -> tuple[float, float]:
-        """Return the order of load, the lowest first: own requests in flight for its size and warm-up.
+        """Return the sort key for load: own requests in flight relative to size and warm-up.
 
-        Ties go to the lower latency ratio, with a penalty for another zone than the instance's own.
+        Ties are broken by the latency ratio, plus a penalty for endpoints in other zones.
         """
         capacity = endpoint.size * self.slow_start.capacity_share(endpoint)
         penalty = OTHER_ZONE_PENALTY * (endpoint.zone != self.state.settings.zone)
         return len(endpoint.in_flight) / capacity, self.latencies.latency_ratio(endpoint) + penalty
 
     def _check_position_first(self, request: RoutedRequest) -> bool:
-        # Before the primary serves a read, a likely replica's position is checked; true where the read waits.
+        # Starts a position check of a replica that is likely to be fresh enough, before the primary serves
+        # the read. Returns whether the read should wait for the result.
         settings, state = self.state.settings, self.state
         if not settings.health_checks or not settings.reports_position:
             return False
@@ -133,7 +137,7 @@
         if state.now + POSITION_CHECK_MARGINS * state.answer_margin >= request.wait_until:
             return False
         max_staleness = self.freshness.max_staleness(request)
-        if max_staleness <= 0.0:  # no replica is at the present
+        if max_staleness <= 0.0:  # every replica lags behind the present state
             return False
         likely = self._likely_replicas(request, max_staleness)
         if likely:
@@ -142,8 +146,8 @@
         return bool(likely)
 
     def _likely_replicas(self, request: RoutedRequest, max_staleness: float) -> list[Endpoint]:
-        passed = [request.group.primary, *request.attempts]
+        excluded = [request.group.primary, *request.attempts]
         may_send, check_due = self.eligibility.may_send, self.health_checks.position_check_due
-        others = (e for e in request.group.endpoints if e not in passed and may_send(e, request))
+        others = (e for e in request.group.endpoints if e not in excluded and may_send(e, request))
         likely = (e for e in others if e.replication_lag < max_staleness or check_due(e))
         return list(islice(likely, LIKELY_REPLICAS))
--- a/sedgepitch/routing/settings.py
+++ b/sedgepitch/routing/settings.py
@@ -1,4 +1,4 @@
-"""What a router is told when it starts: request classes, the rules' figures and what the platform offers.
+"""Settings of a router: request classes, limits set by the rules, and features of the platform.
 
 All times are durations in seconds.
 """
@@ -12,25 +12,25 @@
 
 
 class InvalidSettingsError(ConfigurationError, ValueError):
-    """A router cannot work with its settings; the message names the field."""
+    """The settings of a router are invalid; the message names the field."""
 
 
 class Freshness(Enum):
-    """How recent the data behind an answer must be, and so which endpoints may serve the request."""
+    """How recent the data for a request must be, which determines the endpoints that may serve it."""
 
     WRITE = "write"
-    """Not a read: the primary executes it."""
+    """A write, which only the primary can execute."""
     FRESH = "fresh"
-    """The present state: the primary alone has it."""
+    """A read of the present state, which only the primary has."""
     SESSION = "session"
-    """All that the client's session has written."""
+    """A read that must include all writes of the client's session."""
     BOUNDED = "bounded"
-    """At most `max_staleness` seconds old."""
+    """A read of data that is at most `max_staleness` seconds old."""
     ANY = "any"
 
 
 PRIMARY_ONLY = (Freshness.WRITE, Freshness.FRESH)
-"""What only the primary can serve."""
+"""Freshness of requests that only the primary can serve."""
 
 
 class Idempotency(Enum):
@@ -38,20 +38,20 @@
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
-    """It carries an idempotency key: endpoints drop repeats within the deduplication window."""
+    """The request has an idempotency key: endpoints drop repeats within the deduplication window."""
     NONE = "unsafe"
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints drop the repeats of a keyed request."""
+    """Which endpoints drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     CELL = "cell"
-    """Those of the replica group that it was sent to."""
+    """Only the endpoints of the replica group to which it was sent."""
 
 
 class StaleReadHandling(Enum):
-    """What an endpoint does with a read for which it lags too far."""
+    """How an endpoint handles a read that its replication lag rules out."""
 
     SERVE = "none"
     REJECT = "bounce"
@@ -59,7 +59,7 @@
 
 
 class SessionTracking(Enum):
-    """Who knows the age of a session's last write."""
+    """Whether the client or the proxy tracks the age of a session's last write."""
 
     BY_CLIENT = "carried"
     BY_PROXY = "remembered"
@@ -67,50 +67,50 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests, as the deployment states it."""
+    """A class of requests, as configured for the deployment."""
 
     name: str
     latency_objective: float
     """Time within which an answer earns the full priority weight."""
     deadline: float
-    """Time that a client waits at most."""
+    """Maximum time that a client waits."""
     priority_weight: float
     late_priority_weight: float
-    """What an answer between the objective and the deadline earns."""
+    """Priority weight of an answer between the latency objective and the deadline."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: float
-    """Time for which endpoints remember an idempotency key."""
+    """Time for which endpoints keep an idempotency key."""
     freshness: Freshness
     max_staleness: float
-    """For bounded reads."""
+    """Staleness bound of bounded reads."""
 
 
 @dataclass(slots=True, frozen=True)
 class RuleLimits:
-    """The figures of the binding rules.
+    """Limits set by the rules that the router must follow.
 
     The router does not use `answer_slack`, `drain_grace` and `overload_duration`.
     """
 
     answer_slack: float = 0.0
-    """Time after its deadline by which a request must have its final answer."""
+    """Time after its deadline within which a request must get its final answer."""
     drain_grace: float = 0.0
     """Time for which a draining endpoint may still be sent new requests."""
     overload_factor: float = 1.0
-    """Multiple of its capacity that an endpoint may be sent."""
+    """Maximum load that may be sent to an endpoint, as a multiple of its capacity."""
     overload_duration: float = 1.0
     initial_capacity: float = 1.0
-    """Share of its capacity that an endpoint has when it starts."""
+    """Share of its capacity that an endpoint has at its start."""
     slow_start_window: float = 0.0
-    """Time after its start at which an endpoint has its whole capacity."""
+    """Time after its start until an endpoint has its full capacity."""
     max_poll_interval: float = 0.0
-    """Longest time between two polls of the endpoint list."""
+    """Maximum time between two polls of the endpoint list."""
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that a router is told when it starts; raises InvalidSettingsError.
+    """All settings of a router; raises InvalidSettingsError if they are invalid.
 
     The router does not use `stale_read_wait`, `load_reports_in_answers`, `list_reports_primary` and `cancel`.
     """
@@ -125,25 +125,25 @@
     stale_read_handling: StaleReadHandling = StaleReadHandling.SERVE
     session_tracking: SessionTracking = SessionTracking.BY_CLIENT
     stale_read_wait: float = 0.0
-    """With StaleReadHandling.WAIT: how long an endpoint waits to catch up."""
+    """With StaleReadHandling.WAIT: time for which an endpoint waits to catch up."""
     subscription_required: bool = False
-    """Whether the endpoint list has to be watched; otherwise it is sent unasked."""
+    """Whether the router must watch the endpoint list; otherwise it arrives without a subscription."""
     health_checks: bool = False
     load_reports_in_answers: bool = False
     reports_position: bool = False
     list_reports_primary: bool = False
     max_attempts: int = 1
-    """Attempts for one request, the first included."""
+    """Maximum number of attempts for a request, including the first."""
     hedging: bool = False
     """Whether a request may have more than one attempt in flight."""
     cancel: bool = False
-    """Whether attempts can be cancelled."""
+    """Whether attempts in flight can be cancelled."""
     retry_after: bool = False
-    """Whether a rejection may advise a Retry-After."""
+    """Whether a rejection may include a Retry-After time."""
     max_retry_after: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check the figures that a router divides by or counts with."""
+        """Validate the numbers that the router divides by or uses as limits."""
         if not self.classes:
             raise InvalidSettingsError("settings.classes: at least one class is needed")
         for name in ("latency_objective", "deadline"):
--- a/sedgepitch/routing/silence_detection.py
+++ b/sedgepitch/routing/silence_detection.py
@@ -1,4 +1,4 @@
-"""Looks for endpoints that owe answers, and helps the requests that wait there."""
+"""Silence detection: finds endpoints that have stopped responding, and hedges their requests in flight."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class SilenceDetection:
-    """Judges missing answers of endpoints that are not ejected."""
+    """Checks endpoints that are not ejected for missing responses."""
 
     state: RouterState
     latencies: LatencyEstimates
@@ -26,9 +26,10 @@
     hedging: Hedging
 
     def check(self, endpoint: Endpoint) -> None:
-        """Hedge the requests at a silent endpoint, and eject it if others answered meanwhile.
+        """Hedge the requests at a silent endpoint, and eject it if another endpoint has responded meanwhile.
 
-        Silence everywhere is this instance's own, and a lost idle connection is not the endpoint's fault.
+        If no endpoint responds, the cause is assumed to be on this instance's side. A lost idle connection is
+        not the endpoint's fault either, so the endpoint is not ejected for one.
         """
         state = self.state
         self._hedge_overtaken(endpoint)
@@ -43,11 +44,11 @@
         if not lost_connection and state.last_answer_at > since:
             self.outlier_detection.eject(endpoint, EjectionReason.SILENT)
             return
-        endpoint.silence_excused_at = state.now
+        endpoint.silence_reset_at = state.now
         state.set_timer(silence_deadline(endpoint, self.latencies))
 
     def _hedge_overtaken(self, endpoint: Endpoint) -> None:
-        # An overdue attempt that later ones overtook is taken for lost: it tells nothing of the endpoint.
+        # An overdue attempt that later ones have overtaken counts as lost and is no sign of silence.
         state = self.state
         after = overdue_after(endpoint, self.latencies)
         for key, attempt in list(endpoint.in_flight.items()):
@@ -55,5 +56,5 @@
                 state.set_timer(attempt.sent_at + after)
                 break
             if endpoint.answers >= attempt.overtaken_from:
-                self.attempts.take_for_lost(endpoint, key)
+                self.attempts.mark_lost(endpoint, key)
                 self.hedging.hedge(attempt.request, endpoint)
--- a/sedgepitch/routing/slow_start.py
+++ b/sedgepitch/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""How much an endpoint may be sent while it warms up, and while its zone is left or recovers."""
+"""Slow start: limits the requests to an endpoint while it warms up or its zone has a reduced weight."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 from sedgepitch.routing.records import Endpoint, RoutedRequest
 from sedgepitch.routing.state import RouterState
 
-# Share of the stated overload multiple that a warming endpoint is sent, of the capacity that it has by now.
+# Load of a warming endpoint relative to its present capacity, as a share of the configured overload factor.
 OVERLOAD_SHARE = 0.5
-GOLDEN_RATIO = 0.618034  # its fractional part; gives one request a draw of its own at each endpoint
+GOLDEN_RATIO = 0.618034  # its fractional part; derives a separate draw per endpoint from a request's draw
 
 
 @dataclass(slots=True, eq=False)
 class SlowStart:
-    """The warm-up ramp of endpoints and the recovery ramp of zones."""
+    """Applies the warm-up ramp of endpoints and the weights of zones."""
 
     state: RouterState
     zone_weights: dict[str, float] = field(default_factory=dict)
-    """By zone: the share of its reads that it may have; zones that are not named have all."""
+    """Share of its reads that each zone may serve; a zone that is not listed serves all of them."""
 
     def set_zone_weights(self, weights: dict[str, float]) -> set[str]:
-        """Take new weights of zones below 1; returns the zones that had no traffic and have some now."""
-        held = self.zone_weights
+        """Set the zone weights below 1; return the zones whose weight has risen from 0."""
+        previous = self.zone_weights
         self.zone_weights = weights
-        return {zone for zone, weight in held.items() if weight <= 0.0 < weights.get(zone, 1.0)}
+        return {zone for zone, weight in previous.items() if weight <= 0.0 < weights.get(zone, 1.0)}
 
     def started(self, endpoint: Endpoint, at: float) -> None:
-        """The endpoint's process started at that time, so it warms up from then on."""
+        """Start the warm-up of an endpoint whose process started at that time."""
         endpoint.warming_since = at
 
-    def zone_is_left(self, endpoint: Endpoint) -> bool:
-        """Return whether no reads go to the endpoint's zone."""
+    def zone_has_no_traffic(self, endpoint: Endpoint) -> bool:
+        """Return whether the weight of the endpoint's zone is 0."""
         return self.zone_weights.get(endpoint.zone, 1.0) <= 0.0
 
     def capacity_share(self, endpoint: Endpoint) -> float:
-        """Return the share of its capacity that an endpoint surely has by now, from 0 to 1."""
+        """Return the share of its capacity, from 0 to 1, that an endpoint has at least by now."""
         rules = self.state.settings.rules
         initial, window = rules.initial_capacity, rules.slow_start_window
         age = self.state.now - endpoint.warming_since
         return 1.0 if age >= window else initial + (1.0 - initial) * max(0.0, age) / window
 
     def accepts(self, endpoint: Endpoint, request: RoutedRequest) -> bool:
-        """Return whether the list, the zone's weight and the warm-up ramp let the endpoint have the request.
+        """Return whether the endpoint's listed state, zone weight and warm-up allow it to get the request.
 
-        Nothing new goes to a draining endpoint. A warming one gets its share of the requests by chance and
-        not by count, so that many proxy instances together send that share too.
+        A draining endpoint gets no new requests. For a warming endpoint, the request's sampling draw decides
+        rather than a count, so that many proxy instances in total send it no more than its share.
         """
         state = self.state
         if endpoint.state is not EndpointState.UP or not self.zone_accepts(endpoint, request):
@@ -60,9 +60,10 @@
         return (request.sampling_draw + endpoint.id * GOLDEN_RATIO) % 1.0 < share
 
     def zone_accepts(self, endpoint: Endpoint, request: RoutedRequest) -> bool:
-        """Return whether the zone's weight lets the endpoint have the request.
+        """Return whether the weight of the endpoint's zone allows it to get the request.
 
-        Only reads that could go elsewhere are weighed; the primary does what only it can do.
+        The weight does not apply to requests that only the primary can serve, or to session reads at the
+        primary.
         """
         if request.primary_only:
             return True
--- a/sedgepitch/routing/state.py
+++ b/sedgepitch/routing/state.py
@@ -1,4 +1,4 @@
-"""What all parts of the router share: settings, the present time, the records, the actions and the timer."""
+"""State shared by the router's components: settings, current time, records, pending actions and the timer."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from sedgepitch.routing.messages import Action, SetTimer, Settings
 from sedgepitch.routing.records import NEVER, Endpoint, ReplicaGroup, RoutedRequest
 
-CHECKS_PER_OBJECTIVE = 4.0  # periodic checks of waiting requests within the shortest latency objective
-ANSWER_MARGIN_TICKS = 3.0  # a request is answered this many clock ticks before its time is up
+CHECKS_PER_OBJECTIVE = 4.0  # periodic checks of waiting requests per shortest latency objective
+ANSWER_MARGIN_TICKS = 3.0  # clock ticks before its deadline at which a request gets its final answer
 
 
 @dataclass(slots=True, eq=False)
 class RouterState:
-    """The records, and where parts put the actions that they decide on."""
+    """The records, and the list to which components append their actions."""
 
     settings: Settings
     random: Random
@@ -26,31 +26,31 @@
     endpoints_in_use: dict[int, Endpoint] = field(default_factory=dict)
     """Endpoints with attempts in flight."""
     last_answer_at: float = -NEVER
-    """When any endpoint answered last."""
+    """Time of the last response from any endpoint."""
     event_loop_blocked: bool = False
-    """The timer came late, so what waited for this process looks late and is not."""
+    """Whether the timer fired late, so that latencies include a delay of this process and are not used."""
     timer_at: float = -NEVER
-    """When the next periodic check is due, NEVER where none is; the first event brings the first one."""
+    """Time of the next periodic check, or NEVER; the first event triggers the first check."""
     timer_nonce: int = 0
-    """Number of the last timer that was asked for."""
+    """Nonce of the last timer that was set."""
     latency_objective: float = field(init=False)
-    """The shortest of all classes."""
+    """Shortest latency objective of all classes."""
     check_interval: float = field(init=False)
-    """Time between two looks at waiting requests."""
+    """Time between two checks of waiting requests."""
     answer_margin: float = field(init=False)
     """Time before a deadline at which the final answer is given."""
 
     def __post_init__(self) -> None:
-        """Derive the figures that follow from the settings."""
+        """Derive the values that depend on the settings."""
         tick = self.settings.tick
         self.latency_objective = min(c.latency_objective for c in self.settings.classes)
         self.check_interval = max(tick, self.latency_objective / CHECKS_PER_OBJECTIVE)
         self.answer_margin = ANSWER_MARGIN_TICKS * tick
 
     def set_timer(self, at: float) -> None:
-        """Ask for a timer at `at` unless an earlier one is set.
+        """Set a timer for the time `at`, unless an earlier one is set.
 
-        None is set while nothing is due: a deployment has hundreds of instances that are mostly idle.
+        There is no timer while nothing is due, because a deployment has hundreds of mostly idle instances.
         """
         if at < self.timer_at:
             self.timer_at = at
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -30,7 +30,7 @@
     rules = FreshnessRules(make_state())
     endpoint = make_endpoint(rules.state, position=rules.state.now - behind)
     request = make_request(rules.state, name)
-    rules.session_age_stated(request, 0.3)
+    rules.set_session_age(request, 0.3)
     assert rules.fresh_enough(endpoint, request) is fresh
 
 
@@ -62,7 +62,7 @@
     make_endpoint(rules.state, 2, position=98.0)
     group = rules.state.groups[1]
     group.session_commits = {"old": 97.5, "new": 98.5}
-    rules.forget_sessions(group)
+    rules.drop_sessions(group)
     assert group.session_commits == {"new": 98.5}
     old, new = (make_request(rules.state, "session", session=name) for name in ("old", "new"))
     assert (rules.required_position(old), rules.required_position(new)) == (98.0, 98.5)
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -37,7 +37,7 @@
         rest = (endpoint.ejected_until - detection.state.now) / endpoint.ejection_time
         assert 0.75 <= rest <= 1.25
     assert times == [EJECTION_TIME_MIN_S, 1.0, 2.0, EJECTION_TIME_MAX_S, EJECTION_TIME_MAX_S]
-    detection.answered_well(endpoint, KEY, 0.1)
+    detection.answered_without_error(endpoint, KEY, 0.1)
     assert endpoint.ejection_reason is None and not detection.state.groups[1].ejected
     detection.eject(endpoint, EjectionReason.SILENT)
     assert endpoint.ejection_time == EJECTION_TIME_MIN_S
@@ -82,7 +82,7 @@
     for success in range(SUCCESSES_TO_RETURN):
         assert endpoint.ejection_reason is EjectionReason.FAILING, success
         detection.trial_started(endpoint, KEY)
-        detection.answered_well(endpoint, KEY, 0.1)
+        detection.answered_without_error(endpoint, KEY, 0.1)
         detection.trial_ended(endpoint, KEY)
     assert endpoint.ejection_reason is None
 
