--- a/tests/support/router_harness.py
+++ b/tests/support/router_harness.py
@@ -1,4 +1,4 @@
-"""A small bench of one router for the tests: settings to start from, and a clock that feeds events."""
+"""Test harness for one router: default settings, a simulated clock, and builders for records."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_class(name: str, freshness: Freshness, **changes) -> api.RequestClass:
-    """A class with middling figures."""
+    """Return a request class with default values, modified by `changes`."""
     base = api.RequestClass(
         name=name,
         latency_objective=0.2,
@@ -80,12 +80,12 @@
 
 
 def entry(endpoint: int, **changes) -> api.EndpointEntry:
-    """An entry of group 1 that is up."""
+    """Return a list entry for an endpoint of group 1 that is up."""
     return replace(api.EndpointEntry(endpoint=endpoint, group=1, state=EndpointState.UP, zone="a"), **changes)
 
 
 class Rig:
-    """One router, three endpoints (1 is listed as primary), and the clock."""
+    """A router with three endpoints, of which endpoint 1 is listed as primary, and a simulated clock."""
 
     def __init__(self, settings: api.Settings = SETTINGS, endpoints=None, seed: int = 7) -> None:
         self.router, self.now, self.ids = Router(settings, seed), 100.0, 0
@@ -95,14 +95,14 @@
         self.feed(api.EndpointListUpdate(tuple(entries), complete=True, remembered=True))
 
     def feed(self, *events: api.Event) -> list[api.Action]:
-        """Give events at the present moment."""
+        """Pass events to the router at the current time and return its actions."""
         actions = self.router.handle(self.now, list(events))
         self.timers += [(self.now + a.after, a.nonce) for a in actions if isinstance(a, api.SetTimer)]
         self.log += actions
         return actions
 
     def run(self, seconds: float) -> list[api.Action]:
-        """Let time pass; timers come due on the way."""
+        """Advance the clock, firing timers as they expire; return the actions."""
         end, start = self.now + seconds, len(self.log)
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
@@ -113,19 +113,19 @@
         return self.log[start:]
 
     def receive(self, name: str, ttl: float = 0.9, **fields) -> tuple[int, list[api.Action]]:
-        """A client's request; returns its id and what was done."""
+        """Feed a client's request; return its id and the actions."""
         self.ids += 1
         return self.ids, self.feed(api.RequestReceived(self.ids, name, 1, ttl, **fields))
 
     def finish(
         self, request: int, attempt: int, endpoint: int, result: AttemptResult, **fields
     ) -> list[api.Action]:
-        """The end of an attempt."""
+        """Feed the end of an attempt."""
         final = fields.pop("final", result is AttemptResult.OK)
         return self.feed(api.AttemptFinished(request, attempt, endpoint, result, 0.02, final, **fields))
 
     def report(self, endpoint: int, age: float, primary: bool = False) -> None:
-        """A report that a health check brought: the position that the endpoint had some seconds ago."""
+        """Feed a health check whose report has a position that is `age` seconds old."""
         self.feed(
             api.HealthCheckFinished(
                 endpoint, AttemptResult.OK, 0.001, api.LoadReport(self.now - age, primary)
@@ -134,41 +134,41 @@
 
 
 def sends(actions, request: int | None = None) -> list[int]:
-    """The endpoints sent to."""
+    """Return the endpoints to which attempts were sent, optionally of one request only."""
     return [a.endpoint for a in actions if isinstance(a, api.SendAttempt) and request in (None, a.request)]
 
 
 def finals(actions, request: int) -> list[api.Action]:
-    """The final answers of one request."""
+    """Return the final answers to one request."""
     return [a for a in actions if isinstance(a, FINAL) and a.request == request]
 
 
 def placed(rig: Rig, name: str, **fields) -> tuple[int, list[int]]:
-    """Ask, let it wait for a position in vain, and return who was sent to."""
+    """Feed a request, let its wait for a position check expire, and return the endpoints it was sent to."""
     request, _ = rig.receive(name, **fields)
     rig.run(0.04)
     return request, sends(rig.log, request)
 
 
 def make_state(settings: api.Settings = SETTINGS, now: float = 100.0, seed: int = 7) -> RouterState:
-    """The shared state of a router, for tests of one part alone."""
+    """Return the shared state of a router, for unit tests of one component."""
     return RouterState(settings, Random(seed), now)
 
 
 def make_endpoint(router_state: RouterState, number: int = 1, **fields) -> Endpoint:
-    """An endpoint of group 1 that is up and warm, in the state's records."""
+    """Add an endpoint of group 1 that is up and warm to the state's records and return it."""
     group = router_state.groups.setdefault(1, ReplicaGroup())
-    stated = {"zone": "a", "size": 1.0, "state": EndpointState.UP, "started": 0.0, "preference_weight": 0.5}
-    endpoint = Endpoint(id=number, group_id=1, **(stated | fields))
+    defaults = {"zone": "a", "size": 1.0, "state": EndpointState.UP, "started": 0.0, "preference_weight": 0.5}
+    endpoint = Endpoint(id=number, group_id=1, **(defaults | fields))
     group.endpoints.append(endpoint)
     router_state.endpoints[number] = endpoint
     return endpoint
 
 
 def make_request(state: RouterState, name: str = "any", number: int = 1, **fields) -> RoutedRequest:
-    """A request of that class for group 1, with the class's whole deadline left."""
+    """Return a request of the named class for group 1, with the class's full deadline left."""
     request_class = next(c for c in CLASSES if c.name == name)
-    stated = {
+    defaults = {
         "session": "",
         "deadline": state.now + request_class.deadline,
         "useful_until": state.now + request_class.latency_objective,
@@ -177,4 +177,4 @@
         "sampling_draw": 0.5,
     }
     group = state.groups.setdefault(1, ReplicaGroup())
-    return RoutedRequest(id=number, request_class=request_class, group=group, **(stated | fields))
+    return RoutedRequest(id=number, request_class=request_class, group=group, **(defaults | fields))
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Positions, staleness bounds and sessions, by themselves."""
+"""Unit tests of the freshness rules: positions, staleness bounds and sessions."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from sedgepitch.routing.messages import AttemptResult, SessionTracking
 from tests.support.router_harness import SETTINGS, make_endpoint, make_request, make_state
 
-REMEMBERED = replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY)
+TRACKED_BY_PROXY = replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY)
 
 
 @pytest.mark.parametrize(
-    ("name", "behind", "fresh"),
+    ("name", "lag", "fresh"),
     [
         ("any", 1e6, True),
         ("bounded", 0.498, True),
@@ -26,9 +26,9 @@
         ("write", 0.0, False),
     ],
 )
-def test_a_replica_is_fresh_enough_by_its_last_known_position(name, behind, fresh):
+def test_replica_is_fresh_enough_according_to_its_last_known_position(name, lag, fresh):
     rules = FreshnessRules(make_state())
-    endpoint = make_endpoint(rules.state, position=rules.state.now - behind)
+    endpoint = make_endpoint(rules.state, position=rules.state.now - lag)
     request = make_request(rules.state, name)
     rules.set_session_age(request, 0.3)
     assert rules.fresh_enough(endpoint, request) is fresh
@@ -39,14 +39,14 @@
     [
         (AttemptResult.OK, 99.9, 99.9),
         (AttemptResult.OK, None, 100.5),
-        (AttemptResult.TIMEOUT, 99.9, 100.5),  # it may have committed until its end
+        (AttemptResult.TIMEOUT, 99.9, 100.5),  # it may have committed at any time until its end
         (AttemptResult.OVERLOADED, None, float("-inf")),
     ],
 )
-def test_a_remembered_session_requires_the_present_while_it_writes_and_its_commit_then(
+def test_tracked_session_requires_the_present_during_a_write_and_its_commit_afterwards(
     result, stated, required
 ):
-    rules = FreshnessRules(make_state(REMEMBERED))
+    rules = FreshnessRules(make_state(TRACKED_BY_PROXY))
     write = make_request(rules.state, "write", 1, session="s")
     read = make_request(rules.state, "session", 2, session="s")
     rules.write_started(write)
@@ -56,8 +56,8 @@
     assert rules.required_position(read) == required
 
 
-def test_a_forgotten_session_is_held_to_what_all_endpoints_had_reached():
-    rules = FreshnessRules(make_state(REMEMBERED))
+def test_dropped_session_requires_the_position_that_all_endpoints_had_reached():
+    rules = FreshnessRules(make_state(TRACKED_BY_PROXY))
     make_endpoint(rules.state, 1, position=99.0)
     make_endpoint(rules.state, 2, position=98.0)
     group = rules.state.groups[1]
--- a/tests/test_golden_routing.py
+++ b/tests/test_golden_routing.py
@@ -1,7 +1,7 @@
-"""Golden decisions of the router: the same seed gives the same bytes as when the digests were recorded.
+"""Golden tests of the router: each seed must give the same decisions as when its digest was recorded.
 
-`python -m tests.test_golden_routing` prints the digests of the present code, to record them anew where a
-change of behaviour is meant.
+`python -m tests.test_golden_routing` prints the digests of the current code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 DIGESTS = Path(__file__).parent / "golden" / "routing.json"
 SEEDS = range(1, 31)
-LONG_SEEDS = (10, 20, 30)  # long enough that endpoints which left the list are forgotten
+LONG_SEEDS = (10, 20, 30)  # these runs are long enough that endpoints which left the list are removed
 LONG_S = 90.0
 
 
 def play(seed: int) -> str:
-    """Play one seed; returns the digest of what the router printed."""
+    """Run one seed and return the digest of the router's decisions."""
     return (GoldenFleet(seed, LONG_S) if seed in LONG_SEEDS else GoldenFleet(seed)).play()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_router_decides_as_recorded(seed):
+def test_router_decides_as_recorded(seed):
     assert play(seed) == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def test_the_seeds_ask_for_every_kind_of_action():
+def test_seeds_cover_every_kind_of_action():
     seen: Counter[str] = Counter()
     for seed in SEEDS:
         fleet = GoldenFleet(seed, length_s=5.0)
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection, half-open trials and return of endpoints, by themselves."""
+"""Unit tests of outlier detection: ejection, half-open trials and return of endpoints."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 def make_detection() -> OutlierDetection:
-    """Outlier detection over an empty state."""
+    """Return the outlier detection of an empty router state."""
     state = make_state()
     return OutlierDetection(state, HealthChecks(state), SlowStart(state))
 
 
-def test_the_ejection_time_doubles_up_to_its_maximum_and_starts_anew_after_a_return():
+def test_ejection_time_doubles_up_to_its_maximum_and_is_reset_after_a_return():
     detection = make_detection()
     endpoint = make_endpoint(detection.state)
     times = []
     for _ in range(5):
         detection.eject(endpoint, EjectionReason.SILENT)
         times.append(endpoint.ejection_time)
-        rest = (endpoint.ejected_until - detection.state.now) / endpoint.ejection_time
-        assert 0.75 <= rest <= 1.25
+        jitter = (endpoint.ejected_until - detection.state.now) / endpoint.ejection_time
+        assert 0.75 <= jitter <= 1.25
     assert times == [EJECTION_TIME_MIN_S, 1.0, 2.0, EJECTION_TIME_MAX_S, EJECTION_TIME_MAX_S]
     detection.answered_without_error(endpoint, KEY, 0.1)
     assert endpoint.ejection_reason is None and not detection.state.groups[1].ejected
@@ -43,7 +43,7 @@
     assert endpoint.ejection_time == EJECTION_TIME_MIN_S
 
 
-def test_an_unreachable_endpoint_is_tried_after_a_health_check_that_passed():
+def test_unreachable_endpoint_gets_a_trial_only_after_a_successful_health_check():
     detection = make_detection()
     endpoint = make_endpoint(detection.state)
     for _ in range(CONNECTION_FAILURES_MAX):
@@ -55,12 +55,12 @@
     assert not detection.trial_is_due(endpoint)
     detection.health_check_finished(endpoint, api.HealthCheckFinished(1, AttemptResult.OK, 0.001))
     assert detection.trial_is_due(endpoint)
-    assert endpoint.warming_since == detection.state.now, "its process did not run, so it has restarted"
+    assert endpoint.warming_since == detection.state.now, "its process was not running, so it has restarted"
     detection.trial_started(endpoint, KEY)
     assert not detection.trial_is_due(endpoint)
 
 
-def test_errors_are_attributed_only_where_another_endpoint_served_the_request():
+def test_errors_are_attributed_only_if_another_endpoint_served_the_request():
     detection = make_detection()
     endpoint = make_endpoint(detection.state)
     for number in range(20):
@@ -75,7 +75,7 @@
     assert endpoint.ejection_reason is EjectionReason.FAILING
 
 
-def test_a_failing_endpoint_returns_after_successes_in_a_row():
+def test_failing_endpoint_returns_after_consecutive_successes():
     detection = make_detection()
     endpoint = make_endpoint(detection.state)
     detection.eject(endpoint, EjectionReason.FAILING)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(("last_answer", "ejected"), [(100.0, True), (99.0, False)])
-def test_a_health_check_that_timed_out_counts_only_while_others_answer(last_answer, ejected):
+def test_health_check_timeout_ejects_only_while_other_endpoints_respond(last_answer, ejected):
     detection = make_detection()
     endpoint = make_endpoint(detection.state)
     detection.state.last_answer_at = last_answer
--- a/tests/test_primary_discovery.py
+++ b/tests/test_primary_discovery.py
@@ -1,4 +1,4 @@
-"""Evidence of roles, by itself: answers, reports and the late list."""
+"""Unit tests of role evidence: responses, load reports and the endpoint list, which arrives late."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def make_group():
-    """A group of two endpoints without a primary."""
+    """Return a group without a primary, and its two endpoints."""
     state = make_state()
     first, second = make_endpoint(state, 1), make_endpoint(state, 2)
     return state.groups[1], first, second
 
 
-def test_the_newest_report_of_a_role_counts():
+def test_most_recent_role_report_wins():
     group, first, second = make_group()
     assert role_reported(group, first, True, 10.0) and group.primary is first
     assert not role_reported(group, second, True, 9.0) and group.primary is first
@@ -24,20 +24,20 @@
     assert not role_reported(group, second, False, 12.0) and group.primary is None
 
 
-def test_the_list_counts_only_where_no_primary_serves():
+def test_listed_role_counts_only_while_no_primary_serves():
     group, first, second = make_group()
     role_reported(group, first, True, 10.0)
     role_listed(group, second, True)
     assert group.primary is first
     first.ejection_reason = EjectionReason.SILENT
     role_listed(group, second, True)
-    assert group.primary is first, "it was listed as such before"
+    assert group.primary is first, "the second endpoint was already listed as primary before"
     role_listed(group, second, False)
     role_listed(group, second, True)
     assert group.primary is second and not second.role_unconfirmed
 
 
-def test_a_role_that_the_endpoint_itself_denied_stays_unconfirmed_until_it_says_so():
+def test_listed_role_that_contradicts_the_endpoint_stays_unconfirmed_until_it_reports_the_role():
     group, first, _ = make_group()
     role_reported(group, first, False, 10.0)
     role_listed(group, first, True)
@@ -46,7 +46,7 @@
     assert not first.role_unconfirmed
 
 
-def test_a_primary_that_is_gone_gives_way_to_the_list():
+def test_listed_primary_replaces_a_primary_that_is_gone():
     group, first, second = make_group()
     role_reported(group, first, True, 10.0)
     first.state = EndpointState.GONE
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Each field of the router's records is changed only by the module that owns it."""
+"""Static check that each field of the router's records is changed only by the module that owns it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def owners() -> dict[str, set[str]]:
-    """Read from the comments in records.py which module owns each field; a name may stand in two records."""
+    """Return the modules that own each field name, read from the comments in records.py.
+
+    Two records can have a field of the same name, so a name may have several owners.
+    """
     found: dict[str, set[str]] = {}
     owner = ""
     for line in (ROUTING / "records.py").read_text().splitlines():
@@ -30,7 +33,7 @@
 
 
 def changed_attributes(tree: ast.AST):
-    """Yield each attribute that the code assigns, deletes from or changes by a method, and its line."""
+    """Yield each attribute that the code assigns, deletes from or modifies by a method, with its line."""
     for node in ast.walk(tree):
         target = None
         if isinstance(node, ast.Attribute) and not isinstance(node.ctx, ast.Load):
@@ -45,16 +48,16 @@
                 yield target.attr, node.lineno
 
 
-def test_every_owner_is_a_module_and_every_field_that_changes_has_one():
+def test_every_owner_is_a_module_and_every_variable_field_has_an_owner():
     known = owners()
     assert all((ROUTING / f"{module}.py").exists() for modules in known.values() for module in modules)
-    stated = {"id", "group_id", "zone"}  # of an endpoint: they never change
+    constant = {"id", "group_id", "zone"}  # fields of an endpoint that never change
     for record in RECORDS:
-        assert set(record.__slots__) - stated <= known.keys()
+        assert set(record.__slots__) - constant <= known.keys()
 
 
 @pytest.mark.parametrize("path", sorted(ROUTING.glob("*.py")), ids=lambda path: path.name)
-def test_a_module_changes_only_its_own_fields(path):
+def test_module_changes_only_its_own_fields(path):
     known = owners()
     for name, line in changed_attributes(ast.parse(path.read_text())):
         if name in known:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""The rules for attempts, the retry budget and final answers, by themselves."""
+"""Unit tests of the rules for attempts, the retry budget and final answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def make_retries(settings: api.Settings = SETTINGS) -> Retries:
-    """The rules over an empty state."""
+    """Return the retry rules of an empty router state."""
     state = make_state(settings)
     return Retries(state, SlowStart(state))
 
@@ -23,13 +23,13 @@
     [
         ("any", 50.0, True, True),
         ("write", 0.9, False, True),
-        ("write", 0.9, True, False),  # its key holds in the group that it was sent to
+        ("write", 0.9, True, False),  # only the replica group it was sent to drops repeats of its key
         ("write", 1.0, False, False),  # the deduplication window is 1 s
         ("wide", 0.9, True, True),
         ("unsafe", 0.0, False, False),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_where_repeats_are_dropped(name, age, other_group, allowed):
+def test_request_that_may_have_run_is_resent_only_if_repeats_are_dropped(name, age, other_group, allowed):
     retries = make_retries()
     state = retries.state
     request = make_request(state, name)
@@ -40,7 +40,7 @@
     assert retries.may_attempt(request, other) is allowed
 
 
-def test_no_attempt_beyond_the_maximum_after_the_deadline_or_beside_another_without_hedging():
+def test_no_attempt_above_the_maximum_after_the_deadline_or_in_parallel_without_hedging():
     retries = make_retries(replace(SETTINGS, hedging=False, max_attempts=2))
     state = retries.state
     endpoint, request = make_endpoint(state), make_request(state)
@@ -57,7 +57,7 @@
     assert not retries.may_attempt(request, endpoint)
 
 
-def test_a_retry_of_what_may_have_run_costs_budget_and_requests_earn_it():
+def test_retry_of_a_request_that_may_have_run_uses_the_budget_that_requests_fill():
     retries = make_retries()
     request = make_request(retries.state)
     request.may_have_run.append((make_endpoint(retries.state), retries.state.now))
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     ("name", "answer"), [("any", api.Reject), ("wide", api.Reject), ("write", api.Fail), ("unsafe", api.Fail)]
 )
-def test_what_may_have_run_is_rejected_only_where_the_clients_retry_is_harmless(name, answer):
+def test_request_that_may_have_run_is_rejected_only_if_a_client_retry_is_harmless(name, answer):
     retries = make_retries()
     request = make_request(retries.state, name)
     request.may_have_run.append((make_endpoint(retries.state), retries.state.now))
@@ -78,11 +78,11 @@
     assert [type(action) for action in retries.state.actions] == [answer] and request.done
 
 
-def test_backoff_after_overload_begins_with_the_second_and_grows():
+def test_backoff_after_overload_starts_with_the_second_rejection_and_grows():
     retries = make_retries()
     request = make_request(retries.state)
-    waits = []
+    backoffs = []
     for _ in range(4):
         retries.overloaded(request)
-        waits.append((request.retry_at - retries.state.now) / retries.state.check_interval)
-    assert waits == pytest.approx([0.0, 2.0, 6.0, 14.0])
+        backoffs.append((request.retry_at - retries.state.now) / retries.state.check_interval)
+    assert backoffs == pytest.approx([0.0, 2.0, 6.0, 14.0])
--- a/tests/test_side_comparison.py
+++ b/tests/test_side_comparison.py
@@ -1,4 +1,4 @@
-"""The paper's comparison of the two sides, by itself."""
+"""Unit tests of the side comparison, as described in the paper."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "secondary", "primary", "preferred"),
+    ("previous", "secondary", "primary", "preferred"),
     [
         (PRIMARY, 0.049, 0.1, SECONDARY),  # below the Decision Threshold of one half
         (PRIMARY, 0.05, 0.1, PRIMARY),
@@ -26,10 +26,10 @@
         (SECONDARY, 0.1, 0.049, PRIMARY),
     ],
 )
-def test_the_ratio_of_the_medians_decides_and_the_preference_holds_between(
-    held, secondary, primary, preferred
+def test_preference_follows_the_ratio_of_medians_and_is_kept_between_the_thresholds(
+    previous, secondary, primary, preferred
 ):
-    group = ReplicaGroup(read_preference=held)
+    group = ReplicaGroup(read_preference=previous)
     group.replica_latencies = [secondary] * SAMPLES_MIN
     group.primary_latencies = [primary] * SAMPLES_MIN
     compare_sides(group)
@@ -37,31 +37,31 @@
     assert group.replica_latencies == group.primary_latencies == []
 
 
-@pytest.mark.parametrize("few", ["replica_latencies", "primary_latencies"])
-def test_a_side_with_too_few_samples_is_not_compared(few):
+@pytest.mark.parametrize("side", ["replica_latencies", "primary_latencies"])
+def test_sides_are_not_compared_if_one_has_too_few_samples(side):
     group = ReplicaGroup(read_preference=PRIMARY)
     group.replica_latencies = [0.001] * SAMPLES_MIN
     group.primary_latencies = [0.1] * SAMPLES_MIN
-    getattr(group, few).pop()
+    getattr(group, side).pop()
     compare_sides(group)
     assert group.read_preference is PRIMARY
 
 
-def test_the_exploration_fraction_of_the_reads_goes_to_the_opposite_side():
+def test_exploration_fraction_of_reads_goes_to_the_opposite_side():
     state = make_state()
     request = make_request(state)
     sides = [side_for_read(state, request) for _ in range(20_000)]
     assert sides.count(PRIMARY) / len(sides) == pytest.approx(EXPLORATION_FRACTION, abs=0.01)
 
 
-def test_session_reads_prefer_the_secondaries_whatever_the_preference():
+def test_session_reads_prefer_the_secondaries_regardless_of_the_preference():
     state = make_state()
     request = make_request(state, "session")
     request.group.read_preference = PRIMARY
     assert {side_for_read(state, request) for _ in range(100)} == {SECONDARY}
 
 
-def test_the_samples_hold_only_reads_that_either_side_may_serve():
+def test_samples_include_only_reads_that_either_side_may_serve():
     state = make_state()
     primary, replica = make_endpoint(state, 1), make_endpoint(state, 2)
     group = state.groups[1]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The warm-up ramp of an endpoint and the weights of zones, by themselves."""
+"""Unit tests of slow start: the warm-up ramp of endpoints and the zone weights."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 @pytest.mark.parametrize(
     ("age", "share"), [(-1.0, 0.2), (0.0, 0.2), (WINDOW_S / 2, 0.6), (WINDOW_S, 1.0), (1e6, 1.0)]
 )
-def test_capacity_grows_in_a_line_from_the_initial_share(age, share):
+def test_capacity_grows_linearly_from_the_initial_share(age, share):
     state = make_state()
     endpoint = make_endpoint(state, warming_since=state.now - age)
     assert SlowStart(state).capacity_share(endpoint) == pytest.approx(share)
 
 
 @pytest.mark.parametrize("listed", [EndpointState.DRAINING, EndpointState.GONE])
-def test_nothing_new_goes_to_an_endpoint_that_is_not_up(listed):
+def test_endpoint_that_is_not_up_gets_no_new_requests(listed):
     state = make_state()
     endpoint = make_endpoint(state, state=listed)
     assert not SlowStart(state).accepts(endpoint, make_request(state, "write"))
 
 
-def test_a_warming_endpoint_accepts_its_share_of_the_draws():
+def test_warming_endpoint_accepts_its_share_of_sampling_draws():
     state = make_state()
     endpoint = make_endpoint(state, warming_since=state.now)
     slow_start = SlowStart(state)
@@ -36,14 +36,14 @@
     assert sum(accepted) / 1000 == pytest.approx(0.5 * SETTINGS.rules.overload_factor * 0.2, abs=0.002)
 
 
-def test_weights_say_which_zones_have_traffic_again():
+def test_set_zone_weights_returns_the_zones_that_have_traffic_again():
     slow_start = SlowStart(make_state())
     assert slow_start.set_zone_weights({"a": 0.0, "b": 0.0, "c": 0.5}) == set()
     assert slow_start.set_zone_weights({"b": 0.0}) == {"a"}
     assert slow_start.set_zone_weights({"b": 0.1}) == {"b"}
 
 
-def test_only_reads_that_could_go_elsewhere_are_weighed():
+def test_zone_weight_applies_only_to_reads_that_other_endpoints_could_serve():
     state = make_state()
     primary, replica = make_endpoint(state, 1), make_endpoint(state, 2)
     state.groups[1].primary = primary
