--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -1,4 +1,4 @@
-"""Requests that an endpoint takes and never answers, while it answers others: losses, not load."""
+"""Requests that an endpoint never answers while it answers others: they are lost, not a sign of load."""
 
 from __future__ import annotations
 
@@ -14,66 +14,69 @@
 from tests.test_router_faults import serve
 
 
-def answered_after(rig: Rig, name: str, count: int) -> None:
-    """Let that many later requests be answered in 20 ms each, by whoever they go to."""
+def send_answered(rig: Rig, name: str, count: int) -> None:
+    """Send `count` requests of a class; every endpoint responds within 20 ms."""
     serve(rig, name, count, {1: 0.02, 2: 0.02, 3: 0.02})
 
 
-def hang(rig: Rig, name: str) -> int:
-    """Ask for what is never answered."""
+def send_unanswered(rig: Rig, name: str) -> int:
+    """Send a request to endpoint 1, which never responds to it."""
     request, actions = rig.receive(name, ttl=0.6)
     assert sends(actions, request) == [1]
     return request
 
 
-def test_a_write_that_later_ones_overtook_is_sent_again_to_its_primary():
+def test_write_overtaken_by_later_ones_is_sent_to_its_primary_again():
     rig = Rig()
-    answered_after(rig, "write", 60)
-    request = hang(rig, "write")
-    answered_after(rig, "write", 12)
+    send_answered(rig, "write", 60)
+    request = send_unanswered(rig, "write")
+    send_answered(rig, "write", 12)
     assert sends(rig.log, request) == [1, 1]
 
 
-def test_a_write_that_nobody_overtook_is_not_sent_again():
+def test_write_that_was_not_overtaken_is_not_sent_again():
     rig = Rig()
-    answered_after(rig, "write", 60)
-    request = hang(rig, "write")
+    send_answered(rig, "write", 60)
+    request = send_unanswered(rig, "write")
     rig.run(0.3)
     assert sends(rig.log, request) == [1]
 
 
-def test_no_hedged_request_of_what_is_not_idempotent_or_where_hedging_is_off():
+def test_no_hedged_request_if_it_is_not_idempotent_or_hedging_is_off():
     for settings, name in ((SETTINGS, "unsafe"), (replace(SETTINGS, hedging=False), "write")):
         rig = Rig(settings)
-        answered_after(rig, "write", 60)
-        request = hang(rig, name)
-        answered_after(rig, "write", 12)
+        send_answered(rig, "write", 60)
+        request = send_unanswered(rig, name)
+        send_answered(rig, "write", 12)
         assert sends(rig.log, request) == [1]
 
 
 def limit_after(rig: Rig, overtaken: bool) -> float:
-    """The primary's limit after every fourth request went without an answer."""
-    answered_after(rig, "write", 60)
+    """Return the primary's limit after up to 30 requests without a response.
+
+    With `overtaken`, the primary answers eight later requests after each of them.
+    """
+    send_answered(rig, "write", 60)
     for _ in range(30):
         request, actions = rig.receive("unsafe", ttl=0.6)
         if not sends(actions, request):
-            break  # there is no room any more
+            break  # the limit leaves no headroom
         if overtaken:
-            answered_after(rig, "write", 8)
+            send_answered(rig, "write", 8)
         rig.run(0.6)
         rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.TIMEOUT, 0.6, False))
         assert finals(rig.log, request)
     return rig.router.endpoints[1].concurrency_limit
 
 
-def test_time_outs_of_what_was_overtaken_cut_no_limit_and_those_of_what_waits_do():
+def test_timeouts_reduce_the_limit_unless_the_attempt_was_overtaken():
     endpoints = (entry(1, primary=True),)
-    lost = limit_after(Rig(endpoints=endpoints), overtaken=True)
-    held = limit_after(Rig(endpoints=endpoints), overtaken=False)
-    assert lost >= 24.0 > held
+    limit_after_losses = limit_after(Rig(endpoints=endpoints), overtaken=True)
+    limit_after_overload = limit_after(Rig(endpoints=endpoints), overtaken=False)
+    assert limit_after_losses >= 24.0 > limit_after_overload
 
 
-def test_an_attempt_of_an_answered_request_ends_with_the_clients_time():
+def test_attempt_in_flight_of_an_answered_request_ends_at_the_clients_deadline():
     proxy = MongodbProxy()
     for endpoint in (2, 3):
         proxy.engine.feed(
@@ -81,40 +84,42 @@
                 endpoint, AttemptResult.OK, 0.001, api.LoadReport(proxy.clock.now(), False)
             )
         )
-    _, got = ask(proxy, "map-read")
+    _, responses = ask(proxy, "map-read")
     while len(proxy.endpoints.sent) < 2 and proxy.clock.now() < 1000.95:
         proxy.turn(0.01)
-    silent, quick = proxy.endpoints.sent
-    quick.answer()
+    unanswered, hedged = proxy.endpoints.sent
+    hedged.answer()
     proxy.turn()
-    assert len(got) == 1 and not silent.abandoned
-    assert proxy.engine.request_table.requests and proxy.engine.router.endpoints[silent.endpoint].in_flight
+    assert len(responses) == 1 and not unanswered.abandoned
+    assert (
+        proxy.engine.request_table.requests and proxy.engine.router.endpoints[unanswered.endpoint].in_flight
+    )
     proxy.turn(1.0)
-    assert silent.abandoned
+    assert unanswered.abandoned
     assert not proxy.engine.request_table.requests
-    assert not any(m.in_flight for m in proxy.engine.router.endpoints.values())
+    assert not any(e.in_flight for e in proxy.engine.router.endpoints.values())
 
 
-def test_an_endpoint_long_gone_is_forgotten_and_sessions_are_kept_only_where_they_are_needed():
+def test_endpoint_that_is_long_gone_is_removed_and_sessions_are_tracked_only_as_needed():
     rig = Rig()
-    answered_after(rig, "write", 60)
+    send_answered(rig, "write", 60)
     rig.finish(rig.receive("write", session="s")[0], 0, 1, AttemptResult.OK, position=rig.now)
     assert not rig.router.groups[1].session_commits
     rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(2)), complete=True))
     for _ in range(10):
-        answered_after(rig, "write", 60)
+        send_answered(rig, "write", 60)
         rig.run(6.0)
     assert set(rig.router.endpoints) == {1, 2, 3}, "it may come back"
     for _ in range(10):
-        answered_after(rig, "write", 60)
+        send_answered(rig, "write", 60)
         rig.run(6.0)
     assert set(rig.router.endpoints) == {1, 2} and len(rig.router.groups[1].endpoints) == 2
-    answered_after(rig, "any", 20)
+    send_answered(rig, "any", 20)
 
 
-def test_sessions_are_bounded_where_an_endpoint_reports_no_position_and_forgotten_ones_see_their_writes():
+def test_sessions_are_bounded_without_reported_positions_and_dropped_ones_still_read_their_writes():
     rig = Rig(replace(SETTINGS, session_tracking=api.SessionTracking.BY_PROXY, health_checks=False))
-    begun = rig.now
+    start = rig.now
     for number in range(3 * SESSIONS_MAX):
         rig.finish(
             rig.receive("write", session=f"s{number}")[0],
@@ -130,8 +135,8 @@
     group = rig.router.groups[1]
     assert SESSIONS_MAX / 4 < len(group.session_commits) <= SESSIONS_MAX and "s0" not in group.session_commits
     assert f"s{number}" in group.session_commits
-    rig.router.endpoints[1].concurrency_limit = 0.5  # no room for reads
-    rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(begun, False)))
+    rig.router.endpoints[1].concurrency_limit = 0.5  # no headroom for reads
+    rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(start, False)))
     read, actions = rig.receive("session", session="s0")
     assert not sends(actions, read)
     assert sends(
@@ -140,30 +145,30 @@
     ) == [2]
 
 
-def test_one_broken_connection_checks_the_endpoint_and_three_in_a_row_eject_it():
+def test_one_broken_connection_triggers_a_health_check_and_three_in_a_row_an_ejection():
     rig = Rig()
-    answered_after(rig, "write", 60)
+    send_answered(rig, "write", 60)
     first = rig.receive("write")[0]
     actions = rig.finish(first, 0, 1, AttemptResult.RESET)
     assert api.CheckHealth(1) in actions and not rig.router.endpoints[1].ejection_reason
-    assert sends(rig.log, first) == [1, 1], "it may be repeated, and the endpoint is there"
+    assert sends(rig.log, first) == [1, 1], "the request may be retried, and the endpoint is not ejected"
     rig.finish(first, 1, 1, AttemptResult.RESET)
     rig.finish(first, 2, 1, AttemptResult.RESET)
     assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE
 
 
-def test_an_answer_between_two_breaks_starts_the_count_anew():
+def test_response_resets_the_count_of_connection_failures():
     rig = Rig()
-    answered_after(rig, "write", 60)
+    send_answered(rig, "write", 60)
     for _ in range(6):
         rig.finish(rig.receive("write")[0], 0, 1, AttemptResult.CONNECT_FAILED)
-        answered_after(rig, "write", 12)
+        send_answered(rig, "write", 12)
         assert not rig.router.endpoints[1].ejection_reason
 
 
-def test_a_process_that_does_not_run_is_known_by_its_health_checks():
+def test_process_that_is_not_running_is_detected_by_health_checks():
     rig = Rig()
-    answered_after(rig, "write", 60)
+    send_answered(rig, "write", 60)
     rig.finish(rig.receive("unsafe")[0], 0, 1, AttemptResult.RESET)
     checks = 0
     while not rig.router.endpoints[1].ejection_reason and checks < 5:
@@ -172,38 +177,38 @@
     assert rig.router.endpoints[1].ejection_reason is EjectionReason.UNREACHABLE and checks == 2
 
 
-def test_one_connection_that_does_not_come_about_is_no_full_table_and_several_are():
+def test_one_failed_connect_does_not_reduce_the_limit_but_several_do():
     rig = Rig()
-    answered_after(rig, "write", 60)
-    held = [rig.receive("unsafe")[0] for _ in range(4)]
+    send_answered(rig, "write", 60)
+    requests = [rig.receive("unsafe")[0] for _ in range(4)]
     before = rig.router.endpoints[1].concurrency_limit
-    rig.finish(held[0], 0, 1, AttemptResult.CONNECT_FAILED)
+    rig.finish(requests[0], 0, 1, AttemptResult.CONNECT_FAILED)
     assert rig.router.endpoints[1].concurrency_limit == before
-    rig.finish(held[1], 0, 1, AttemptResult.CONNECT_FAILED)
+    rig.finish(requests[1], 0, 1, AttemptResult.CONNECT_FAILED)
     assert rig.router.endpoints[1].concurrency_limit < before / 2
 
 
-def test_requests_that_were_overtaken_do_not_make_their_endpoint_silent():
+def test_overtaken_requests_do_not_make_their_endpoint_silent():
     rig = Rig(endpoints=(entry(1, primary=True), entry(2), entry(3)))
-    answered_after(rig, "write", 60)
+    send_answered(rig, "write", 60)
     for _ in range(5):
-        hang(rig, "unsafe")
-    answered_after(rig, "write", 20)
+        send_unanswered(rig, "unsafe")
+    send_answered(rig, "write", 20)
     for _ in range(10):
-        answered_after(rig, "write", 2)
-        answered_after(rig, "any", 4)
-        rig.run(0.045)  # well under what one request may wait, more than five may
+        send_answered(rig, "write", 2)
+        send_answered(rig, "any", 4)
+        rig.run(0.045)  # below the silence limit for one unanswered attempt, above that for five
         assert not rig.router.endpoints[1].ejection_reason
     assert len(rig.router.endpoints[1].overtaken) == 5
 
 
-def test_a_lost_read_is_sent_again_to_its_endpoint_where_no_other_may_serve_it():
+def test_lost_read_is_sent_to_its_endpoint_again_if_no_other_may_serve_it():
     rig = Rig(endpoints=(entry(1, primary=True), entry(2)))
     rig.router.outlier_detection.eject(rig.router.endpoints[1], EjectionReason.UNREACHABLE)
     rig.router.endpoints[1].ejected_until = rig.now + 1e6
     rig.router.state.random.random = lambda: 0.5  # no exploration
-    answered_after(rig, "any", 60)
+    send_answered(rig, "any", 60)
     request, actions = rig.receive("any", ttl=0.6)
     assert sends(actions, request) == [2]
-    answered_after(rig, "any", 12)
+    send_answered(rig, "any", 12)
     assert sends(rig.log, request) == [2, 2]
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -1,4 +1,4 @@
-"""Each binding rule at its edges."""
+"""Edge cases of each binding rule."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 # Rule 1: one final answer, in time
 
 
-def test_deadline_with_an_attempt_out_is_answered_at_once():
+def test_request_whose_attempt_times_out_at_its_deadline_is_answered_at_once():
     rig = Rig()
     request, actions = rig.receive("write", ttl=0.5)
     assert sends(actions) == [1]
@@ -25,7 +25,7 @@
     assert finals(rig.finish(request, 0, 1, AttemptResult.TIMEOUT), request) == [api.Fail(request)]
 
 
-def test_a_waiting_request_is_answered_before_its_deadline():
+def test_waiting_request_is_answered_before_its_deadline():
     rig = Rig(endpoints=(entry(2, state=EndpointState.DRAINING),))
     request, actions = rig.receive("write", ttl=0.5)
     assert sends(actions) == []
@@ -33,13 +33,13 @@
     assert len(finals(actions, request)) == 1
 
 
-def test_a_client_with_less_time_than_a_tick_is_answered_on_arrival():
+def test_request_with_almost_no_time_left_is_answered_on_arrival():
     rig = Rig(endpoints=(entry(2, state=EndpointState.DRAINING),))
     request, actions = rig.receive("bounded", ttl=0.004)
     assert len(finals(actions, request)) == 1
 
 
-def test_nothing_follows_a_final_answer():
+def test_no_attempt_or_answer_follows_a_disconnect():
     rig = Rig()
     request, _ = rig.receive("any")
     endpoint = sends(rig.log, request)[0]
@@ -48,7 +48,7 @@
     assert sends(actions, request) == [] and finals(actions, request) == []
 
 
-# Rule 2: no effect twice
+# Rule 2: no request is executed twice
 
 
 @pytest.mark.parametrize(
@@ -60,7 +60,7 @@
         AttemptResult.NOT_ELIGIBLE,
     ],
 )
-def test_a_request_that_is_not_idempotent_may_be_rejected_when_it_never_ran(result):
+def test_request_that_is_not_idempotent_is_rejected_if_it_never_ran(result):
     rig = Rig()
     request, _ = rig.receive("unsafe", ttl=1.5)
     rig.feed(
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 )
-def test_a_request_that_is_not_idempotent_and_may_have_run_fails_and_is_not_retried(result):
+def test_request_that_is_not_idempotent_and_may_have_run_fails_without_a_retry(result):
     rig = Rig()
     request, _ = rig.receive("unsafe", ttl=1.5)
     rig.finish(request, 0, 1, result)
@@ -86,7 +86,7 @@
     assert [type(a) for a in finals(rig.log, request)] == [api.Fail]
 
 
-def test_a_keyed_request_is_retried_within_its_deduplication_window_only():
+def test_keyed_request_is_retried_only_within_its_deduplication_window():
     for wait, again in ((0.9, [1, 1]), (1.05, [1])):
         rig = Rig()
         request, _ = rig.receive("write", ttl=1.9)
@@ -98,7 +98,7 @@
             assert finals(rig.log, request) == [api.Fail(request)]
 
 
-def test_a_keyed_request_that_may_have_run_is_rejected_only_where_every_endpoint_drops_repeats():
+def test_keyed_request_that_may_have_run_is_rejected_only_if_every_endpoint_drops_repeats():
     for name, kind in (("write", api.Fail), ("wide", api.Reject)):
         rig = Rig()
         request, _ = rig.receive(name, ttl=0.5)
@@ -106,7 +106,7 @@
         assert [type(a) for a in finals(rig.finish(request, 0, 1, AttemptResult.TIMEOUT), request)] == [kind]
 
 
-def test_no_hedged_request_where_the_site_forbids_it():
+def test_no_hedged_request_if_hedging_is_off():
     rig = Rig(replace(SETTINGS, hedging=False))
     request, _ = rig.receive("any", ttl=0.9)
     rig.run(0.8)
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_nothing_new_goes_to_an_endpoint_listed_as_draining_or_gone(state):
+def test_no_new_request_goes_to_an_endpoint_listed_as_draining_or_gone(state):
     rig = Rig()
     rig.feed(api.EndpointListUpdate((entry(2, state=state),), complete=False))
     for _ in range(60):
@@ -126,7 +126,7 @@
     assert 2 not in sends(rig.log)
 
 
-def test_a_complete_list_that_omits_an_endpoint_removes_it():
+def test_endpoint_missing_from_a_complete_list_gets_no_requests():
     rig = Rig()
     rig.feed(api.EndpointListUpdate((entry(1, primary=True), entry(3)), complete=True))
     for _ in range(40):
@@ -136,8 +136,8 @@
 
 
 @pytest.mark.parametrize("how", ["trial", "stuck write"])
-def test_no_way_of_sending_goes_to_a_draining_endpoint(how):
-    # Incident ie07cc6: a trial went to an ejected endpoint that the list had removed meanwhile.
+def test_no_kind_of_attempt_goes_to_an_endpoint_that_is_gone(how):
+    # Incident ie07cc6: a trial was sent to an ejected endpoint that the list had removed meanwhile.
     rig = Rig()
     request, _ = rig.receive("write", ttl=1.9)
     rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.SILENT)
@@ -154,7 +154,7 @@
 
 
 def steady(rig: Rig, seconds: float, rate: int = 100) -> None:
-    """Answered reads and writes at an even rate."""
+    """Send reads and writes at an even rate; every one is answered."""
     for _ in range(int(seconds * rate)):
         request, actions = rig.receive("write" if rig.ids % 5 == 0 else "any")
         for endpoint in sends(actions, request):
@@ -163,14 +163,14 @@
 
 
 def share_in(rig: Rig, endpoint: int, seconds: float) -> float:
-    """The share of the sends of the next seconds that one endpoint gets."""
+    """Send steady traffic for some seconds and return the share of the attempts that one endpoint gets."""
     start = len(rig.log)
     steady(rig, seconds)
-    got = sends(rig.log[start:])
-    return got.count(endpoint) / len(got)
+    sent_to = sends(rig.log[start:])
+    return sent_to.count(endpoint) / len(sent_to)
 
 
-def test_a_warming_endpoint_is_ramped_against_its_warm_peers():
+def test_warming_endpoint_gets_fewer_requests_than_its_warm_peers():
     rig = Rig()
     steady(rig, 5.0)
     rig.feed(api.EndpointListUpdate((entry(3, started=rig.now),), complete=False))
@@ -180,8 +180,8 @@
     assert 0 < first < 0.15 < share_in(rig, 3, 2.0)
 
 
-def test_many_instances_together_leave_a_warming_group_headroom():
-    # A minimum for each instance would be multiplied: 400 of them must send a share, not one each.
+def test_many_proxy_instances_leave_a_warming_group_headroom():
+    # A minimum per instance would add up: 400 instances together must send a share, not one request each.
     sent = 0
     for seed in range(400):
         started = tuple(entry(m, started=99.9, primary=m == 1) for m in (1, 2, 3))
@@ -191,8 +191,8 @@
     assert 0 < sent < 0.5 * 400
 
 
-def test_many_instances_together_do_not_overload_a_warming_primary():
-    # A warming new primary has a fifth of its capacity; writes take at most all of a warm one's.
+def test_many_proxy_instances_do_not_overload_a_warming_primary():
+    # A warming new primary has a fifth of its capacity; the writes need at most the capacity of a warm one.
     sent = 0
     for seed in range(400):
         rig = Rig(seed=seed)
@@ -223,7 +223,7 @@
         assert set(sends(rig.log)) & allowed
 
 
-def test_position_neither_regresses_nor_runs_ahead_of_now():
+def test_position_neither_decreases_nor_runs_ahead_of_the_clock():
     rig = Rig()
     rig.report(2, 0.1)
     rig.report(2, 0.9)
@@ -233,7 +233,7 @@
     assert 2 in sends(rig.log) and 3 not in sends(rig.log)
 
 
-def test_a_session_read_whose_client_brings_the_age_needs_its_write():
+def test_session_read_requires_the_last_commit_whose_age_the_client_sends():
     rig = Rig()
     rig.report(2, 0.2)
     for age, endpoint in ((0.3, 2), (0.1, 1), (0.2, 1)):
@@ -243,7 +243,7 @@
         rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
 
 
-def test_a_session_read_remembered_here_needs_the_writes_seen_here():
+def test_session_read_requires_the_writes_tracked_by_the_proxy():
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     request, _ = rig.receive("write", session="s")
     rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
@@ -257,7 +257,7 @@
     assert set(sends(actions, read)) <= {2, 3}
 
 
-def test_a_former_primary_serves_fresh_reads_until_an_answer_says_otherwise():
+def test_former_primary_serves_fresh_reads_until_it_responds_as_a_replica():
     rig = Rig()
     request, actions = rig.receive("fresh")
     assert sends(actions) == [1]
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("checks", [StaleReadHandling.REJECT, StaleReadHandling.WAIT])
-def test_where_endpoints_check_freshness_the_most_advanced_is_tried(checks):
+def test_if_endpoints_check_freshness_the_most_recent_replica_is_tried_first(checks):
     rig = Rig(replace(SETTINGS, stale_read_handling=checks))
     rig.report(2, 2.0)
     rig.report(3, 0.9)
@@ -276,8 +276,8 @@
     assert sends(rig.finish(request, 0, 3, AttemptResult.NOT_ELIGIBLE, primary=False), request) == [2]
 
 
-def test_a_commit_and_a_position_in_the_same_millisecond_do_not_count_as_reached():
-    # Incident i85c1e8: both are rounded to milliseconds, so equal figures do not prove the order.
+def test_position_in_the_same_millisecond_as_a_commit_does_not_include_it():
+    # Incident i85c1e8: both are rounded to milliseconds, so equal values do not prove their order.
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     request, _ = rig.receive("write", session="s")
     rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
@@ -286,7 +286,7 @@
     assert used == [1]
 
 
-def test_a_write_that_commits_after_its_client_left_still_binds_its_session():
+def test_write_that_commits_after_a_disconnect_still_constrains_its_session():
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     rig.report(2, 0.1)
     request, _ = rig.receive("write", session="s")
@@ -296,8 +296,8 @@
     assert used == [1]
 
 
-def test_a_late_list_is_no_reason_to_read_from_an_endpoint_that_said_it_is_a_replica():
-    # Incident ie80671: a demoted primary answered as a replica; the late list then named it primary.
+def test_fresh_read_does_not_go_to_a_listed_primary_that_has_reported_to_be_a_replica():
+    # Incident ie80671: a demoted primary responded as a replica; the list, which was late, named it primary.
     rig = Rig(endpoints=(entry(1), entry(2), entry(3)))
     rig.report(2, 0.0, primary=False)
     rig.feed(api.EndpointListUpdate((entry(2, primary=True),), complete=False))
@@ -321,8 +321,12 @@
 
 
 @pytest.mark.parametrize("result", [*LOST, *NEVER])
-def test_what_a_session_wrote_binds_its_reads_though_the_answer_was_lost(result):
-    """Remembered here: until now while in flight, until its end where it may have run, else not."""
+def test_write_constrains_its_session_even_if_the_response_was_lost(result):
+    """With sessions tracked by the proxy, a write constrains its session's reads.
+
+    While it is in flight they need the present state. Afterwards they need the state at its end if it may
+    have been executed, and nothing if it never ran.
+    """
     rig = Rig(
         replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, health_checks=False, max_attempts=1)
     )
@@ -330,7 +334,7 @@
         rig.report(endpoint, 0.0)
     write, actions = rig.receive("write", session="s")
     assert sends(actions, write) == [1]
-    rig.router.endpoints[1].concurrency_limit = 0.5  # for what no replica may serve
+    rig.router.endpoints[1].concurrency_limit = 0.5  # no headroom for reads that no replica may serve
     rig.run(0.05)
     early, actions = rig.receive("session", session="s")
     assert sends(actions, early) == []
@@ -348,7 +352,7 @@
 
 
 def report_of(endpoint: int, position: float) -> api.HealthCheckFinished:
-    """A health check's answer with a replica's position."""
+    """Return the result of a health check that reports a replica's position."""
     return api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, api.LoadReport(position, False))
 
 
@@ -357,29 +361,34 @@
 
 
 @given(SESSION_STEPS, st.integers(0, 2**16))
-def test_in_every_order_a_replica_that_a_session_s_read_is_sent_to_holds_all_that_it_wrote(steps, seed):
-    """Commits fall anywhere between a write's send and end, stated or lost; positions only from reports."""
+def test_replica_that_gets_a_session_read_has_all_writes_of_the_session_in_any_order_of_events(steps, seed):
+    """A write may commit at any time between its send and its end, and its response may be lost.
+
+    The router learns positions from responses and reports only.
+    """
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, hedging=bool(seed % 2)), seed=seed)
-    names, attempts, out, committed = {}, {}, [], {"s": -1.0, "t": -1.0}
-    held = {endpoint: rig.now for endpoint in (1, 2, 3)}  # where each is in truth; the primary at the present
+    names, attempts, in_flight, committed = {}, {}, [], {"s": -1.0, "t": -1.0}
+    positions = {
+        endpoint: rig.now for endpoint in (1, 2, 3)
+    }  # actual positions; the primary's is the present
 
-    def take(actions) -> None:
+    def check_sends(actions) -> None:
         for action in actions:
             if isinstance(action, api.SendAttempt):
                 number = attempts[action.request] = attempts.get(action.request, -1) + 1
                 kind, session = names[action.request]
-                out.append([action.request, number, action.endpoint, 0.0])
+                in_flight.append([action.request, number, action.endpoint, 0.0])
                 if kind == "session" and action.endpoint != 1:
-                    assert held[action.endpoint] > committed[session]
+                    assert positions[action.endpoint] > committed[session]
 
     for what, which in steps:
         rig.now += 0.001
-        held[1] = rig.now
-        picked = out[which % len(out)] if out else None
+        positions[1] = rig.now
+        picked = in_flight[which % len(in_flight)] if in_flight else None
         if what in ("write", "read"):
             kind, session = "write" if what == "write" else "session", "st"[which % 2]
             names[rig.ids + 1] = (kind, session)
-            take(rig.receive(kind, session=session)[1])
+            check_sends(rig.receive(kind, session=session)[1])
         elif what == "commits" and picked and names[picked[0]][0] == "write" and picked[2] == 1:
             if not picked[3]:
                 picked[3] = committed[names[picked[0]][1]] = rig.now
@@ -387,29 +396,29 @@
             ran = picked[3] > 0 or names[picked[0]][0] != "write"
             if (what == "never" and picked[3]) or (what == "ends" and not ran):
                 continue
-            out.remove(picked)
+            in_flight.remove(picked)
             lost = [AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.ERROR][which % 3]
             never = [AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED, AttemptResult.OVERLOADED][
                 which % 3
             ]
             result = {"ends": AttemptResult.OK, "lost": lost, "never": never}[what]
             fields = {"primary": picked[2] == 1} if result is AttemptResult.OK else {}
-            position = picked[3] or held[picked[2]]
-            told = {"position": position} if result is AttemptResult.OK else {}
-            take(rig.finish(picked[0], picked[1], picked[2], result, **fields, **told))
+            position = picked[3] or positions[picked[2]]
+            reported = {"position": position} if result is AttemptResult.OK else {}
+            check_sends(rig.finish(picked[0], picked[1], picked[2], result, **fields, **reported))
         elif what == "report":
             endpoint = 2 + which % 2
-            held[endpoint] = max(held[endpoint], rig.now - 0.02 * (which // 2))
-            take(rig.feed(report_of(endpoint, held[endpoint])))
+            positions[endpoint] = max(positions[endpoint], rig.now - 0.02 * (which // 2))
+            check_sends(rig.feed(report_of(endpoint, positions[endpoint])))
         elif what == "pass":
-            take(rig.run(0.05 * which))
+            check_sends(rig.run(0.05 * which))
         elif what == "list":
-            take(rig.feed(api.EndpointListUpdate((entry(2 + which % 2),), complete=False)))
+            check_sends(rig.feed(api.EndpointListUpdate((entry(2 + which % 2),), complete=False)))
 
 
 @pytest.mark.parametrize("how", ["tried again", "waiting", "hedged"])
-def test_a_session_read_sees_what_its_session_wrote_before_each_send(how):
-    """Sessions are remembered here: a write of the session is answered before the read is sent."""
+def test_every_attempt_of_a_session_read_includes_the_writes_acknowledged_before_it(how):
+    """With sessions tracked by the proxy, a write of the session is answered before the read is sent."""
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, health_checks=False, hedging=True))
     for endpoint in (2, 3):
         rig.report(endpoint, 0.0)
