--- a/sedgepitch/routing/freshness.py
+++ b/sedgepitch/routing/freshness.py
@@ -51,8 +51,8 @@
         """
         if self.tracks_sessions:
             group = request.group
-            known = group.session_commits.get(request.session, group.forgotten_sessions_position)
-            request.required_position = max(request.required_position, known)
+            position = group.session_commits.get(request.session, group.dropped_sessions_position)
+            request.required_position = max(request.required_position, position)
             if request.session in group.session_writes:
                 return self.state.now
         return request.required_position
@@ -90,8 +90,8 @@
             del group.session_writes[session]
         if event.result not in NEVER_RAN:
             commit = event.position if event.result is AttemptResult.OK else None
-            known = group.session_commits.get(session, 0.0)
-            group.session_commits[session] = max(known, commit or self.state.now)
+            previous = group.session_commits.get(session, 0.0)
+            group.session_commits[session] = max(previous, commit or self.state.now)
 
     def _is_tracked_write(self, request: RoutedRequest) -> bool:
         if not self.tracks_sessions or not request.session:
@@ -109,7 +109,7 @@
         drop_until = min(positions, default=-NEVER)
         if len(commits) > SESSIONS_MAX:
             drop_until = max(drop_until, sorted(commits.values())[-SESSIONS_MAX] + POSITION_ROUNDING_S)
-        group.forgotten_sessions_position = max(group.forgotten_sessions_position, drop_until)
+        group.dropped_sessions_position = max(group.dropped_sessions_position, drop_until)
         group.session_commits = {
             session: commit
             for session, commit in commits.items()
--- a/sedgepitch/routing/latency_estimates.py
+++ b/sedgepitch/routing/latency_estimates.py
@@ -45,7 +45,7 @@
         """Return the endpoint's latency ratio: mean latency over the latency objective.
 
         This is the maximum of its own ratio, its zone's ratio and the ratio that its reported load implies,
-        because its own ratio rests on few responses at times.
+        because its own ratio may be based on few responses.
         """
         return max(
             endpoint.latency_ratio,
--- a/sedgepitch/routing/primary_discovery.py
+++ b/sedgepitch/routing/primary_discovery.py
@@ -25,12 +25,12 @@
         return False
     endpoint.role_known_at = at
     endpoint.role_unconfirmed = False
-    known = group.primary
+    current = group.primary
     if not primary:
-        if known is endpoint:
+        if current is endpoint:
             group.primary = None
         return False
-    if known is endpoint or (known is not None and at < known.role_known_at):
+    if current is endpoint or (current is not None and at < current.role_known_at):
         return False
     group.primary = endpoint
     return True
@@ -46,13 +46,13 @@
     endpoint.listed_as_primary = primary
     if not newly_listed:
         return
-    known = group.primary
-    if known is not None and known.ejection_reason is None and known.state is EndpointState.UP:
+    current = group.primary
+    if current is not None and current.ejection_reason is None and current.state is EndpointState.UP:
         return
-    contradicts = endpoint.role_known_at > -NEVER
-    at = max(endpoint.role_known_at, known.role_known_at if known is not None else -NEVER)
+    reported_before = endpoint.role_known_at > -NEVER
+    at = max(endpoint.role_known_at, current.role_known_at if current is not None else -NEVER)
     role_reported(group, endpoint, True, at)
-    endpoint.role_unconfirmed = contradicts
+    endpoint.role_unconfirmed = reported_before
 
 
 def role_removed(group: ReplicaGroup, endpoint: Endpoint) -> None:
@@ -98,8 +98,8 @@
 
     def check_roles(self, group: ReplicaGroup) -> None:
         """Check the roles of random endpoints, one for each waiting request, while no primary serves."""
-        known = group.primary
-        if known is not None and known.ejection_reason is None:
+        current = group.primary
+        if current is not None and current.ejection_reason is None:
             return
         if self.state.now < group.role_checks_resume_at:
             return
--- a/sedgepitch/routing/records.py
+++ b/sedgepitch/routing/records.py
@@ -163,7 +163,7 @@
     """Time of the last commit of each session that this instance has observed."""
     session_writes: dict[str, int] = field(default_factory=dict)
     """Number of write attempts in flight for each session."""
-    forgotten_sessions_position: float = -NEVER
+    dropped_sessions_position: float = -NEVER
     """Upper bound on the commit times of sessions that are no longer tracked."""
 
 
--- a/sedgepitch/routing/response_deadlines.py
+++ b/sedgepitch/routing/response_deadlines.py
@@ -7,7 +7,7 @@
 
 SILENCE_ANSWERS = 8.0  # silence limit in typical latencies, divided by the number of unanswered attempts
 SILENCE_ANSWERS_MIN = 2.0  # lower bound on it, which applies with many attempts in flight
-OVERDUE_ANSWERS = 4.0  # mean latencies after which an overtaken attempt is overdue, and counts as lost
+OVERDUE_ANSWERS = 4.0  # mean latencies (typical ones if larger) after which an overtaken attempt is overdue
 
 
 def unanswered_since(endpoint: Endpoint) -> float:
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -15,7 +15,7 @@
 
 
 def send_answered(rig: Rig, name: str, count: int) -> None:
-    """Send `count` requests of a class; every endpoint responds within 20 ms."""
+    """Send `count` requests of a class; every endpoint responds after 20 ms."""
     serve(rig, name, count, {1: 0.02, 2: 0.02, 3: 0.02})
 
 
