--- a/sedgepitch/core/__init__.py
+++ b/sedgepitch/core/__init__.py
@@ -1,4 +1,4 @@
-"""The way of a request through the proxy: engine, request table and connection pools.
+"""Request processing of the proxy: the engine, the request table and the connection pools.
 
-The core knows no protocol and decides no route.
+The core is independent of the wire protocols and makes no routing decisions.
 """
--- a/sedgepitch/core/callback_guard.py
+++ b/sedgepitch/core/callback_guard.py
@@ -1,4 +1,4 @@
-"""Calls of code that belongs to other layers: protocols, log and observers."""
+"""Guarded calls into other layers: protocols, log and observers."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 
 
 class CallbackGuard:
-    """Keeps an exception in a callback from ending the turn or other requests' actions.
+    """Contains exceptions of callbacks, so that the event loop turn and other requests' actions continue.
 
-    It is counted and told to `on_error(place, exception)`. A defect is then only a counter and a log event.
+    Each exception is counted and passed to `on_error(place, exception)`: a defect in a callback then shows
+    only as a counter and a log event.
     """
 
     __slots__ = ("errors", "on_error")
 
     def __init__(self, on_error: Callable[[str, BaseException], None] | None = None) -> None:
-        """Tell exceptions to `on_error`, if it is given."""
+        """Report exceptions to `on_error`, if one is given."""
         self.on_error = on_error
         self.errors = 0
 
     def call(self, place: str, callback: Callable[[*Arguments], Result], *args: *Arguments) -> Result | None:
-        """Call `callback` with `args`; returns what it returns, None where it raised."""
+        """Call `callback` with `args`; return its result, or None if it raised."""
         try:
             return callback(*args)
         except Exception as error:
@@ -32,5 +33,5 @@
                 try:
                     self.on_error(place, error)
                 except Exception:
-                    self.errors += 1  # the log itself raises: only the counter is left to tell
+                    self.errors += 1  # the error handler failed too: only the counter records it
             return None
--- a/sedgepitch/core/clock.py
+++ b/sedgepitch/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a process: monotonic seconds, timers, and calls once this turn's input has been read."""
+"""The process clock: monotonic time, timers, and calls deferred until pending input has been read."""
 
 from __future__ import annotations
 
@@ -15,66 +15,68 @@
 
 
 class DelayedCall(Protocol):
-    """A delayed call of Twisted."""
+    """A Twisted delayed call."""
 
     def active(self) -> bool:
-        """Whether the call is still to come."""
+        """Return whether the call is still scheduled."""
 
     def cancel(self) -> object:
-        """Cancel it; raises where it is past."""
+        """Cancel the call; raises if it has run or has been cancelled."""
 
 
 class Reactor(Protocol):
-    """What a clock needs of a Twisted reactor."""
+    """The part of a Twisted reactor that a clock uses."""
 
     def callLater(self, delay: float, call: Callable[..., object], *args: object) -> DelayedCall:  # noqa: N802
         """Call after `delay` seconds."""
 
 
 class TaskClock(Reactor, Protocol):
-    """What a clock needs of a `twisted.internet.task.Clock`."""
+    """The part of a `twisted.internet.task.Clock` that a clock uses."""
 
     def seconds(self) -> float:
         """Return the fake time."""
 
 
 class ReactorClock:
-    """Monotonic time beside a reactor's timers; a reactor's own seconds are wall time.
+    """Monotonic time with a reactor's timers; the reactor's own `seconds()` is wall time.
 
-    On an asyncio loop its own timers are used: a reactor keeps its delayed calls in a heap of its own and
-    re-arms one timer at each change, which costs more than the router's decision where events come singly.
+    On an asyncio loop, the loop's timers are used directly: the reactor keeps its delayed calls in a heap of
+    its own and re-arms one timer at each change, which costs more than a routing decision when events arrive
+    one at a time.
     """
 
     def __init__(self, reactor: Reactor) -> None:
-        """Use the timers of `reactor`, or of its asyncio loop where it has one."""
+        """Use the timers of `reactor`, or of its asyncio loop if it has one."""
         self.reactor = reactor
         self.loop: asyncio.AbstractEventLoop | None = getattr(reactor, "_asyncioEventloop", None)
         self.now = time.monotonic
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> TimerHandle:
-        """Call after `delay` seconds; the handle can be cancelled also when it is past."""
+        """Call after `delay` seconds; the handle may be cancelled even after the call has run."""
         if self.loop is not None:
             return self.loop.call_later(max(0.0, delay), call, *args)
         return _CancellableCall(self.reactor.callLater(max(0.0, delay), call, *args))
 
     def soon(self, call: Callable[..., object], *args: object) -> None:
-        """Call once all that is readable in this turn has been read."""
+        """Call once everything readable in this event loop turn has been read."""
         if self.loop is not None:
             self.loop.call_soon(call, *args)
         else:
             self.reactor.callLater(0.0, call, *args)
 
     def after_reading(self, call: Callable[..., object], *args: object) -> None:
-        """From a timer: call once all that lies unread now has been read.
+        """From a timer: call once all data that is unread now has been read.
 
-        uvloop runs what a timer asks to be called soon before it looks at the sockets again, so what came in
-        a long turn would lie unread; what is asked for from there comes after that look.
+        uvloop runs a `call_soon` made in a timer before it polls the sockets again, so data that arrived
+        during a long turn would still be unread; a second `call_soon`, made from the first, runs after the
+        poll.
         """
         self.soon(self.soon, call, *args)
 
 
 class FakeClock:
-    """A clock for tests, on `twisted.internet.task.Clock`."""
+    """A clock for tests, based on `twisted.internet.task.Clock`."""
 
     def __init__(self, task_clock: TaskClock) -> None:
         """Use the time of a `twisted.internet.task.Clock`."""
@@ -89,7 +91,7 @@
         return _CancellableCall(self.clock.callLater(max(0.0, delay), call, *args))
 
     def soon(self, call: Callable[..., object], *args: object) -> None:
-        """Call in the next turn."""
+        """Call in the next event loop turn."""
         self.clock.callLater(0.0, call, *args)
 
     def after_reading(self, call: Callable[..., object], *args: object) -> None:
@@ -98,7 +100,7 @@
 
 
 class _CancellableCall:
-    """A delayed call that may be cancelled at any time, as that of an asyncio loop may."""
+    """A delayed call that may be cancelled at any time, like an asyncio timer handle."""
 
     __slots__ = ("call",)
 
@@ -106,7 +108,7 @@
         self.call = call
 
     def cancel(self) -> None:
-        """Cancel it if it is still to come."""
+        """Cancel the call if it is still scheduled."""
         if self.call.active():
             self.call.cancel()
 
@@ -116,10 +118,11 @@
     monotonic: Callable[[], float] = time.monotonic,
     samples: int = OFFSET_SAMPLES,
 ) -> float:
-    """Return Unix time less monotonic time, in seconds: at most too much, never too little.
+    """Return Unix time minus monotonic time, in seconds; the error is never negative.
 
-    A process that is suspended between the two reads would take every replica for fresher than it is, by as
-    long as it was suspended, for as long as it runs. So the sample counts that took the least time.
+    If the process were suspended between the two clock reads, it would overestimate the freshness of every
+    replica by the length of the suspension for the rest of its run. So of several samples, the one that took
+    the least time is used.
     """
     least = float("inf")
     offset = 0.0
--- a/sedgepitch/core/completion.py
+++ b/sedgepitch/core/completion.py
@@ -1,4 +1,4 @@
-"""Ends: of requests with their one final answer, and of attempts with their outcome."""
+"""Completion of requests, each with exactly one final answer, and of attempts, each with an outcome."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class Completion:
-    """Completes requests and reports the end of each attempt to the router."""
+    """Completes requests and reports the outcome of each attempt to the router."""
 
     __slots__ = ("engine",)
 
     def __init__(self, engine: Engine) -> None:
-        """Work on the requests of `engine`."""
+        """Handle the requests of `engine`."""
         self.engine = engine
 
     # Requests
 
     def respond(self, pending: PendingRequest, response: Response) -> None:
-        """Give a request its final answer; a second one is held back by the request table."""
+        """Send a request's final answer; the request table suppresses a second one."""
         engine = self.engine
         on_response = engine.request_table.complete(pending)
         if on_response is None:
@@ -44,7 +44,7 @@
             engine.intake.carry_out(decisions)
 
     def reject(self, action: api.Reject) -> None:
-        """Carry out the router's rejection; its Retry-After is only a hint, admission's is reserved."""
+        """Execute the router's rejection; its Retry-After is a hint, admission control's is a reservation."""
         pending = self.engine.request_table.requests.get(action.request)
         if pending is None or not pending.open:
             return
@@ -59,7 +59,7 @@
         self.respond(pending, response)
 
     def fail(self, action: api.Fail) -> None:
-        """Carry out the router's word that a request has failed."""
+        """Execute the router's decision that a request has failed."""
         pending = self.engine.request_table.requests.get(action.request)
         if pending is not None and pending.open:
             why = pending.last_error or reasons.NO_ANSWER_YET
@@ -68,7 +68,7 @@
     # Attempts
 
     def attempt_ended(self, pending: PendingRequest, attempt: int, outcome: AttemptOutcome) -> None:
-        """Take the end of an attempt in flight; the first reply completes its request."""
+        """Process the end of an attempt in flight; the first successful reply completes its request."""
         ended = pending.attempts[attempt]
         ok = outcome.result is AttemptResult.OK
         if not ok:
@@ -82,7 +82,7 @@
         self.report_attempt(pending, attempt, ended.endpoint, ended.sent_at, outcome)
 
     def cancel_attempt(self, action: api.CancelAttempt) -> None:
-        """Carry out the router's cancellation of an attempt."""
+        """Execute the router's cancellation of an attempt."""
         pending = self.engine.request_table.requests.get(action.request)
         if pending is not None and action.attempt in pending.attempts:
             pending.attempts[action.attempt].in_flight.abandon()
@@ -90,13 +90,13 @@
             self.attempt_ended(pending, action.attempt, outcome)
 
     def expire_attempt(self, pending: PendingRequest, attempt: int, why: str) -> None:
-        """End an attempt that has timed out; does nothing where it has ended."""
+        """End an attempt that has timed out; does nothing if it has already ended."""
         if attempt in pending.attempts:
             pending.attempts[attempt].in_flight.abandon()
             self.attempt_ended(pending, attempt, AttemptOutcome(AttemptResult.TIMEOUT, why=why))
 
     def withdraw_attempts(self, pending: PendingRequest) -> None:
-        """Take back what has not left: nothing is sent for a request that has ended."""
+        """Withdraw unsent attempts: nothing is sent for a request that has ended."""
         for attempt, sent in list(pending.attempts.items()):
             if sent.in_flight.withdraw():
                 self.engine.request_table.remove_attempt(pending, attempt)
@@ -106,9 +106,10 @@
     def report_attempt(
         self, pending: PendingRequest, attempt: int, endpoint: int, sent_at: float, outcome: AttemptOutcome
     ) -> None:
-        """Tell the router and the observer how an attempt ended.
+        """Report an attempt's outcome to the router and the observer.
 
-        Its latency ends where the reply's bytes arrived, if that is known: the rest is this process's delay.
+        The latency is measured up to the arrival of the reply's bytes, if that is known: any later delay is
+        this process's own.
         """
         engine = self.engine
         elapsed = max(0.0, (outcome.received_at or engine.clock.now()) - sent_at)
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -1,11 +1,11 @@
-"""The connections to one endpoint: which carries an attempt, when one is opened and when closed.
+"""The connection pool of one endpoint.
 
-The connection that was used last goes first, so that those not needed become idle and are closed. The number
-of connections is bounded.
+The most recently used connection is taken first, so that surplus connections stay idle and are closed. The
+number of connections is bounded.
 
-An attempt may wait for its connection longer than its decision is good for: a replica's position ages, a
-role passes on, a deduplication window ends. So each carries the moment by which it must leave, and ends as
-not sent after that.
+An attempt may wait for its connection longer than the routing decision stays valid: a replica's position
+ages, the primary role moves, a deduplication window ends. So each attempt has a time by which it must be
+sent; after that it ends as not sent.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sedgepitch.core.types import NEVER, AttemptCallback, AttemptOutcome, Clock
 from sedgepitch.routing.messages import AttemptResult
 
-# Why an attempt ended, as a client may see it.
+# Reasons for the end of an attempt; clients may see them.
 DECIDED_TOO_LONG_AGO = "decided too long ago"
 ALL_IN_USE = "all connections to the member are in use"
 NO_DESCRIPTOR = "no descriptor is free"
@@ -34,17 +34,17 @@
     max_connections: int = 64
     connect_timeout: float = 1.0
     max_idle_time: float = 60.0
-    discard_timeout: float = 1.0  # wait for a reply that nobody wants; 0 closes the connection at once
+    discard_timeout: float = 1.0  # wait for the reply to an abandoned attempt; 0: close at once
 
 
 class ConnectionBudget(Protocol):
-    """Bounds the descriptors of all pools together."""
+    """Bounds the number of descriptors used by all pools together."""
 
     def acquire(self) -> bool:
-        """Take a descriptor; False where none is free."""
+        """Take a descriptor; return False if none is free."""
 
     def release(self) -> None:
-        """Give one back."""
+        """Return a descriptor to the budget."""
 
 
 class _Unlimited:
@@ -58,7 +58,7 @@
 
 
 class ConnectionPool:
-    """The connections to one endpoint. `judge` turns a reply into an outcome; it belongs to the protocol."""
+    """The connections to one endpoint; `judge` is the protocol's function from a reply to an outcome."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         limits: PoolLimits,
         budget: ConnectionBudget | None = None,
     ) -> None:
-        """Make an empty pool; `budget` bounds it together with other pools."""
+        """Create an empty pool; `budget` bounds it together with other pools."""
         self.clock = clock
         self.connector = connector
         self.judge = judge
@@ -83,7 +83,7 @@
     def send(self, payload: object, on_end: AttemptCallback, send_by: float = NEVER) -> PoolAttempt:
         """Start an attempt; `on_end` is never called before this returns.
 
-        What cannot leave by `send_by` ends with `AttemptResult.NOT_SENT`.
+        An attempt that cannot be sent by `send_by` ends with `AttemptResult.NOT_SENT`.
         """
         now = self.clock.now()
         attempt = PoolAttempt(payload, on_end, now, send_by)
@@ -109,7 +109,7 @@
         return attempt
 
     def send_with_timeout(self, payload: object, on_end: AttemptCallback, timeout: float) -> None:
-        """Start an attempt that times out after so many seconds, unless its reply lies unread then."""
+        """Start an attempt that times out after `timeout` seconds, unless its reply has arrived unread."""
 
         def end(outcome: AttemptOutcome) -> None:
             timer.cancel()
@@ -132,10 +132,10 @@
         attempt.assigned_to = connection
 
     def _take_idle(self, now: float) -> PooledConnection | None:
-        """Return the connection used last that is still good; those that are not are closed.
+        """Return the most recently used idle connection that is still usable; close those that are not.
 
-        An attempt must not be written behind bytes that nobody asked for, nor onto a connection that the
-        endpoint has closed or will close meanwhile. The check costs a system call for each use.
+        An attempt must not be sent on a connection that has received unsolicited bytes, nor on one that the
+        endpoint has closed or is about to close for idleness. The check costs one system call per use.
         """
         while self.idle:
             pooled = self.idle.pop()
@@ -148,30 +148,30 @@
     # Closing
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for longer than `max_idle_time`."""
         now = self.clock.now()
         while self.idle and now - self.idle[0].idle_since > self.limits.max_idle_time:
             self.idle.pop(0).close()
 
     def close_idle(self) -> None:
-        """Close what is not in use."""
+        """Close all idle connections."""
         idle, self.idle = self.idle, []
         for connection in idle:
             connection.close()
 
     def retire(self) -> None:
-        """Close each connection as soon as its attempt has ended; the endpoint has another address now.
+        """Close each connection as soon as its attempt has ended; the endpoint has a new address.
 
-        What waits for a connection to open would go to the old address: it ends as not sent.
+        An attempt that waits for a connection to open would go to the old address: it ends as not sent.
         """
         self.closed = True
-        self.limits = replace(self.limits, max_idle_time=-1.0)  # what becomes idle is closed at once
+        self.limits = replace(self.limits, max_idle_time=-1.0)  # idle connections are closed at once
         self.close_idle()
         for connection in [c for c in self.connections if c.connection is None]:
             connection.give_up(ENDPOINT_MOVED)
 
     def close(self) -> None:
-        """Close everything; attempts in flight end as reset."""
+        """Close all connections; attempts in flight end as reset."""
         self.closed = True
         for pooled in list(self.connections):
             if pooled.connection is not None:
@@ -182,7 +182,7 @@
     # From the connections
 
     def became_idle(self, connection: PooledConnection) -> None:
-        """Keep a connection that is free; those unused for too long are closed now."""
+        """Return a connection to the idle list, and close those that have been idle for too long."""
         if connection not in self.connections:
             return
         connection.idle_since = self.clock.now()
@@ -190,7 +190,7 @@
         self.close_expired()
 
     def remove(self, connection: PooledConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         if connection in self.connections:
             self.connections.discard(connection)
             connection.forget_opening()
--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -1,7 +1,7 @@
-"""Deadlines of all pending requests, looked at together in periodic ticks.
+"""Deadlines of all pending requests, checked together in periodic ticks.
 
-The process's own delay counts against each deadline. Time runs from the arrival of a request's bytes, and a
-deadline is judged earlier by the deadline margin that `decisions/event_loop_lag.py` expects.
+The process's own delay counts against each deadline: time runs from the arrival of a request's bytes, and a
+deadline is enforced early by the deadline margin that `decisions/event_loop_lag.py` estimates.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 if TYPE_CHECKING:
     from sedgepitch.core.engine import Engine
 
-TICK = 0.01  # s between looks at deadlines and at queued admissions, while a request is pending
-LAST_GUARD_AFTER = 0.02  # s from telling the router that a deadline has passed until the engine answers
+TICK = 0.01  # s between checks of deadlines and of queued admission requests, while a request is pending
+LAST_GUARD_AFTER = 0.02  # s after the router was notified of a passed deadline, until the engine answers
 CLOCK_TOLERANCE = 1e-6  # s
-MAX_STALE_ENTRIES = 64  # entries of ended requests that may stay in the heap, beside as many as are live
+MAX_STALE_ENTRIES = 64  # entries of ended requests allowed in the heap, beyond one for each live request
 
 
 class Deadlines:
-    """Ends requests whose time is up: by the router's answer, or without it by the engine's own.
+    """Ends requests whose deadline has passed, by the router's answer or, failing that, by the engine's own.
 
-    The *last guard* is the second: it answers what is still pending LAST_GUARD_AFTER seconds after the router
-    was told that the deadline has passed.
+    The *last guard* is the latter: it answers a request that is still pending LAST_GUARD_AFTER seconds after
+    the router was notified that the deadline has passed.
     """
 
     __slots__ = ("_guards", "_heap", "_tick_due", "engine")
 
     def __init__(self, engine: Engine) -> None:
-        """Work on the requests of `engine`."""
+        """Handle the requests of `engine`."""
         self.engine = engine
         # (deadline, request id); ended requests stay until `add` drops them or they are due
         self._heap: list[tuple[float, int]] = []
-        self._guards: deque[tuple[float, PendingRequest]] = deque()  # when the last guard answers each
+        self._guards: deque[tuple[float, PendingRequest]] = deque()  # with the time of the guard
         self._tick_due = NEVER
 
     def add(self, pending: PendingRequest, now: float) -> None:
-        """Watch the deadline of a request."""
+        """Track the deadline of a request."""
         heappush(self._heap, (pending.deadline, pending.id))
         requests = self.engine.request_table.requests
         if len(self._heap) > 2 * len(requests) + MAX_STALE_ENTRIES:
@@ -52,19 +52,19 @@
         self._schedule_tick(now)
 
     def answer_all_by(self, moment: float) -> None:
-        """Bring the deadlines of all pending requests forward to `moment`: the process shuts down then."""
+        """Bring the deadlines of all pending requests forward to `moment`, when the process shuts down."""
         for pending in self.engine.request_table.requests.values():
             if pending.deadline > moment:
-                pending.deadline = moment  # the router was told a later one: it is not asked again then
+                pending.deadline = moment  # the router has a later deadline and is not asked again
                 heappush(self._heap, (moment, pending.id))
         if self._heap:
             self._schedule_tick(self.engine.clock.now())
 
     def before_reading(self) -> None:
-        """End what is due, or will be within half of the deadline margin, before a new request is read.
+        """End requests that are due within half of the deadline margin, before a new request is read.
 
-        In a long turn timers wait behind all that it reads. The price: an answer that lies unread in another
-        socket of the same turn comes too late to be forwarded.
+        In a long turn, timers wait behind everything that the turn reads. The drawback: an answer that is
+        still unread on another socket in the same turn comes too late to be forwarded.
         """
         if self._heap:
             now = self.engine.clock.now()
@@ -80,15 +80,15 @@
             self.engine.clock.call_later(TICK, self._tick)
 
     def _tick(self) -> None:
-        """Look at the deadlines once all that is readable has been read."""
+        """Check the deadlines once everything readable has been read."""
         due, self._tick_due = self._tick_due, NEVER
         clock = self.engine.clock
-        clock.after_reading(self._look, clock.now(), due)
+        clock.after_reading(self._check, clock.now(), due)
 
-    def _look(self, tick_at: float, due: float) -> None:
-        """End what was due at `tick_at`, by which all bytes have been read; newer ones may lie unread.
+    def _check(self, tick_at: float, due: float) -> None:
+        """End requests that were due at `tick_at`: all bytes up to then have been read, newer ones may not.
 
-        How long after `due` this comes is a sample of the event loop's lag.
+        The delay of this call after `due` is a sample of the event loop lag.
         """
         engine = self.engine
         now = engine.clock.now()
@@ -112,8 +112,9 @@
             if pending.open:
                 self._time_out(pending)
                 continue
-            # Answered before, but an attempt hangs: it ends with the client's deadline like any other, else
-            # an endpoint that went silent would hold it for ever and the router count it as in flight.
+            # The request was answered before, but an attempt is still in flight. It ends at the client's
+            # deadline too: with an unresponsive endpoint it would otherwise never end, and the router would
+            # count it as in flight.
             for attempt in list(pending.attempts):
                 self.engine.completion.expire_attempt(pending, attempt, reasons.NO_ANSWER_BY_DEADLINE)
 
@@ -122,8 +123,8 @@
     def _time_out(self, pending: PendingRequest) -> None:
         """Time out every attempt of a request, so that the router gives its final answer.
 
-        The last guard comes LAST_GUARD_AFTER from now, whatever the lag: earlier, the router would not have
-        been asked; later, a delay that is over would hold the answer back.
+        The last guard runs LAST_GUARD_AFTER from now regardless of the lag: earlier, the router would not
+        have had its turn; later, a delay that has already passed would postpone the answer.
         """
         if pending.timed_out or pending.sticky or self._router_has_time(pending):
             self._answer_last(pending)
@@ -134,14 +135,15 @@
             self.engine.completion.expire_attempt(pending, attempt, reasons.NO_ANSWER_BY_DEADLINE)
 
     def _router_has_time(self, pending: PendingRequest) -> bool:
-        """Whether the router was told of a later deadline than now: the lag has grown since."""
+        """Return whether the router's deadline is still ahead: the lag has grown since it was set."""
         return pending.router_deadline > self.engine.clock.now() + CLOCK_TOLERANCE
 
     def _answer_last(self, pending: PendingRequest) -> None:
-        """Answer a request that no decision has answered.
+        """Answer a request for which the router has made no final decision.
 
-        Needed where the event loop's lag has grown since the router was told the deadline, and as a guard
-        against a request that is lost in any layer; the counters show such a defect, which this would hide.
+        Needed when the event loop lag has grown since the router was given the deadline, and as a guard
+        against a request that is lost in any layer. The counters expose such a defect, which this answer
+        would otherwise hide.
         """
         engine = self.engine
         early = not pending.timed_out and self._router_has_time(pending)
@@ -158,7 +160,7 @@
             engine.dispatcher.feed(api.ClientDisconnected(pending.id))
 
     def _last_answer(self, pending: PendingRequest, why: str) -> Response:
-        """Reject where a retry is harmless: nothing was attempted, or the request is idempotent."""
+        """Return a rejection if a retry is harmless (no attempt made, or idempotent), else a failure."""
         engine = self.engine
         request_class = engine.classes.get(pending.request.class_name)
         idempotent = request_class is not None and request_class.idempotency is Idempotency.IDEMPOTENT
--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -1,4 +1,4 @@
-"""Events to the router, and the router's actions to the upstream side."""
+"""Dispatch of events to the router, and of the router's actions to the upstream side."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from sedgepitch.core.engine import Engine
 
 DECISION_MAY_AGE = (Freshness.BOUNDED, Freshness.FRESH)
-"""Reads whose endpoint may cease to qualify: it falls behind the bound, or its role passes on."""
+"""Reads whose endpoint may cease to qualify: it exceeds the staleness bound, or loses the primary role."""
 
 
 class Dispatcher:
-    """Gathers the events of one turn, has the router decide on them together, and carries out its actions."""
+    """Collects the events of one turn, lets the router decide on them together, and executes its actions."""
 
     __slots__ = ("_flush_due", "_flushing", "decided_at", "engine", "events", "handlers")
 
     def __init__(self, engine: Engine) -> None:
-        """Work for `engine`, whose completion has been made before."""
+        """Dispatch for `engine`, whose `completion` must already be set."""
         self.engine = engine
         self.events: list[api.Event | PendingRequest] = []  # a pending request stands for its arrival
-        self.decided_at = 0.0  # the moment that the router's present decisions rest on
+        self.decided_at = 0.0  # time of the events behind the router's current decisions
         self._flush_due = False
         self._flushing = False
         completion = engine.completion
@@ -46,14 +46,14 @@
     # Events
 
     def feed(self, event: api.Event | PendingRequest) -> None:
-        """Gather an event; the router sees all events of this turn together."""
+        """Queue an event; the router receives all events of this turn together."""
         self.events.append(event)
         if not self._flush_due:
             self._flush_due = True
             self.engine.clock.soon(self.flush)
 
     def flush(self) -> None:
-        """Have the router decide on the gathered events, until none is left."""
+        """Let the router decide on the queued events, until none is left."""
         self._flush_due = False
         if self._flushing:
             return
@@ -75,9 +75,9 @@
         engine.request_table.sweep()
 
     def _received(self, pending: PendingRequest, now: float) -> api.RequestReceived:
-        """Return a request as the router sees it: the time that is left and its session's age now.
+        """Return the event for a new request, with the time left and the session age as of `now`.
 
-        Made when the router decides, not when the request is read: a turn may read much in between.
+        Created when the router decides, not when the request is read: the turn may read a lot in between.
         """
         request = pending.request
         age = request.session_age + now - pending.read_at if request.session_age > 0 else 0.0
@@ -89,7 +89,7 @@
     # Actions
 
     def send(self, action: api.SendAttempt) -> None:
-        """Send an attempt. For a request that has ended since, it is reported as not sent."""
+        """Send an attempt; if its request has ended meanwhile, report the attempt as not sent."""
         engine = self.engine
         pending = engine.request_table.requests.get(action.request)
         if pending is None:
@@ -119,7 +119,7 @@
         in_flight = engine.callbacks.call(
             "send", engine.upstream.send, action.endpoint, pending.request.payload, on_end, send_by
         )
-        if in_flight is None:  # whether bytes left is not known
+        if in_flight is None:  # it is unknown whether any bytes were sent
             outcome = AttemptOutcome(AttemptResult.RESET, why=reasons.UPSTREAM_SEND_RAISED)
             engine.completion.report_attempt(pending, attempt, action.endpoint, now, outcome)
             return
@@ -131,9 +131,10 @@
             engine.clock.call_later(action.timeout, expire, pending, attempt, reasons.ATTEMPT_TIMEOUT)
 
     def _decision_ages(self, pending: PendingRequest, attempt: int) -> bool:
-        """Whether the decision to send rests on what passes: a bound on staleness, a role, a window.
+        """Return whether the decision to send depends on something that expires.
 
-        So does one that rests on a session's last commit as the proxy tracks it: an answer may move it.
+        That is a staleness bound, the primary role, a deduplication window, or a session's last commit as the
+        proxy tracks it, which another answer may advance.
         """
         engine = self.engine
         request_class = engine.classes.get(pending.request.class_name)
@@ -147,7 +148,7 @@
         return freshness in DECISION_MAY_AGE
 
     def check_health(self, action: api.CheckHealth) -> None:
-        """Ask an endpoint for its load report, and tell the router what came of it."""
+        """Run a health check, which returns a load report, and pass its result to the router."""
         engine = self.engine
         sent_at = engine.clock.now()
 
@@ -161,26 +162,26 @@
             on_end(AttemptOutcome(AttemptResult.RESET, why=reasons.UPSTREAM_HEALTH_CHECK_RAISED))
 
     def close_idle(self, action: api.CloseIdleConnections) -> None:
-        """Close the connections to an endpoint that are not in use."""
+        """Close the idle connections to an endpoint."""
         self.engine.upstream.close_idle(action.endpoint)
 
     def watch_endpoint_list(self, _action: api.WatchEndpointList) -> None:
-        """Ask discovery for changes of the endpoint list."""
+        """Subscribe to changes of the endpoint list at discovery."""
         if self.engine.watch is None:
             self.feed(api.EndpointListFailed())
         else:
             self.engine.watch()
 
     def set_timer(self, action: api.SetTimer) -> None:
-        """Have the router's timer expire in so many seconds."""
+        """Start a timer of the router, which expires after `action.after` seconds."""
         event = api.TimerExpired(action.nonce)
         self.engine.clock.call_later(action.after, self._timer_due, event)
 
     def _timer_due(self, event: api.TimerExpired) -> None:
-        """Feed an expired timer behind what the next look at the sockets brings: reading comes first."""
+        """Queue an expired timer after the events of the next socket poll, so that input comes first."""
         self.engine.clock.soon(self.feed, event)
 
     def log(self, action: api.LogMessage) -> None:
-        """Pass the router's line to the log."""
+        """Write the router's message to the log."""
         if self.engine.log:
             self.engine.log(action.text)
--- a/sedgepitch/core/endpoint_changes.py
+++ b/sedgepitch/core/endpoint_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list, which bind from the moment they are known."""
+"""Changes of the endpoint list, which apply from the moment they are received."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class EndpointChanges:
-    """Takes endpoint lists and takes back attempts that rest on an older one and have not left."""
+    """Applies endpoint lists, and withdraws unsent attempts that were decided on an older list."""
 
     __slots__ = ("draining_since", "engine")
 
     def __init__(self, engine: Engine) -> None:
-        """Work for `engine`."""
+        """Apply changes to `engine`."""
         self.engine = engine
-        self.draining_since: dict[int, float] = {}  # when each was first listed draining or gone
+        self.draining_since: dict[int, float] = {}  # when each endpoint was first listed as draining or gone
 
     def list_changed(self, event: api.EndpointListUpdate) -> None:
-        """Take the endpoint list, or changes of it; the router decides on it in this turn."""
+        """Apply an endpoint list or changes to it; the router decides on it within this turn."""
         engine = self.engine
         changed = self._changed_endpoints(event, engine.clock.now())
         engine.upstream.update_endpoints(event.entries, event.complete)
         engine.dispatcher.events.append(event)
-        self._take_back(changed)
+        self._withdraw_unsent(changed)
         engine.dispatcher.flush()
 
     def _changed_endpoints(self, event: api.EndpointListUpdate, now: float) -> set[int]:
-        """Return the endpoints whose state is not what the present decisions rest on."""
+        """Return the endpoints whose state differs from the one that current decisions are based on."""
         known = self.engine.router.endpoints
         changed: set[int] = set()
         for entry in event.entries:
@@ -52,11 +52,11 @@
                     changed.add(endpoint)
         return changed
 
-    def _take_back(self, endpoints: set[int]) -> None:
-        """End attempts at these endpoints that have not left; they may wait for a connection to open.
+    def _withdraw_unsent(self, endpoints: set[int]) -> None:
+        """End the unsent attempts at these endpoints, such as those that wait for a connection to open.
 
-        Nothing is then sent to an endpoint that the list says is draining, gone or started anew. The price:
-        it spends one of the request's attempts.
+        So nothing is sent to an endpoint that is listed as draining, gone or restarted. The drawback: this
+        uses up one of the request's attempts.
         """
         engine = self.engine
         for pending in list(engine.request_table.requests.values()):
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -1,10 +1,10 @@
 """The engine: connects protocols, admission, the router and the upstream side.
 
-It decides no route. It keeps what no decision may break: one final answer for each request before its
-deadline, an end reported for every attempt, what is readable read before a timer is judged. All events of one
-turn of the event loop are gathered and decided on together.
+It makes no routing decisions. It guarantees the invariants that hold for every decision: each request gets
+one final answer before its deadline, the end of every attempt is reported, and readable input is read before
+a timer is evaluated. All events of one event loop turn are collected and decided on together.
 
-One module holds each concern: `intake` (requests and disconnects), `dispatch` (events to the router, its
+Each concern has a module: `intake` (requests and disconnects), `dispatch` (events to the router, its
 actions), `deadlines`, `completion` (answers, ends of attempts), `endpoint_changes` and `callback_guard`.
 """
 
@@ -29,21 +29,22 @@
 if TYPE_CHECKING:
     from sedgepitch.decisions.admission.controller import AdmissionController
 
-TOLERABLE_WAIT_SHARE = 0.1  # mean wait in this process, as a share of the shortest latency objective
+TOLERABLE_WAIT_SHARE = 0.1  # mean wait in this process, as a fraction of the shortest latency objective
 DEFAULT_MAX_IN_FLIGHT = 10_000  # requests
 DEFAULT_HANDOVER_LIMIT = 0.05  # s
 
 
 class Engine:
-    """Runs one router on the endpoints of one upstream side.
+    """Runs one router with the endpoints of one upstream side.
 
-    `clock` is the only clock that the engine and what it calls use. `max_in_flight` bounds pending requests.
-    `handover_limit` is how many seconds a decision that ages may take until its bytes leave. `watch` asks
-    discovery for changes of the endpoint list, `log` takes the router's lines, `on_response` hears of each
-    final answer and its seconds since arrival, `on_callback_error` of each callback that raised.
+    `clock` is the only clock used by the engine and by what it calls. `max_in_flight` bounds pending
+    requests. `handover_limit` is the maximum time in seconds between a decision that ages and the sending of
+    its bytes. `watch` subscribes to changes of the endpoint list at discovery, `log` receives the router's
+    messages, `on_response` each final answer with the seconds since the request's arrival, and
+    `on_callback_error` each exception raised by a callback.
     """
 
-    def __init__(  # noqa: PLR0913  # what an embedder may attach to it, by keyword
+    def __init__(  # noqa: PLR0913  # options for embedders, by keyword
         self,
         router: Router,
         upstream: Upstream,
@@ -57,7 +58,7 @@
         handover_limit: float = DEFAULT_HANDOVER_LIMIT,
         on_callback_error: Callable[[str, BaseException], None] | None = None,
     ) -> None:
-        """Wire the parts; nothing happens before a request, an event or the endpoint list comes."""
+        """Connect the parts; nothing runs until a request, an event or an endpoint list arrives."""
         self.router = router
         self.upstream = upstream
         self.clock = clock
@@ -72,10 +73,10 @@
         self.classes = {cls.name: cls for cls in router.settings.classes}
         self.event_loop_lag = EventLoopLag()
         self.process_limit = _process_limit(router.settings)
-        self.rejected_for_load = 0  # by the limit on this process's own concurrency
+        self.rejected_for_load = 0  # by the process concurrency limit
         self.rejected_for_lag = 0  # on arrival: less time left than the deadline margin
-        self.answered_early = 0  # before the router thought it time, since the lag had grown
-        self.answered_by_last_guard = 0  # without a decision; above 0 is a defect
+        self.answered_early = 0  # before the router's deadline, because the lag had grown
+        self.answered_by_last_guard = 0  # without a decision; above 0 indicates a defect
         self.request_table = RequestTable()
         self.callbacks = CallbackGuard(on_callback_error)
         self.completion = Completion(self)
@@ -89,9 +90,9 @@
     def submit(
         self, request: ClientRequest, on_response: ResponseCallback, arrived_at: float | None = None
     ) -> PendingRequest:
-        """Take a request; `on_response` is called exactly once, unless the client disconnects first.
+        """Accept a request; `on_response` is called exactly once, unless the client disconnects first.
 
-        `arrived_at` is when its bytes arrived, now where that is not known; its time counts from then.
+        `arrived_at` is when its bytes arrived (default: now); the request's time left counts from then.
         """
         return self.intake.submit(request, on_response, arrived_at)
 
@@ -102,19 +103,19 @@
         on_response: ResponseCallback,
         arrived_at: float | None = None,
     ) -> PendingRequest:
-        """Take a request that only one endpoint can serve, such as the next batch of a cursor."""
+        """Accept a request that only one endpoint can serve, such as the next batch of a cursor."""
         return self.intake.submit_sticky(endpoint, request, on_response, arrived_at)
 
     def client_disconnected(self, pending: PendingRequest) -> None:
-        """Cancel a request whose client has left; does nothing where it has ended."""
+        """Cancel a request whose client has disconnected; does nothing if the request has ended."""
         self.intake.client_disconnected(pending)
 
     def before_reading(self) -> None:
-        """Answer requests whose time is up, ahead of a new request that is about to be read."""
+        """Answer requests whose deadline is due, before a new request is read."""
         self.deadlines.before_reading()
 
     def reject_unread(self, waited: float, tenant: str) -> bool:
-        """Whether a request that waited `waited` seconds is rejected without being read; counts it if so.
+        """Return whether to reject a request unread after `waited` seconds; if so, count it.
 
         See `decisions/admission/process_concurrency_limit.py`.
         """
@@ -127,26 +128,26 @@
     # From discovery, gossip and the program
 
     def feed(self, event: api.Event) -> None:
-        """Gather an event for the router; all events of this turn are decided on together."""
+        """Queue an event for the router; all events of this turn are decided on together."""
         self.dispatcher.feed(event)
 
     def list_changed(self, event: api.EndpointListUpdate) -> None:
-        """Take the endpoint list. What it says of an endpoint binds from this moment."""
+        """Apply an endpoint list; its endpoint states take effect immediately."""
         self.endpoint_changes.list_changed(event)
 
     @property
     def draining_since(self) -> dict[int, float]:
-        """When each endpoint that is draining or gone was first listed so."""
+        """When each draining or gone endpoint was first listed as such."""
         return self.endpoint_changes.draining_since
 
     def answer_all_by(self, moment: float) -> None:
-        """Bring all deadlines forward to `moment`, by which this process ends."""
+        """Bring all deadlines forward to `moment`, by which this process exits."""
         self.deadlines.answer_all_by(moment)
 
     # The process's own delay
 
     def record_wait(self, seconds: float, now: float) -> None:
-        """Record how long bytes or a timer had waited for this process when it came to them now."""
+        """Record how long bytes or a timer waited until this process handled them at `now`."""
         self.event_loop_lag.record(seconds, now)
         admission = self.admission
         in_process = self.request_table.pending if admission is None else admission.in_flight
@@ -156,6 +157,6 @@
 
 
 def _process_limit(settings: api.Settings) -> ProcessConcurrencyLimit:
-    """Return a limit that tolerates a share of the shortest latency objective."""
+    """Return a limit that tolerates a fraction of the shortest latency objective as the mean wait."""
     shortest = min(cls.latency_objective for cls in settings.classes)
     return ProcessConcurrencyLimit(TOLERABLE_WAIT_SHARE * shortest)
--- a/sedgepitch/core/intake.py
+++ b/sedgepitch/core/intake.py
@@ -1,4 +1,4 @@
-"""Requests of clients: from a protocol through admission to the router, and their disconnects."""
+"""Intake of client requests, from a protocol through admission control to the router, and disconnects."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class Intake:
-    """Opens a pending request for each request of a client, or rejects it at once."""
+    """Opens a pending request for each client request, or rejects the request at once."""
 
     __slots__ = ("engine",)
 
     def __init__(self, engine: Engine) -> None:
-        """Work for `engine`."""
+        """Take in requests for `engine`."""
         self.engine = engine
 
     def submit(
         self, request: ClientRequest, on_response: ResponseCallback, arrived_at: float | None
     ) -> PendingRequest:
-        """Take a request to admission, or straight to the router where there is none."""
+        """Pass a request to admission control, or straight to the router if there is none."""
         pending = self._open(request, on_response, arrived_at)
         if not pending.open:
             return pending
@@ -58,7 +58,7 @@
         on_response: ResponseCallback,
         arrived_at: float | None,
     ) -> PendingRequest:
-        """Send a request to the one endpoint that can serve it, in one attempt; the router takes no part."""
+        """Send a request to the one endpoint that can serve it, in one attempt, bypassing the router."""
         engine = self.engine
         pending = self._open(request, on_response, arrived_at)
         if not pending.open:
@@ -88,7 +88,7 @@
         return pending
 
     def client_disconnected(self, pending: PendingRequest) -> None:
-        """Cancel a request whose client has left, and tell the router and admission."""
+        """Cancel a request whose client has disconnected, and notify the router and admission control."""
         engine = self.engine
         if not engine.request_table.cancel(pending):
             return
@@ -96,12 +96,12 @@
         if pending.admitted:
             engine.dispatcher.feed(api.ClientDisconnected(pending.id))
         if engine.admission is not None:
-            # `served` means "not rejected" here: no allowance falls, and the key is not remembered as that of
-            # a rejected request. The time in flight so far counts as a latency.
+            # `served` means "not rejected" here: no allowance is reduced, and the idempotency key is not
+            # recorded as that of a rejected request. The time in flight so far counts as a latency.
             self.carry_out(engine.admission.ended(pending.id, engine.clock.now(), served=True))
 
     def carry_out(self, decisions: list[Decision]) -> None:
-        """Carry out decisions of the admission controller: pass on to the router, or reject."""
+        """Execute decisions of the admission controller: pass each request to the router, or reject it."""
         engine = self.engine
         for decision in decisions:
             pending = engine.request_table.requests.get(decision.id)
@@ -121,7 +121,7 @@
             engine.completion.respond(pending, response)
 
     def _pass_to_router(self, pending: PendingRequest) -> None:
-        """Let the router see a request in this turn."""
+        """Queue a request for the router in this turn."""
         if self.engine.attempt_observer is not None:
             self.engine.attempt_observer.request_received()
         self.engine.dispatcher.feed(pending)
@@ -129,9 +129,10 @@
     def _open(
         self, request: ClientRequest, on_response: ResponseCallback, arrived_at: float | None
     ) -> PendingRequest:
-        """Add a request to the table and watch its deadline, unless it has to be rejected on arrival.
+        """Add a request to the table and track its deadline, unless it has to be rejected on arrival.
 
-        Its time counts from the arrival of its bytes; the router is told that time less the deadline margin.
+        Its time left counts from the arrival of its bytes; the router's deadline is earlier by the deadline
+        margin.
         """
         engine = self.engine
         now = engine.clock.now()
@@ -147,7 +148,10 @@
         return pending
 
     def _rejection_on_arrival(self, pending: PendingRequest, margin: float, now: float) -> Response | None:
-        """Return why a request cannot be taken: bounds of this process, or no time left; None if it can."""
+        """Return the rejection of a request that cannot be accepted, or None if it can be.
+
+        The grounds are limits of this process and too little time left.
+        """
         engine = self.engine
         count = engine.request_table.pending
         why, retry_after = "", 0.0
@@ -172,10 +176,10 @@
     def _admission_request(
         self, pending: PendingRequest, request_class: RequestClass, now: float
     ) -> AdmissionRequest:
-        """Return a request as admission sees it.
+        """Return the admission request of a pending request.
 
-        A write that is worth something after its latency objective may wait for as long as its deadline
-        allows.
+        A write whose class has a late priority weight (it has value after its latency objective) may wait
+        until its deadline.
         """
         request = pending.request
         latency_objective = request_class.latency_objective - (now - pending.arrived_at)
--- a/sedgepitch/core/pooled_connection.py
+++ b/sedgepitch/core/pooled_connection.py
@@ -1,8 +1,8 @@
 """One connection to an endpoint, open or being opened, and the attempt on it.
 
-A connection carries one attempt at a time. An attempt that is abandoned before its bytes left was never sent.
-One that is abandoned later leaves its connection awaiting a reply that nobody wants, so that it can be used
-again, but not for long.
+A connection carries one attempt at a time. An attempt that is abandoned before its bytes were sent counts as
+never sent. If it is abandoned later, its connection waits a limited time for the reply and discards it, so
+that the connection can be reused.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 if TYPE_CHECKING:
     from sedgepitch.core.connection_pool import ConnectionPool
 
-CONNECT_TIMEOUT = "no connection in time"  # as a client may see it
+CONNECT_TIMEOUT = "no connection in time"  # clients may see both reasons
 CONNECTED_TOO_LATE = "the connection came too late"
 
 
 class Connection(Protocol):
-    """One open connection of a protocol's own kind."""
+    """One open connection, as implemented by a protocol."""
 
     def start(self, payload: object, done: Callable[[Any], None]) -> None:
-        """Send one request; `done` gets the reply."""
+        """Send one request; `done` is called with the reply."""
 
     def close(self) -> None:
         """Close the connection at once."""
 
     def unsent(self) -> int:
-        """Return how many bytes wait for the socket to take them."""
+        """Return the number of bytes that the socket has not accepted yet."""
 
     def usable(self) -> bool:
-        """Whether an idle connection is still open and has received nothing that was not asked for."""
+        """Return whether an idle connection is still open and has received no unsolicited bytes."""
 
 
 class Connector(Protocol):
-    """Opens connections; exactly one of `ready` and `failed` follows, and `lost` once after `ready`."""
+    """Opens connections; calls exactly one of `ready` and `failed`, and `lost` once after `ready`."""
 
     def __call__(
         self,
@@ -45,20 +45,20 @@
         failed: Callable[[str], None],
         lost: Callable[[str], None],
     ) -> Callable[[], None]:
-        """Begin to open a connection; returns a function that gives up."""
+        """Start to open a connection; return a function that cancels the opening."""
 
 
 class PoolAttempt:
-    """One attempt in a pool: its payload, whether it left, and who waits for its outcome.
+    """One attempt in a pool: its payload, whether it was sent, and the callback for its outcome.
 
-    `sent_at` is when it came to the pool, `send_by` the moment after which it does not leave any more.
+    `sent_at` is when the attempt was passed to the pool, `send_by` the time after which it is no longer sent.
     """
 
     __slots__ = ("assigned_to", "has_started", "on_end", "payload", "send_by", "sent_at")
 
     def __init__(self, payload: object, on_end: AttemptCallback, now: float, send_by: float) -> None:
-        """Make an attempt that came to the pool at `now`."""
-        self.payload: Any = payload  # of the protocol's own type
+        """Create an attempt that was passed to the pool at `now`."""
+        self.payload: Any = payload  # its type belongs to the protocol
         self.on_end: AttemptCallback | None = on_end
         self.sent_at = now
         self.send_by = send_by
@@ -66,7 +66,7 @@
         self.assigned_to: PooledConnection | None = None
 
     def end(self, outcome: AttemptOutcome) -> None:
-        """Tell the outcome, once."""
+        """Report the outcome, at most once."""
         on_end, self.on_end = self.on_end, None
         if on_end is not None:
             on_end(outcome)
@@ -83,13 +83,13 @@
             connection.attempt = None  # the connection is kept for the next attempt
 
     def started(self) -> bool:
-        """Whether any of its bytes may have left."""
+        """Return whether any of its bytes may have been sent."""
         return self.has_started
 
     def withdraw(self) -> bool:
-        """Take it back; returns whether nothing had left.
+        """Withdraw the attempt; return whether nothing had been sent.
 
-        Where its bytes wait behind a full socket, the connection is closed with them.
+        If its bytes are queued behind a full socket, the connection is closed and they are discarded.
         """
         if not self.has_started:
             self.abandon()
@@ -106,25 +106,25 @@
     __slots__ = ("_discarding", "_give_up", "_timer", "attempt", "connection", "idle_since", "pool")
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Make a connection of `pool` that is not open yet."""
+        """Create a connection of `pool` that is not open yet."""
         self.pool = pool
         self.connection: Connection | None = None  # None while it is being opened
         self.attempt: PoolAttempt | None = None
         self.idle_since = 0.0
-        self._give_up: Callable[[], None] | None = None  # ends the opening
-        self._discarding = False  # the reply to come is wanted by nobody
+        self._give_up: Callable[[], None] | None = None  # cancels the opening
+        self._discarding = False  # the next reply belongs to an abandoned attempt
         self._timer: TimerHandle | None = None
 
     # Opening
 
     def open(self) -> None:
-        """Begin to connect."""
+        """Start to connect."""
         timeout = self.pool.limits.connect_timeout
         self._timer = self.pool.clock.call_later(timeout, self._connect_timed_out)
         self._give_up = self.pool.connector(self._ready, self._failed, self._lost)
 
     def _connect_timed_out(self) -> None:
-        """Judge the opening only after reading: the server's greeting may lie unread."""
+        """Check the opening only after reading: the server's greeting may have arrived unread."""
         self._timer = None
         self.pool.clock.after_reading(self._fail_if_not_connected)
 
@@ -136,8 +136,8 @@
         self._failed(CONNECT_TIMEOUT)
 
     def _ready(self, connection: Connection) -> None:
-        """Connected: send what waits for it if its decision is still good, else become idle."""
-        if self not in self.pool.connections:  # given up meanwhile: nobody would own it
+        """Handle a completed opening: send the waiting attempt if its time allows, else become idle."""
+        if self not in self.pool.connections:  # the opening was cancelled meanwhile
             connection.close()
             return
         self._cancel_timer()
@@ -152,13 +152,13 @@
             attempt.end(AttemptOutcome(AttemptResult.NOT_SENT, why=CONNECTED_TOO_LATE))
 
     def _failed(self, why: str) -> None:
-        """No connection came about."""
+        """Handle a failed opening."""
         attempt = self._leave_pool()
         if attempt is not None:
             attempt.end(AttemptOutcome(AttemptResult.CONNECT_FAILED, why=why))
 
     def give_up(self, why: str) -> None:
-        """Stop connecting; what waits for the connection has not been sent."""
+        """Stop connecting; the attempt that waits for the connection ends as not sent."""
         give_up, self._give_up = self._give_up, None
         attempt = self._leave_pool()
         if give_up is not None:
@@ -176,7 +176,7 @@
         self.connection.start(attempt.payload, self._done)
 
     def _done(self, reply: object) -> None:
-        """Take the reply; the connection is idle before anyone hears of it."""
+        """Process the reply; the connection becomes idle before the outcome is reported."""
         self._cancel_timer()
         attempt, self.attempt = self.attempt, None
         discarding, self._discarding = self._discarding, False
@@ -185,9 +185,9 @@
             attempt.end(self.pool.judge(attempt, reply))
 
     def _lost(self, why: str) -> None:
-        """The connection was closed, by the endpoint or by this side.
+        """Handle the closing of the connection by either side.
 
-        Bytes that still waited in this process have not left: no endpoint can have read the whole request.
+        If bytes were still queued in this process, the endpoint cannot have read the whole request.
         """
         attempt = self._leave_pool()
         if attempt is not None and not self._discarding:
@@ -196,7 +196,7 @@
             attempt.end(AttemptOutcome(result, why=why))
 
     def discard_reply(self) -> None:
-        """Await the reply for a moment only to use the connection again, then close."""
+        """Wait for the reply until the discard timeout, to reuse the connection; after that, close it."""
         self._discarding = True
         timeout = self.pool.limits.discard_timeout
         if timeout > 0.0:
@@ -211,19 +211,19 @@
             self.connection.close()
 
     def close_if_unsent(self) -> None:
-        """Close the connection where bytes wait for its socket."""
+        """Close the connection if bytes are queued for its socket."""
         if self.connection is not None and self.connection.unsent():
             self.connection.close()
 
     def _leave_pool(self) -> PoolAttempt | None:
-        """Leave the pool; returns the attempt that was on the connection."""
+        """Leave the pool; return the attempt that was on the connection."""
         self._cancel_timer()
         attempt, self.attempt = self.attempt, None
         self.pool.remove(self)
         return attempt
 
     def forget_opening(self) -> None:
-        """Drop the function that ends the opening: it is over."""
+        """Drop the function that cancels the opening, since the opening has ended."""
         self._give_up = None
 
     def _cancel_timer(self) -> None:
--- a/sedgepitch/core/reasons.py
+++ b/sedgepitch/core/reasons.py
@@ -1,4 +1,4 @@
-"""The reasons that an answer gives. Clients and logs see them: part of what stands on the wire."""
+"""Reasons given in answers. Clients and logs see these texts, so they are part of the wire format."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 NO_DECISION = "overdue: no decision came"
 ENDPOINT_ERROR = "member {endpoint}: {why}"
 
-# Why an attempt was taken back or could not be made.
+# Why an attempt was withdrawn or could not be made.
 LIST_CHANGED = "the list changed before it left"
 ATTEMPT_TIMEOUT = "time-out of the attempt"
 CANCELLED = "called off"
