--- a/sedgepitch/net/__init__.py
+++ b/sedgepitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""TCP transports that report when bytes arrived and write at once. Knows no protocol and no endpoints."""
+"""Protocol-independent TCP transports that report when bytes arrived and write immediately."""
--- a/sedgepitch/net/accepting.py
+++ b/sedgepitch/net/accepting.py
@@ -1,15 +1,15 @@
-"""What a failed `accept` means for the connections in the backlog. Performs no I/O.
+"""Classification of failed `accept` calls. Performs no I/O.
 
-A client in the backlog is connected and may have sent a request: for the client, this process has taken it.
-So nothing in the backlog is closed, whatever `accept` reports. Linux (accept(2)) has two kinds of failure
-besides an empty backlog:
+A client in the backlog is connected and may have sent a request: from its point of view, this process has
+accepted it. So no connection in the backlog is closed, whatever `accept` reports. On Linux (accept(2)) there
+are two kinds of failure besides an empty backlog:
 
 * One connection failed before it was accepted, or one of its pending network errors is reported. The next
   `accept` returns another connection, so it is called again at once.
 * This process or the machine is short of descriptors, buffers or memory. The connections stay in the backlog.
-  The listener stays readable meanwhile, so accepting pauses, or the event loop would spin.
+  The listener stays readable meanwhile, so accepting pauses to keep the event loop from spinning.
 
-An error that is not documented is treated as a shortage: it costs a pause, never a connection.
+An undocumented error is treated as a shortage: it costs a pause, never a connection.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 from sedgepitch.net.shortage import ShortageBackoff
 
-LASTING_SHORTAGE_S = 0.5  # of consecutive pauses
+LASTING_SHORTAGE_S = 0.5  # sum of consecutive pauses
 MAX_CONSECUTIVE_SKIPS = 16  # failed connections per turn; then the rest of the backlog waits for a pause
 
 BACKLOG_EMPTY = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
@@ -43,27 +43,27 @@
 
 
 class AcceptFailure(Enum):
-    """What a failed `accept` calls for."""
+    """How to react to a failed `accept`."""
 
     BACKLOG_EMPTY = "backlog_empty"
-    NEXT = "next"  # call it again at once
-    SHORTAGE = "shortage"  # pause; the backlog stays as it is
+    NEXT = "next"  # call `accept` again at once
+    SHORTAGE = "shortage"  # pause; the backlog is left as it is
 
 
 class AcceptRetry:
-    """The retries of one listener."""
+    """The retry state of one listener."""
 
     __slots__ = ("_backoff", "_paused_s", "_skipped", "failures")
 
     def __init__(self) -> None:
-        self.failures = 0  # since the start, empty backlogs not counted
+        self.failures = 0  # since the start, not counting empty backlogs
         self._backoff = ShortageBackoff()
         self._paused_s = 0.0  # sum of the consecutive pauses
         self._skipped = 0
 
     @property
     def lasting(self) -> bool:
-        """Whether the shortage has lasted for LASTING_SHORTAGE_S, so that room has to be made."""
+        """Whether the shortage has lasted LASTING_SHORTAGE_S, so that descriptors have to be freed."""
         return self._paused_s >= LASTING_SHORTAGE_S
 
     def failed(self, error: int) -> AcceptFailure:
@@ -85,7 +85,7 @@
         self._skipped = 0
 
     def next_pause(self) -> float:
-        """Return for how many seconds not to accept during a shortage."""
+        """Return how many seconds to pause accepting during a shortage."""
         pause_s = self._backoff.advance()
         self._paused_s += pause_s
         return pause_s
--- a/sedgepitch/net/connecting.py
+++ b/sedgepitch/net/connecting.py
@@ -1,7 +1,7 @@
-"""Opens connections, and does not take this process's own shortage for a failure of the other side.
+"""Opens connections, and keeps local resource shortages from counting as failures of the endpoint.
 
-`socket` and `connect` may fail for want of a descriptor, a local port or memory. Reported as a failed
-connection, that would count against each endpoint that was tried. So it is retried after a pause.
+`socket` and `connect` may fail for lack of a descriptor, a local port or memory. If that were reported as a
+failed connection, it would count against each endpoint tried. So the call is retried after a pause.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 class OutgoingConnection(ClientFactory):
     """Opens one connection.
 
-    `make_protocol` returns its protocol. `on_failed` gets the reason if no connection came about.
-    `retry_within_s` bounds the sum of the pauses during a shortage.
+    `make_protocol` returns its protocol. `on_failed` is called with the reason if the connection could not be
+    opened. `retry_within_s` bounds the sum of the pauses during a shortage.
     """
 
     noisy = False
@@ -42,7 +42,7 @@
         self._retry: DelayedCall | None = None
 
     def open(self, reactor: Reactor, address: tuple[str, int], timeout_s: float) -> None:
-        """Begin to connect; `timeout_s` bounds one attempt."""
+        """Start to connect; `timeout_s` bounds one attempt."""
         self.connector = connect(reactor, *address, self, timeout_s)
 
     def cancel(self) -> None:
@@ -58,7 +58,7 @@
         return self.make_protocol()
 
     def clientConnectionFailed(self, connector: tcp.Connector, reason: Failure) -> None:
-        """Retry after a pause if the failure was a local shortage and time is left; else report it."""
+        """Retry after a pause if the failure was a local shortage and time is left, else report it."""
         local = getattr(reason.value, "osError", None) in LOCAL_SHORTAGE
         if not local or self._paused_s + self._backoff.next_pause_s > self.retry_within_s:
             self.on_failed(reason.getErrorMessage())
--- a/sedgepitch/net/listener.py
+++ b/sedgepitch/net/listener.py
@@ -1,11 +1,11 @@
-"""A listening port that closes nothing in its backlog, whatever `accept` reports.
+"""A listening port that never closes connections in its backlog, whatever `accept` reports.
 
-Twisted's `Port` answers EMFILE by accepting and closing all of the backlog, to tell clients of the shortage
-at once. Here a client in the backlog may have sent a request already, which would be lost with its
-connection, so connections stay there until they can be accepted (net/accepting.py).
+Twisted's `Port` reacts to EMFILE by accepting and closing the whole backlog, so that clients learn of the
+shortage at once. Here, a client in the backlog may already have sent a request, which would be lost with its
+connection, so connections stay in the backlog until they can be accepted (net/accepting.py).
 
-An accepted connection whose transport cannot be set up for a moment (no memory for a descriptor's flags or
-for the poller) is kept and set up a little later.
+An accepted connection whose transport cannot be set up for the moment (no memory for a descriptor's flags or
+for the poller) is kept and set up after a pause.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 from sedgepitch.net.transport import TimestampedServer
 from sedgepitch.net.twisted_types import ProtocolFactory, Reactor
 
-OVERLOAD_CHECK_S = 0.05  # between questions whether an overloaded process may accept again
-ACCEPTS_PER_TURN = 64  # so that a burst of connections does not keep established ones waiting
+OVERLOAD_CHECK_S = 0.05  # interval at which an overloaded process checks whether it may accept again
+ACCEPTS_PER_TURN = 64  # bounded so that a burst of new connections does not delay established ones
 SET_UP_ATTEMPTS = 50  # for one accepted connection, each after a pause
 
 
@@ -67,9 +67,10 @@
 class Listener(tcp.Port):
     """A listening port of timestamped connections.
 
-    `may_accept` is asked before connections are accepted. Those that are not accepted wait in the backlog:
-    the cheapest place for a process that cannot read what it already has. `on_descriptors_out` is called to
-    free a descriptor by closing an idle connection; its argument says whether the shortage has lasted.
+    `may_accept` is called before connections are accepted. While it returns False, connections wait in the
+    backlog, the cheapest place while the process cannot keep up with the connections that it has.
+    `on_descriptors_out` is called to free a descriptor by closing an idle connection; its argument is whether
+    the shortage has lasted.
     """
 
     transport = TimestampedServer  # type: ignore[assignment]
@@ -87,7 +88,7 @@
         self._paused = False
 
     def doRead(self) -> None:
-        """Accept from the backlog as much as one turn may take, or pause while that is not permitted."""
+        """Accept up to `accepts_per_turn` connections, or pause while accepting is not permitted."""
         if self.may_accept is not None and not self.may_accept():
             self._pause(OVERLOAD_CHECK_S)
             return
@@ -96,24 +97,24 @@
                 return
 
     def accept_all(self) -> bool:
-        """Accept the whole backlog, so that closing the port cuts off no connected client.
+        """Accept the whole backlog, so that closing the port disconnects no client.
 
-        Return False if a shortage leaves something there: to be called again.
+        Return False if a shortage leaves connections in the backlog; the caller then has to call again.
         """
         while self.connected:
             if not self._accept_next():
                 break
-        return not self._not_set_up and not self._backlog_waits()
+        return not self._not_set_up and not self._has_backlog()
 
-    def _backlog_waits(self) -> bool:
-        """Whether a connection is in the backlog, as the kernel sees it."""
+    def _has_backlog(self) -> bool:
+        """Return whether the kernel reports a connection in the backlog."""
         if not self.connected:
             return False
         poller = select.poll()
         poller.register(self.fileno(), select.POLLIN)
         try:
             return bool(poller.poll(0))
-        except OSError:  # unknown for now: to be asked again
+        except OSError:  # unknown: the caller has to check again
             return True
 
     def _accept_next(self) -> bool:
@@ -158,7 +159,7 @@
         try:
             protocol.makeConnection(transport)
         except Exception:
-            # An exception here must not end the listener, which is what the reactor would do.
+            # The reactor would close the listener on an exception raised here.
             log.err(None, "a new connection's protocol failed")
             transport.abortConnection()
 
@@ -194,7 +195,7 @@
 
 
 def listen(reactor: Reactor, port: int, factory: ProtocolFactory, interface: str, backlog: int) -> Listener:
-    """Open a port, like `reactor.listenTCP`; raises CannotListenError."""
+    """Open a listening port, like `reactor.listenTCP`; raises CannotListenError."""
     opened = Listener(port, factory, backlog, interface, reactor)
     opened.startListening()
     return opened
--- a/sedgepitch/net/receive_timestamps.py
+++ b/sedgepitch/net/receive_timestamps.py
@@ -1,19 +1,20 @@
-"""Turns the kernel's receive timestamps, which are wall time, into monotonic time. Performs no I/O.
+"""Converts the kernel's receive timestamps from wall time to monotonic time. Performs no I/O.
 
-A timestamp is compared with the wall clock at the read. If that clock is set ahead while bytes lie unread, or
-the machine is suspended, they look as old as the step is large: requests would seem to be out of time and the
-event loop seconds late. If it is set back, they look newer than they are, which is harmless.
+A timestamp is compared with the wall clock at the read. If the wall clock is set forward while bytes are
+unread, or the machine is suspended, the bytes look older by the size of the step: requests would appear to
+have expired, and the event loop to be seconds late. If the clock is set back, the bytes look newer than they
+are, which is harmless.
 
-All times are seconds; `wall` since the epoch, the others monotonic.
+All times are in seconds; `wall` is since the epoch, the others are monotonic.
 """
 
 from __future__ import annotations
 
-CLOCK_STEP_MIN_S = 0.02  # between two reads; slewing moves the clocks apart by less
+CLOCK_STEP_MIN_S = 0.02  # between two reads; clock slewing changes the offset by less
 
 
 class ReceiveTimestamps:
-    """The distance of the two clocks at the last read of any connection, and the last step between them."""
+    """The offset between the two clocks at the last read of any connection, and its last step."""
 
     __slots__ = ("_offset", "_step", "_stepped_at")
 
@@ -23,10 +24,11 @@
         self._step = 0.0
 
     def arrival_time(self, timestamp: float, wall: float, now: float) -> float:
-        """Return when bytes with this timestamp arrived, never after `now`; the clocks show `wall` and `now`.
+        """Return when bytes with this timestamp arrived, never after `now`; the clocks read `wall` and `now`.
 
-        Bytes from before the first read after a step may carry a time of either clock; the later of the two
-        moments counts. So bytes never look older than they are, but may look newer once per step.
+        Bytes that arrived before the first read after a step may be stamped before or after the step; the
+        later of the two possible times is used. So bytes never look older than they are, but may look newer
+        once per step.
         """
         offset = wall - now
         if self._offset is not None and abs(offset - self._offset) > CLOCK_STEP_MIN_S:
--- a/sedgepitch/net/shortage.py
+++ b/sedgepitch/net/shortage.py
@@ -1,7 +1,7 @@
-"""Shortages of this process or machine: which errors mean one, and the pauses while one lasts.
+"""Local resource shortages: the errors that indicate one, and the pauses between retries.
 
-A call that fails for want of a descriptor, a port or memory says nothing of the other side, so it is retried
-after a pause. The pauses are short beside any request deadline.
+A call that fails for lack of a descriptor, a port or memory says nothing about the other side, so it is
+retried after a pause. The pauses are short compared with any request deadline.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 OUT_OF_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE})
 LOCAL_SHORTAGE = OUT_OF_DESCRIPTORS | {
-    errno.EADDRNOTAVAIL,  # no free local port, or the address is not up yet
+    errno.EADDRNOTAVAIL,  # no free local port, or the address is not configured yet
     errno.EAGAIN,
     errno.EINTR,
     errno.ENOBUFS,
@@ -29,11 +29,11 @@
         self.next_pause_s = PAUSE_MIN_S
 
     def advance(self) -> float:
-        """Return the pause to make now, in seconds; the next one is longer."""
+        """Return the current pause in seconds, and double the next one."""
         pause_s = self.next_pause_s
         self.next_pause_s = min(PAUSE_MAX_S, 2.0 * pause_s)
         return pause_s
 
     def reset(self) -> None:
-        """Start over with the shortest pause."""
+        """Restart with the shortest pause."""
         self.next_pause_s = PAUSE_MIN_S
--- a/sedgepitch/net/socket_state.py
+++ b/sedgepitch/net/socket_state.py
@@ -1,4 +1,4 @@
-"""Asks the kernel about a connected socket, beside what Twisted reports."""
+"""Queries of the kernel about a connected socket, beyond what Twisted reports."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 _LAST_DATA_OFFSET = 8 + 11 * 4
 _TCP_INFO_SIZE = _LAST_DATA_OFFSET + _LAST_DATA_RECEIVED.size
 _MS_PER_S = 1000.0
-MAX_BACKLOG_WAIT_S = 60.0  # no client waits longer, so more is not the age of a request
+MAX_BACKLOG_WAIT_S = 60.0  # no client waits longer, so a larger value cannot be the age of a request
 
 
 def seconds_since_received(connected: socket.socket) -> float:
-    """Return how long ago a TCP connection last received data, or was established if none has come.
+    """Return the seconds since a TCP connection last received data, or since its set-up if it has none.
 
-    By the kernel's own clock, which no step of the wall clock moves (tcp(7), TCP_INFO; a resolution of a few
-    milliseconds). 0 if the system does not say.
+    Measured by the kernel's own clock, which steps of the wall clock do not affect (tcp(7), TCP_INFO; with a
+    resolution of a few milliseconds). 0 if the system does not provide it.
     """
     try:
         info = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_SIZE)
@@ -33,7 +33,7 @@
 
 
 def has_nothing_unread(connected: socket.socket) -> bool:
-    """Whether a socket is open with nothing to read: no bytes, no end, no error."""
+    """Return whether a socket is open with nothing to read: no data, no end of file, no error."""
     try:
         connected.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -44,7 +44,7 @@
 
 
 def is_quiet(transport: object) -> bool:
-    """Whether a transport is open with nothing to read; one without a socket (in tests) is."""
+    """Return whether a transport is open with nothing to read; True for one without a socket (in tests)."""
     if getattr(transport, "disconnecting", False) or not getattr(transport, "connected", True):
         return False
     connected = getattr(transport, "socket", None)
@@ -52,10 +52,10 @@
 
 
 def peer_has_closed(transport: object) -> bool:
-    """Whether the peer has ended its connection, though what it sent before may lie unread.
+    """Return whether the peer has closed its side, even if data that it sent before is still unread.
 
-    A connection that is not being read does not show its end otherwise, since it stands behind the bytes. A
-    transport without a socket (in tests) may state it by its attribute `left`.
+    The end of a connection that is not being read is not visible otherwise, because it comes after the unread
+    data. A transport without a socket (in tests) may report it by its attribute `left`.
     """
     connected = getattr(transport, "socket", None)
     if connected is None or connected.fileno() < 0:
@@ -64,5 +64,5 @@
     poller.register(connected.fileno(), select.POLLRDHUP)
     try:
         return bool(poller.poll(0))
-    except OSError:  # unknown for now: a client is served until it is known to have left
+    except OSError:  # unknown: a client is served until it is known to have disconnected
         return False
--- a/sedgepitch/net/transport.py
+++ b/sedgepitch/net/transport.py
@@ -1,19 +1,20 @@
 """Twisted's TCP transports with receive timestamps and immediate writes.
 
-Arrival. A process that was kept from running reads late, and the moment of its read says nothing of how
-long the bytes had waited. Linux timestamps what a socket receives (SO_TIMESTAMPNS, socket(7)), so the wait
-is known for each read, and a recorder that runs late still records the truth. Timestamps are wall time and
-are turned into monotonic time at once (net/receive_timestamps.py). No timestamp counts before the last read
-of its connection, nor after the present one. Without timestamps the moment of the read counts.
+Arrival. A process that is not scheduled for a while reads late, and the time of the read does not show how
+long the bytes have waited. Linux timestamps received data (SO_TIMESTAMPNS, socket(7)), so the wait is known
+for each read, and a recorder that runs late still records correct times. Timestamps are wall time and are
+converted to monotonic time at once (net/receive_timestamps.py). Arrival times are clamped between the
+previous read of the connection and the current one. Without timestamps, the time of the read is used.
 
 Writes. Twisted queues each write until the event loop reports the descriptor writable, one turn later: a
-response decided now would wait for all that the next turn reads. Here a write with nothing queued before it
-goes to the socket at once; only what the socket does not take is queued, with Twisted's back-pressure.
+response decided now would wait for everything that the next turn reads. Here, a write with nothing queued
+before it goes to the socket at once; only what the socket does not accept is queued, with Twisted's
+back-pressure.
 
-Resets. uvloop's poll handle closes itself for good when a descriptor reports an error, after running the
+Resets. uvloop's poll handle closes itself permanently when a descriptor reports an error, after running the
 read callback once (uvloop/handles/poll.pyx, `_fatal_error`). If data came before the reset, that one read
-takes the data, so the reset is never reported, the descriptor is not watched again, and the next write raises
-"the handler is closed". Therefore each read also asks the socket for a pending error.
+returns the data, so the reset is never reported, the descriptor is not watched again, and the next write
+raises "the handler is closed". Therefore each read also checks the socket for a pending error.
 """
 
 from __future__ import annotations
@@ -32,16 +33,16 @@
 from sedgepitch.net.socket_state import has_nothing_unread, seconds_since_received
 from sedgepitch.net.twisted_types import Reactor, ReadResult
 
-SO_TIMESTAMPNS = 35  # asm-generic/socket.h; Python has no name for it
+SO_TIMESTAMPNS = 35  # asm-generic/socket.h; the socket module does not define it
 _TIMESPEC = struct.Struct("@qq")
 _SECONDS_PER_NANOSECOND = 1e-9
 _ANCILLARY_SIZE = socket.CMSG_SPACE(_TIMESPEC.size) if hasattr(socket, "CMSG_SPACE") else 0
 
 NOT_READY = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR})
-# Errors that may pass by themselves: no memory at that moment (ENOBUFS, ENOMEM), or what the network
-# reported of a packet (tcp(7), ip(7)), which Linux also returns while it goes on trying. The call is made
-# again when the descriptor is next ready. A connection that has really ended reports that then: a read
-# returns its end or ECONNRESET, a write EPIPE.
+# Errors that may be temporary: no memory at the moment (ENOBUFS, ENOMEM), or a network error reported for a
+# packet (tcp(7), ip(7)), which Linux also returns while it keeps retransmitting. The call is repeated when
+# the descriptor is next ready. If the connection has really ended, that call shows it: a read returns end of
+# file or ECONNRESET, a write EPIPE.
 TRANSIENT = NOT_READY | {
     errno.ENOBUFS,
     errno.ENOMEM,
@@ -55,7 +56,7 @@
 
 
 class ReadFailed(error.ConnectionLost):
-    """Reading from a connection failed; `errno` is the system's number."""
+    """Reading from a connection failed with `errno`."""
 
     def __init__(self, number: int) -> None:
         super().__init__(f"read failed: {os.strerror(number)}")
@@ -63,7 +64,7 @@
 
 
 class SocketFailed(error.ConnectionLost):
-    """The socket reported an error that no read returned; `errno` is the system's number."""
+    """The socket has a pending error, `errno`, that no read returned."""
 
     def __init__(self, number: int) -> None:
         super().__init__(f"socket error: {os.strerror(number)}")
@@ -75,16 +76,17 @@
 
 
 class TimestampedConnection(tcp.Connection):
-    """What accepted and opened connections have in common.
+    """Base class of accepted and opened connections.
 
-    `arrived` is when the bytes arrived that `dataReceived` is being given, and `opened_at` when the
-    connection was set up here, in monotonic seconds. Bytes may have arrived before that, while it waited in
-    the backlog; that wait counts against the request, but says nothing of how late this process reads.
+    `arrived` is the arrival time of the bytes passed to `dataReceived`, and `opened_at` the time at which the
+    connection was set up in this process, both in monotonic seconds. Bytes may have arrived before
+    `opened_at`, while the connection waited in the backlog; that wait counts against the request, but not as
+    read delay of this process.
     """
 
     arrived = 0.0
     opened_at = 0.0
-    _read_at = 0.0  # no byte that is unread now arrived before this
+    _read_at = 0.0  # all bytes unread now arrived after this
     _has_timestamps = False
     _failing_since: float | None = None  # the first of consecutive transient errors
 
@@ -98,7 +100,7 @@
             self._has_timestamps = False
 
     def doRead(self) -> ReadResult:
-        """Read once; return the error that ends the connection, if one does."""
+        """Read once; return the error that ends the connection, if any."""
         try:
             data, ancillary = self._receive()
         except OSError as problem:
@@ -124,7 +126,7 @@
         return arrived
 
     def _receive(self) -> tuple[bytes, list[tuple[int, int, bytes]]]:
-        """Read; an error other than "not ready" is retried once at once."""
+        """Read; after an error other than "not ready", retry once immediately."""
         try:
             return self._receive_once()
         except OSError as problem:
@@ -139,23 +141,23 @@
         return data, ancillary
 
     def _read_failed(self, number: int) -> ReadFailed | None:
-        """Return what ends the connection, None if it may go on."""
+        """Return the error that ends the connection, or None if the connection may continue."""
         if number in NOT_READY:
             self._failing_since = None
             return None
         return None if self._is_transient(number) else ReadFailed(number)
 
     def _is_transient(self, number: int) -> bool:
-        """Whether an error may pass by itself, and has not lasted for TRANSIENT_LIMIT_S."""
+        """Return whether an error may be temporary and has lasted for less than TRANSIENT_LIMIT_S."""
         if number not in TRANSIENT:
             return False
-        moment = now()
+        failed_at = now()
         if self._failing_since is None:
-            self._failing_since = moment
-        return moment - self._failing_since < TRANSIENT_LIMIT_S
+            self._failing_since = failed_at
+        return failed_at - self._failing_since < TRANSIENT_LIMIT_S
 
     def _pending_error(self) -> int:
-        """Return the socket's pending errno, 0 if there is none, it is unknown, or the connection is open."""
+        """Return the socket's pending errno; 0 if there is none, it is unknown, or the connection is open."""
         try:
             number = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError:
@@ -163,7 +165,7 @@
         return number if number and not has_nothing_unread(self.socket) else 0
 
     def writeSomeData(self, data: bytes) -> int | error.ConnectionLost:  # noqa: N802 (Twisted's name)
-        """Write what the socket takes; a transient error is treated as a full socket."""
+        """Write as much as the socket accepts; a transient error is treated as a full socket."""
         try:
             taken = self.socket.send(data)
         except OSError as problem:
@@ -173,29 +175,29 @@
         return taken
 
     def set_no_delay(self) -> None:
-        """Have small writes sent at once (TCP_NODELAY); a socket that refuses is used as it is."""
+        """Send small writes at once (TCP_NODELAY); if the option cannot be set, the socket is used as is."""
         with contextlib.suppress(OSError):
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read_delay(self, moment: float) -> float:
-        """Return how long the bytes at hand waited for this process's read, in seconds; 0 if unknown."""
+        """Return how long the last received bytes waited to be read, in seconds; 0 if unknown."""
         return moment - max(self.arrived, self.opened_at) if self.arrived else 0.0
 
     def write(self, data: bytes) -> None:
-        """Write at once what the socket takes, and queue the rest."""
+        """Write immediately what the socket accepts, and queue the rest."""
         queued = self._tempDataBuffer or self.dataBuffer
         if self.connected and not (queued or self._writeDisconnected or self._aborting):
             try:
                 taken = self.socket.send(data)
             except OSError:
-                taken = 0  # full, or lost: the queued write meets the same and reports it
+                taken = 0  # full, or lost: the queued write gets the same error and reports it
             if taken == len(data):
                 return
             data = data[taken:]
         super().write(data)
 
     def unsent(self) -> int:
-        """Return how many bytes the socket has not taken yet."""
+        """Return the number of bytes that the socket has not accepted yet."""
         return len(self.dataBuffer) - self.offset + self._tempDataLen
 
 
@@ -213,7 +215,7 @@
     ) -> None:
         super().__init__(connected, protocol, client, server, session, reactor)
         self._start_timestamps()
-        # What arrived while the connection waited in the backlog arrived before it was accepted.
+        # Data may have arrived before the accept, while the connection waited in the backlog.
         self._read_at -= seconds_since_received(self.socket)
 
 
--- a/sedgepitch/structures/__init__.py
+++ b/sedgepitch/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Bounded data structures without clocks: a timing wheel and a sketch of recent usage."""
+"""Bounded data structures without clocks of their own: a timing wheel and a sketch of recent usage."""
--- a/sedgepitch/structures/sketch.py
+++ b/sedgepitch/structures/sketch.py
@@ -1,10 +1,10 @@
-"""How much each of very many keys has used lately, in a fixed amount of memory.
+"""Estimates of the recent usage of a very large number of keys, in a fixed amount of memory.
 
 A count-min sketch (Cormode and Muthukrishnan, 2005) with conservative update (Estan and Varghese, 2002),
-whose counts decay with a half-life: instead of ageing all cells, new amounts are scaled up, and all is
-scaled back before the scale grows too large. Beside it the few largest keys are kept by name, as in
-Space-Saving (Metwally and others, 2005). An estimate is never below the true decayed amount, and with
-probability 1 - e^-DEPTH above it by at most e / width of all that was added.
+whose counts decay with a half-life: instead of ageing all cells, new amounts are scaled up, and everything is
+scaled back before the scale grows too large. In addition, the few largest keys are kept by name, as in
+Space-Saving (Metwally et al., 2005). An estimate is never below the true decayed amount, and with
+probability 1 - e^-DEPTH exceeds it by at most e / width of the total.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 DEPTH = 4  # rows
 CELL_BYTES = 8
 MAX_SCALE = 1e30
-MAX_EXPONENT = 700.0  # beyond which math.exp overflows
-BITS_PER_ROW = 32  # of the hash, of which a row uses the lowest
-BATCH_KEYS = 256  # keys whose amounts are batched before they are added
-BATCH_S = 0.25  # an amount decays from so much too late at most, so an estimate is never too small
+MAX_EXPONENT = 700.0  # math.exp overflows above about 709
+BITS_PER_ROW = 32  # of the hash; a row uses the lowest of them
+BATCH_KEYS = 256  # maximum number of keys in a batch
+BATCH_S = 0.25  # maximum delay until an amount starts to decay; it never makes an estimate too small
 
 
 class DecayingSketch:
-    """Amounts by key that decay by half each `half_life` seconds.
+    """Amounts by key that halve every `half_life` seconds.
 
-    Memory: DEPTH * width * 8 bytes, and the names of the `top` largest keys. `width` is a power of two.
+    Memory: DEPTH * width * 8 bytes, plus the names of the `top` largest keys. `width` is a power of two.
     """
 
     def __init__(self, width: int, top: int, half_life: float, seed: int, now: float) -> None:
-        """Start empty. Raises ValueError for a width that is no power of two."""
+        """Create an empty sketch. Raises ValueError if `width` is not a power of two."""
         if width & (width - 1):
             raise ValueError("width must be a power of two")
         self.width = width
         self.top = top
         self.seed = seed
-        self.decay_rate = math.log(2.0) / half_life  # a second
+        self.decay_rate = math.log(2.0) / half_life  # per second
         self.scaled_from = now
         self.rows = [array("d", bytes(CELL_BYTES * width)) for _ in range(DEPTH)]
         self.top_keys: dict[str, float] = {}  # scaled amounts
@@ -45,7 +45,7 @@
         self._batch_began_at = now
 
     def add_batched(self, key: str, amount: float, now: float) -> None:
-        """Add an amount a little later, together with others: for few keys a tenth of the cost."""
+        """Add an amount as part of a later batch; with few distinct keys this costs a tenth of `add`."""
         if not self._batch:
             self._batch_began_at = now
         elif len(self._batch) >= BATCH_KEYS or now - self._batch_began_at > BATCH_S:
@@ -60,7 +60,7 @@
             self.add(key, amount, at)
 
     def add(self, key: str, amount: float, now: float) -> float:
-        """Add an amount of a key; returns the estimate with it."""
+        """Add an amount to a key; return the new estimate."""
         scale = self._scale(now)
         cells = self._cells(key)
         estimate = min(row[cell] for row, cell in zip(self.rows, cells, strict=True)) + amount * scale
@@ -81,14 +81,14 @@
             self.top_keys[key] = estimate
 
     def estimate(self, key: str, now: float) -> float:
-        """Return what the key has used lately: never too little."""
+        """Return the recent usage of a key; never less than the true amount."""
         self._add_batch(now)
         scale = self._scale(now)  # before the cells are read: scaling may change them
         cells = self._cells(key)
         return min(row[cell] for row, cell in zip(self.rows, cells, strict=True)) / scale
 
     def largest(self, now: float) -> list[tuple[str, float]]:
-        """Return the largest keys and their amounts, the largest first."""
+        """Return the largest keys and their amounts, in descending order."""
         self._add_batch(now)
         scale = self._scale(now)
         amounts = ((key, amount / scale) for key, amount in self.top_keys.items())
@@ -100,7 +100,7 @@
         return tuple((digest >> (BITS_PER_ROW * row)) & mask for row in range(DEPTH))
 
     def _scale(self, now: float) -> float:
-        """Return the scale of amounts added now; scales all back where it has grown too large."""
+        """Return the scale of amounts added now; scale everything back if it has grown too large."""
         exponent = max(0.0, now - self.scaled_from) * self.decay_rate
         scale = math.exp(min(MAX_EXPONENT, exponent))
         if scale > MAX_SCALE:
--- a/sedgepitch/structures/wheel.py
+++ b/sedgepitch/structures/wheel.py
@@ -1,8 +1,8 @@
-"""A hierarchical timing wheel: items due at times, put in and taken out in constant time.
+"""A hierarchical timing wheel: items with due times, inserted and cancelled in constant time.
 
 Source: Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (1987), scheme 7. Level n has SLOTS
-slots of SLOTS**n ticks each; an item sits in the finest level that reaches its time and moves down as the
-time comes near. Compared with a heap, cancelling needs no search and leaves nothing behind.
+slots of SLOTS**n ticks each; an item is stored in the finest level that covers its due time, and moves to
+finer levels as that time approaches. Unlike in a heap, cancelling needs no search and leaves no stale entry.
 """
 
 from __future__ import annotations
@@ -10,29 +10,29 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-SLOTS = 64  # of each level
+SLOTS = 64  # per level
 LEVELS = 4
 
 T = TypeVar("T")
 
 
 class WheelEntry(Generic[T]):
-    """One item in a wheel; what `TimingWheel.put` returns."""
+    """One item in a wheel, as returned by `TimingWheel.put`."""
 
     __slots__ = ("due_tick", "item", "slot")
 
     def __init__(self, due_tick: int, item: T) -> None:
-        """Make an entry that is in no slot yet."""
+        """Create an entry that is not in a slot yet."""
         self.due_tick = due_tick
         self.item = item
         self.slot: dict[WheelEntry[T], None] | None = None
 
 
 class TimingWheel(Generic[T]):
-    """Items by due time, in ticks of `tick` seconds. No item comes early, and none more than a tick late."""
+    """Items by due time, in ticks of `tick` seconds. An item is never early, and at most one tick late."""
 
     def __init__(self, tick: float, now: float) -> None:
-        """Start empty, with the first tick at `now`."""
+        """Create an empty wheel that starts at `now`."""
         self.tick = tick
         self.start = now
         self.ticks_passed = 0
@@ -42,11 +42,11 @@
         ]
 
     def __len__(self) -> int:
-        """Return how many items are in."""
+        """Return the number of items."""
         return self.count
 
     def put(self, due: float, item: T) -> WheelEntry[T]:
-        """Put in an item that is due at that moment; one that is past comes with the next advance."""
+        """Insert an item that is due at `due`; an overdue item is due at the next tick."""
         due_tick = -int(-(due - self.start) // self.tick)  # rounded up
         entry = WheelEntry(max(due_tick, self.ticks_passed + 1), item)
         self._place(entry)
@@ -54,7 +54,7 @@
         return entry
 
     def cancel(self, entry: WheelEntry[T]) -> bool:
-        """Take an item out; returns whether it was still in."""
+        """Remove an item; return whether it was still in the wheel."""
         if entry.slot is None:
             return False
         del entry.slot[entry]
@@ -63,7 +63,10 @@
         return True
 
     def advance(self, now: float) -> Iterator[T]:
-        """Yield what has come due by now, in ticks. Costs the ticks that passed, or nothing if empty."""
+        """Yield the items due by `now`, tick by tick.
+
+        The cost is proportional to the ticks that have passed, and constant if the wheel is empty.
+        """
         target = int((now - self.start) / self.tick)
         while self.ticks_passed < target:
             if not self.count:
@@ -79,7 +82,7 @@
                 yield entry.item
 
     def next_due(self) -> float | None:
-        """Return a moment by which nothing is due, or the earliest due one; None where it is empty."""
+        """Return the earliest due time or an earlier time before which nothing is due; None if empty."""
         if not self.count:
             return None
         ticks_per_slot = 1
@@ -92,7 +95,7 @@
         return None
 
     def _place(self, entry: WheelEntry[T]) -> None:
-        """Put an entry into the finest level that reaches its time; the coarsest takes all that is beyond."""
+        """Put an entry into the finest level that covers its due time, or into the coarsest if none does."""
         ticks_left = entry.due_tick - self.ticks_passed
         level = 0
         ticks_per_slot = 1
@@ -107,7 +110,7 @@
         entry.slot = slot
 
     def _move_down(self) -> None:
-        """Move the entries of each coarser slot that begins with this tick to finer levels."""
+        """Move the entries of each coarser slot that starts at this tick to finer levels."""
         ticks_per_slot = SLOTS
         for level in range(1, LEVELS):
             if self.ticks_passed % ticks_per_slot:
