--- a/sedgepitch/__init__.py
+++ b/sedgepitch/__init__.py
@@ -1,4 +1,4 @@
-"""Decide, for a proxy in front of a primary and its replicas, where each request goes."""
+"""A database proxy that splits reads and writes across a primary and its replicas."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load the router when it is asked for: a program handles signals before it loads the rest."""
+    """Import the router on first access, so that a program can set up signal handlers before that."""
     if name == "Router":
         from sedgepitch.routing.router import Router
 
--- a/sedgepitch/__main__.py
+++ b/sedgepitch/__main__.py
@@ -1,14 +1,14 @@
-"""``python -m sedgepitch`` is the command line.
+"""Entry point of the command line, ``python -m sedgepitch``.
 
-The module and its adapter need no packages; the command line does, and says so in one line where they are
-not there.
+The library and its adapter need no third-party packages; the command line does, and reports a missing one in
+a single line.
 """
 
 import sys
 
 
 def run() -> None:
-    """Run the command line; exits with 2 where a package is missing."""
+    """Run the command line; exit with 2 if a package is missing."""
     try:
         from sedgepitch.cli.main import main
 
--- a/sedgepitch/errors.py
+++ b/sedgepitch/errors.py
@@ -1,6 +1,6 @@
-"""The errors of sedgepitch: one base class, and a family for each party whose fault an error is.
+"""The exceptions of sedgepitch: a base class, and one subclass for each party that may cause an error.
 
-A message names the place: the file and key, the connection, the endpoint or the peer.
+A message names where the error occurred: the file and key, the connection, the endpoint or the peer.
 """
 
 
@@ -9,20 +9,20 @@
 
 
 class ConfigurationError(SedgepitchError):
-    """Settings, environment or key files cannot be used; the operator has to change them."""
+    """Settings, environment variables or key files are invalid; the operator has to correct them."""
 
 
 class ClientError(SedgepitchError):
-    """A client sent what its protocol does not allow."""
+    """A client violated its protocol."""
 
 
 class EndpointError(SedgepitchError):
-    """A database endpoint answered what its protocol does not allow."""
+    """A database endpoint violated its protocol."""
 
 
 class DiscoveryError(SedgepitchError):
-    """The source of the endpoint list answered what cannot be understood."""
+    """The source of the endpoint list returned an invalid response."""
 
 
 class PeerError(SedgepitchError):
-    """Another proxy instance sent what cannot be accepted."""
+    """Another proxy instance sent an invalid message."""
--- a/sedgepitch/settings.py
+++ b/sedgepitch/settings.py
@@ -1,7 +1,7 @@
-"""Translates the stated settings, as the platform and the simulator give them, to the router's own types.
+"""Translates settings, as the platform and the simulator provide them, to the router's own types.
 
-One translation for every way in: behind it the words of the wire are not used. Standard library only, as the
-simulator's adapter loads it.
+All callers share this translation; the terms of the wire format are not used beyond it. It uses only the
+standard library, because the simulator's adapter imports it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 T = TypeVar("T")
 Wire = dict[str, Any]
-"""An object of the wire or of a settings file, as JSON gives it."""
+"""A decoded JSON object from the wire or from a settings file."""
 
 FRESHNESS = {
     "mutate": api.Freshness.WRITE,
@@ -39,11 +39,11 @@
 
 
 class InvalidInputError(ConfigurationError):
-    """Settings or a line of the wire cannot be used; the message says where and why."""
+    """Invalid settings or an invalid line on the wire; the message says where and why."""
 
 
 def read_required(source: Wire, name: str, kind: type[T], where: str) -> T:
-    """Return a field that must be there and of that type; raises InvalidInputError."""
+    """Return a required field of type `kind`; raises InvalidInputError."""
     if name not in source:
         raise InvalidInputError(f"{where}: field '{name}' is missing")
     value = source[name]
@@ -53,13 +53,13 @@
 
 
 def read_required_number(source: Wire, name: str, where: str) -> float:
-    """Return a number that must be there, integral or not; raises InvalidInputError."""
+    """Return a required number, integer or float; raises InvalidInputError."""
     value = source.get(name)
     return read_required(source, name, int if isinstance(value, int) else float, where)
 
 
 def read_number(source: Wire, name: str, default: float, where: str, least: float = 0.0) -> float:
-    """Return a number that may be missing, finite and not below `least`; raises InvalidInputError."""
+    """Return an optional number, finite and not below `least`; raises InvalidInputError."""
     value = source.get(name)
     if value is None:
         return default
@@ -71,7 +71,7 @@
 
 
 def read_flag(source: Wire, name: str, where: str) -> bool:
-    """Return a truth value, false where it is missing; raises InvalidInputError."""
+    """Return an optional boolean, false if it is missing; raises InvalidInputError."""
     value = source.get(name)
     if value is not None and not isinstance(value, bool):
         raise InvalidInputError(f"{where}: field '{name}' is neither true nor false")
@@ -79,7 +79,7 @@
 
 
 def read_object(source: Wire, name: str) -> Wire:
-    """Return a part of the settings, empty where it is missing; raises InvalidInputError."""
+    """Return a section of the settings, empty if it is missing; raises InvalidInputError."""
     value = source.get(name)
     if value is not None and not isinstance(value, dict):
         raise InvalidInputError(f"setup.{name}: not an object")
@@ -87,7 +87,10 @@
 
 
 def read_word(table: dict[str, T], value: object, where: str, default: T | None = None) -> T:
-    """Return what a word of the wire stands for, `default` for an unknown one; raises InvalidInputError."""
+    """Return the table's value for a word on the wire, or `default`; raises InvalidInputError.
+
+    Without a default, an unknown word is an error.
+    """
     if not isinstance(value, str):
         raise InvalidInputError(f"{where} is not a word")
     if value in table:
@@ -98,7 +101,7 @@
 
 
 def translate_class(raw: object, freshness: object, max_staleness: float, where: str) -> api.RequestClass:
-    """Translate one stated class; raises InvalidInputError."""
+    """Translate one request class; raises InvalidInputError."""
     if not isinstance(raw, dict):
         raise InvalidInputError(f"{where}: not an object")
     latency_objective = read_required_number(raw, "objectiveS", where)
@@ -128,7 +131,10 @@
 
 
 def translate_classes(raw: Wire, specifics: Wire) -> tuple[api.RequestClass, ...]:
-    """Translate all stated classes; their freshness stands in lists beside them. Raises InvalidInputError."""
+    """Translate all request classes; raises InvalidInputError.
+
+    Their freshness and maximum staleness come from parallel lists in `specifics`.
+    """
     classes = read_required(raw, "classes", list, "setup")
     kinds = specifics.get("freshness", ["mutate"] * len(classes))
     ages = specifics.get("maxAgeS", [0.0] * len(classes))
@@ -146,7 +152,7 @@
 
 
 def translate_rules(rules: Wire) -> api.RuleLimits:
-    """Translate the figures of the rules; raises InvalidInputError."""
+    """Translate the limits of the rules; raises InvalidInputError."""
     where = "setup.rules"
     return api.RuleLimits(
         answer_slack=read_number(rules, "answerSlackS", 0.0, where),
@@ -160,9 +166,9 @@
 
 
 def translate_settings(raw: Wire) -> api.Settings:
-    """Translate the settings of a start; raises InvalidInputError, which names the field.
+    """Translate the settings passed at start-up; raises InvalidInputError, which names the field.
 
-    Unknown fields are ignored; an unknown word means the strictest that its field may mean.
+    Unknown fields are ignored; an unknown word is read as the strictest value of its field.
     """
     specifics, limits = read_object(raw, "specifics"), read_object(raw, "limits")
     rules, stats = read_object(raw, "rules"), read_object(raw, "stats")
@@ -203,9 +209,9 @@
 
 
 def translate_load_report(raw: object, counted_from: float = 0.0) -> api.LoadReport | None:
-    """Translate a load report, None where there is none.
+    """Translate a load report; return None if there is none.
 
-    `counted_from` is the time in seconds on the proxy's clock that its position counts from.
+    `counted_from` is the origin of its position, in seconds on the proxy's clock.
     """
     if not isinstance(raw, dict) or not raw:
         return None
--- a/sedgepitch/tracebacks.py
+++ b/sedgepitch/tracebacks.py
@@ -1,4 +1,4 @@
-"""Where an exception came from, in the few words of a log line."""
+"""Short descriptions of exceptions for log lines."""
 
 from __future__ import annotations
 
@@ -19,5 +19,5 @@
 
 
 def describe(error: BaseException) -> str:
-    """Return type and message of an exception, at most MAX_DESCRIPTION_CHARS characters."""
+    """Return the type and message of an exception, in at most MAX_DESCRIPTION_CHARS characters."""
     return f"{type(error).__name__}: {error}"[:MAX_DESCRIPTION_CHARS]
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -1,7 +1,7 @@
-"""Speaks the line protocol on standard input and output for many routers; decides nothing.
+"""Serves many routers over a line protocol on standard input and output; makes no routing decisions.
 
-Run as ``python -m sedgepitch.wirehost``. One line holds a batch of events, one line answers it. Unknown
-events, fields and settings are skipped; a line that cannot be understood ends the run with a message.
+Run as ``python -m sedgepitch.wirehost``. Each input line holds a batch of events and gets one output line.
+Unknown events, fields and settings are ignored; an invalid line ends the run with a message.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
     "unused": api.AttemptResult.NOT_SENT,
     "empty": api.AttemptResult.NOT_ELIGIBLE,
 }
-STAMP_ROLES = 4  # a stamp is this many times the position in milliseconds, plus the role
-STAMP_PRIMARY = {1: True, 2: False}  # whether a stamp's role is a primary's
+STAMP_ROLES = 4  # a stamp is the position in milliseconds times this, plus the role
+STAMP_PRIMARY = {1: True, 2: False}  # role in a stamp to whether it is a primary's
 
 
 def translate_entry(raw: Wire) -> api.EndpointEntry:
@@ -56,12 +56,12 @@
 
 
 class Instance:
-    """One router, its name on the wire, and the time that its positions count from."""
+    """One router, its name on the wire, and the origin of its positions."""
 
     __slots__ = ("name", "positions_counted_from", "router")
 
     def __init__(self, name: str, event: Wire) -> None:
-        """Start the router by its event; raises InvalidInputError."""
+        """Create the router from its `hello` event; raises InvalidInputError."""
         setup = read_required(event, "setup", dict, "hello")
         self.name = name
         self.positions_counted_from = setup.get("specifics", {}).get("countedFromS", 0.0)
@@ -86,7 +86,7 @@
 
 
 def translate_finished(instance: Instance, event: Wire) -> api.Event:
-    """Translate the end of an attempt; its stamp carries role and position."""
+    """Translate the end of an attempt; its stamp encodes role and position."""
     stamp = event.get("stamp", 0)
     millis, role = divmod(stamp, STAMP_ROLES)
     return api.AttemptFinished(
@@ -103,7 +103,7 @@
 
 
 def translate_health_check(instance: Instance, event: Wire) -> api.Event:
-    """Translate what a health check found."""
+    """Translate the result of a health check."""
     return api.HealthCheckFinished(
         endpoint=read_required(event, "member", int, "statusBack"),
         result=RESULT.get(read_required(event, "outcome", str, "statusBack"), api.AttemptResult.ERROR),
@@ -122,7 +122,7 @@
 
 
 def to_wire(name: str, action: api.Action) -> Wire:
-    """Return the wire form of one action of the instance of that name."""
+    """Return the wire form of an action of the instance `name`."""
     match action:
         case api.SendAttempt(request, endpoint, timeout):
             wire = {
@@ -154,10 +154,10 @@
 
 
 class Host:
-    """The routers of this process and the endpoint lists that the wire numbers."""
+    """The routers of this process, and the endpoint lists by their number on the wire."""
 
     def __init__(self) -> None:
-        """Begin without instances."""
+        """Start without instances."""
         self.instances: dict[str, Instance] = {}
         self.known_names: set[str] = set()
         self.endpoint_lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
@@ -190,7 +190,7 @@
         )
 
     def sort_event(self, item: Wire, events: dict[str, list[api.Event]]) -> None:
-        """Put one event with those of the instance that it is for; raises InvalidInputError."""
+        """Add one event to the events of its instance; raises InvalidInputError."""
         kind = read_required(item, "type", str, "items")
         if kind == "manifest":
             self.store_list(item)
@@ -217,7 +217,7 @@
         )
 
     def store_list(self, item: Wire) -> None:
-        """Keep a numbered endpoint list, which later events refer to; raises InvalidInputError."""
+        """Store a numbered endpoint list, to which later events refer; raises InvalidInputError."""
         lines = read_required(item, "lines", list, "manifest")
         entries = tuple(translate_entry(line) for line in lines)
         self.endpoint_lists[read_required(item, "rosterId", int, "manifest")] = entries
@@ -236,7 +236,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until end of input."""
     host = Host()
     for line in source:
         if line.strip():
@@ -245,7 +245,7 @@
 
 
 def main() -> int:
-    """Serve standard input; a broken line ends the run with one line on standard error."""
+    """Serve standard input; an invalid line ends the run with one line on standard error."""
     try:
         serve(sys.stdin, sys.stdout)
     except (InvalidInputError, UnicodeDecodeError) as error:
