--- a/tests/test_accept_pause.py
+++ b/tests/test_accept_pause.py
@@ -1,4 +1,4 @@
-"""When an overloaded proxy accepts connections all the same."""
+"""An overloaded proxy pauses accepting connections for a bounded time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     assert all(pause.may_accept(False, now / 100.0) for now in range(100))
 
 
-# Guards against: clients that wait in the backlog beyond their time, for as long as the overload lasts.
+# Guards against clients waiting in the backlog beyond their deadline for as long as the overload lasts.
 def test_overload_pauses_accepting_and_never_for_longer_than_the_bound():
     pause = AcceptPause()
-    moments = [n * 0.05 for n in range(200)]  # as the listener asks
+    moments = [n * 0.05 for n in range(200)]  # the listener's check interval
     accepted = [now for now in moments if pause.may_accept(True, now)]
     assert not pause.may_accept(True, moments[-1] + 0.01)
     assert accepted[0] >= PAUSE_MAX_S
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""What a failed accept calls for, and how long a listener pauses."""
+"""The classification of failed `accept` calls, and the length of a listener's pauses."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 @pytest.mark.parametrize(
     "error", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EINTR, errno.ENETDOWN]
 )
-def test_a_failed_connection_is_skipped_but_only_so_many_in_a_row(error):
+def test_failed_connections_are_skipped_up_to_a_limit_in_a_row(error):
     retry = AcceptRetry()
-    judged = [retry.failed(error) for _ in range(MAX_CONSECUTIVE_SKIPS + 1)]
-    assert judged == [AcceptFailure.NEXT] * MAX_CONSECUTIVE_SKIPS + [AcceptFailure.SHORTAGE]
+    failures = [retry.failed(error) for _ in range(MAX_CONSECUTIVE_SKIPS + 1)]
+    assert failures == [AcceptFailure.NEXT] * MAX_CONSECUTIVE_SKIPS + [AcceptFailure.SHORTAGE]
 
 
-def test_an_empty_backlog_is_no_failure():
+def test_an_empty_backlog_is_not_a_failure():
     retry = AcceptRetry()
     assert retry.failed(errno.EAGAIN) is AcceptFailure.BACKLOG_EMPTY
     assert retry.failures == 0
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Nothing grows with new ids; discovery's silence, a moved endpoint, an object cut in two."""
+"""Memory does not grow with new ids; also a silent discovery, a moved endpoint and a truncated object."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 from tests.support.router_harness import Rig, entry, sends
 
 
-def sizes(held: object, seen: set[int] | None = None, depth: int = 4) -> int:
-    """How many entries the containers hold that can be reached from an object's attributes."""
-    seen = set() if seen is None else seen
-    if id(held) in seen or depth < 0:
+def count_entries(root: object, visited: set[int] | None = None, depth: int = 4) -> int:
+    """Return the number of entries in all containers reachable from an object's attributes."""
+    visited = set() if visited is None else visited
+    if id(root) in visited or depth < 0:
         return 0
-    seen.add(id(held))
+    visited.add(id(root))
     total = 0
-    if isinstance(held, (dict, list, set, tuple)):
-        total += len(held)
-        parts = list(held.values()) if isinstance(held, dict) else list(held)
+    if isinstance(root, (dict, list, set, tuple)):
+        total += len(root)
+        parts = list(root.values()) if isinstance(root, dict) else list(root)
     else:
-        names = [*getattr(held, "__dict__", {}), *getattr(type(held), "__slots__", ())]
-        if not type(held).__module__.startswith("sedgepitch"):
+        names = [*getattr(root, "__dict__", {}), *getattr(type(root), "__slots__", ())]
+        if not type(root).__module__.startswith("sedgepitch"):
             return 0
-        parts = [getattr(held, n) for n in names if hasattr(held, n)]
-    return total + sum(sizes(part, seen, depth - 1) for part in parts)
+        parts = [getattr(root, n) for n in names if hasattr(root, n)]
+    return total + sum(count_entries(part, visited, depth - 1) for part in parts)
 
 
-def test_a_hundred_thousand_ids_and_sessions_leave_nothing_in_the_router():
+def test_the_router_keeps_no_state_of_a_hundred_thousand_requests_and_sessions():
     rig = Rig()
     names = ("any", "session", "bounded", "write", "fresh")
     marks = []
     for number in range(100_000):
         rig.receive(names[number % 5], session=f"s{number}", session_age=0.3)
-        while rig.log:  # also what an answer or a probe sets free is answered
-            done, rig.log = rig.log, []
-            for action in done:
+        while rig.log:  # answers and health checks may trigger further actions
+            actions, rig.log = rig.log, []
+            for action in actions:
                 if isinstance(action, api.CheckHealth):
                     report = api.LoadReport(rig.now - 0.01, action.endpoint == 1, 0.0)
                     rig.feed(api.HealthCheckFinished(action.endpoint, AttemptResult.OK, 0.001, report))
@@ -48,16 +48,16 @@
                         action.request, 0, action.endpoint, AttemptResult.OK, primary=action.endpoint == 1
                     )
         rig.now += 0.02
-        rig.timers = []  # all were answered at once, so none of them has anything to do
+        rig.timers = []  # every request was answered at once, so no timer has anything to do
         if number in (20_000, 60_000, 99_999):
             rig.now += 20.0
             rig.feed(api.TimerExpired(0))
-            marks.append(sizes(rig.router))
+            marks.append(count_entries(rig.router))
     assert not rig.router.requests
     assert marks[2] <= marks[0] * 1.1 + 50, marks
 
 
-def test_endpoints_replaced_without_end_are_forgotten_by_the_router():
+def test_the_router_drops_endpoints_that_are_replaced_continuously():
     rig = Rig()
     marks = []
     for number in range(1, 2_000):
@@ -75,7 +75,7 @@
     assert marks[-1] <= marks[0] + 5 and len(rig.router.groups[1].endpoints) <= marks[0] + 5
 
 
-def test_thousands_of_ids_keys_and_connections_leave_nothing_on_the_client_side():
+def test_the_client_side_keeps_no_state_of_thousands_of_ids_keys_and_connections():
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
     marks = []
@@ -91,19 +91,21 @@
         wire.clear()
         if number in (5_000, 30_000):
             proxy.pass_by(3.0)
-            marks.append(sizes(proxy.engine) + sizes(proxy.listener))
+            marks.append(count_entries(proxy.engine) + count_entries(proxy.listener))
     assert not proxy.listener.open_request_ids and not proxy.engine.request_table.requests
     assert marks[1] <= marks[0] * 1.1 + 50, marks
 
 
-def test_a_silent_watch_is_replaced_and_the_list_stays_in_force(tmp_path):
+def test_a_silent_watch_is_replaced_and_the_endpoint_list_stays_in_use(tmp_path):
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
     try:
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
         client = platform.client()
-        platform.wait_for("discovery.lost reason=discovery is silent")  # no empty line each 2 s comes
+        platform.wait_for(
+            "discovery.lost reason=discovery is silent"
+        )  # the heartbeat, an empty line every 2 s, is missing
         assert client.query(read_statement(1)) == ("value", b"value of 1")
         end = time.monotonic() + TIMEOUT_S
         while len(platform.agent.targets) < 2 and time.monotonic() < end:
@@ -113,7 +115,7 @@
         platform.close()
 
 
-def test_an_endpoint_that_moved_under_its_id_is_used_at_its_new_address(tmp_path):
+def test_an_endpoint_with_the_same_id_and_a_new_address_is_used_at_that_address(tmp_path):
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
@@ -136,7 +138,7 @@
         old.close()
 
 
-def test_a_watch_cut_within_an_object_applies_nothing_of_it_and_resumes_from_its_revision(tmp_path):
+def test_a_watch_that_ends_within_an_object_ignores_it_and_resumes_from_the_last_revision(tmp_path):
     platform = Platform(tmp_path)
     platform.configure()
     platform.start()
@@ -162,7 +164,7 @@
         platform.close()
 
 
-def test_two_more_streams_are_tried_before_a_silence_counts_as_notified():
+def test_two_more_streams_are_tried_before_a_change_counts_as_notified():
     assert watch_streams.HEARTBEAT_TIMEOUT_S > 1.25 * watch_streams.HEARTBEAT_INTERVAL_S
     # The platform counts a change as notified after 6 s.
     assert watch_streams.HEARTBEAT_TIMEOUT_S + 2.0 * watch_streams.RESPONSE_TIMEOUT_S < 6.0
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -15,7 +15,7 @@
 
 
 class Connector:
-    """Counts how often it is asked to connect."""
+    """Counts calls of `connect`."""
 
     def __init__(self) -> None:
         self.reactor = Clock()
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
 @pytest.mark.parametrize("error", sorted(LOCAL_SHORTAGE), ids=errno.errorcode.get)
-def test_a_local_shortage_is_retried_after_a_pause_until_its_time_is_over(error, call):
+def test_a_local_shortage_is_retried_after_a_pause_until_the_time_limit(error, call):
     failed = []
     outgoing, connector = OutgoingConnection(lambda: None, failed.append, retry_within_s=0.1), Connector()
     outgoing.clientConnectionFailed(connector, failure(error, call))
@@ -60,7 +60,7 @@
     assert len(failed) == 1 and connector.connects == 0
 
 
-def test_cancelled_during_a_pause_it_does_not_connect():
+def test_a_connection_cancelled_during_a_pause_is_not_opened():
     failed = []
     outgoing, connector = OutgoingConnection(lambda: None, failed.append, retry_within_s=10.0), Connector()
     outgoing.connector = connector
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine's one final answer, whatever comes in whatever order."""
+"""The engine gives each request exactly one final answer, for any order of events."""
 
 from __future__ import annotations
 
@@ -11,104 +11,104 @@
 
 
 def ask(proxy, class_name="upload", time_left=1.0):
-    got = []
-    pending = proxy.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), got.append)
+    responses = []
+    pending = proxy.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), responses.append)
     proxy.turn()
-    return pending, got
+    return pending, responses
 
 
 def test_answer_in_the_same_turn_as_the_deadline_is_given_once():
     proxy = MongodbProxy()
-    _, got = ask(proxy)
-    proxy.task.advance(1.0)  # the time is up in this turn, and the answer comes in it, too
+    _, responses = ask(proxy)
+    proxy.task.advance(1.0)  # the deadline passes and the answer arrives in the same turn
     proxy.endpoints.sent[0].answer()
     proxy.turn(0.1)
-    assert len(got) == 1
+    assert len(responses) == 1
     proxy = MongodbProxy()
-    _, got = ask(proxy)
+    _, responses = ask(proxy)
     proxy.clock.call_later(1.0 - 1e-9, proxy.endpoints.sent[0].answer)
     proxy.turn(1.0)
-    assert [a.status for a in got] == [ResponseStatus.SERVED]
+    assert [a.status for a in responses] == [ResponseStatus.SERVED]
     assert proxy.engine.request_table.duplicate_responses == proxy.engine.answered_by_last_guard == 0
 
 
-def test_both_attempts_of_a_hedged_read_answer_and_one_reaches_the_client():
+def test_only_one_response_of_a_hedged_read_reaches_the_client():
     proxy = MongodbProxy()
     for endpoint in (2, 3):
         report = api.LoadReport(proxy.clock.now(), False)
         proxy.engine.feed(api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, report))
-    _, got = ask(proxy, "map-read")
+    _, responses = ask(proxy, "map-read")
     while len(proxy.endpoints.sent) < 2 and proxy.clock.now() < 1000.95:
         proxy.turn(0.01)
     assert len(proxy.endpoints.sent) == 2, "the slow read was not hedged"
     for sent in list(proxy.endpoints.sent):
         sent.answer()
         proxy.turn()
-    assert [a.status for a in got] == [ResponseStatus.SERVED]
+    assert [a.status for a in responses] == [ResponseStatus.SERVED]
     assert not proxy.engine.request_table.requests
 
 
 def test_non_idempotent_write_without_an_answer_fails_and_is_not_retried():
     proxy = MongodbProxy()
-    _, got = ask(proxy, "note")
+    _, responses = ask(proxy, "note")
     assert [s.endpoint for s in proxy.endpoints.sent] == [1]
     proxy.turn(1.0)
     proxy.turn(0.05)
-    assert [a.status for a in got] == [ResponseStatus.FAILED]
+    assert [a.status for a in responses] == [ResponseStatus.FAILED]
     assert len(proxy.endpoints.sent) == 1
     assert proxy.endpoints.sent[0].abandoned
 
 
-def test_write_that_never_ran_is_rejected_in_time():
+def test_write_that_never_ran_is_rejected_before_its_deadline():
     proxy = MongodbProxy()
-    _, got = ask(proxy, "note", 0.5)
-    while not got and proxy.clock.now() < 1000.6:
+    _, responses = ask(proxy, "note", 0.5)
+    while not responses and proxy.clock.now() < 1000.6:
         for sent in proxy.endpoints.sent:
             if not sent.abandoned:
                 sent.abandoned = True
                 sent.answer(result=AttemptResult.NOT_ELIGIBLE, primary=False)
         proxy.turn(0.01)
-    assert [a.status for a in got] == [ResponseStatus.REJECTED]
+    assert [a.status for a in responses] == [ResponseStatus.REJECTED]
     assert proxy.clock.now() <= 1000.51
 
 
-def test_disconnected_client_gets_nothing_and_the_end_of_its_attempt_is_still_reported():
+def test_disconnected_client_gets_no_response_and_the_end_of_its_attempt_is_still_reported():
     proxy = MongodbProxy()
-    pending, got = ask(proxy)
+    pending, responses = ask(proxy)
     proxy.engine.client_disconnected(pending)
     proxy.turn()
     proxy.endpoints.sent[0].answer()
     proxy.turn()
-    assert not got
+    assert not responses
     assert not proxy.engine.request_table.requests
     assert not proxy.engine.router.endpoints[1].in_flight
 
 
-def test_client_that_disconnects_in_the_turn_of_its_request_leaves_no_trace():
+def test_client_that_disconnects_in_the_turn_of_its_request_leaves_no_state_behind():
     proxy = MongodbProxy()
-    got = []
-    pending = proxy.engine.submit(ClientRequest("upload", 0, 1.0, "payload"), got.append)
+    responses = []
+    pending = proxy.engine.submit(ClientRequest("upload", 0, 1.0, "payload"), responses.append)
     proxy.engine.client_disconnected(pending)
     proxy.turn()
-    assert not got
+    assert not responses
     assert not proxy.endpoints.sent
     assert not proxy.engine.request_table.requests
     assert not any(m.in_flight for m in proxy.engine.router.endpoints.values())
 
 
-def test_last_guard_answers_where_the_router_does_not():
+def test_last_guard_answers_if_the_router_does_not():
     proxy = MongodbProxy()
     proxy.engine.dispatcher.handlers = {
         kind: lambda action: None for kind in proxy.engine.dispatcher.handlers
     }
-    _, got = ask(proxy)
+    _, responses = ask(proxy)
     proxy.turn(1.0)
     proxy.turn(0.1)
-    assert [a.status for a in got] == [ResponseStatus.REJECTED]
+    assert [a.status for a in responses] == [ResponseStatus.REJECTED]
     assert proxy.engine.answered_by_last_guard == 1
 
 
-def test_more_in_flight_than_the_bound_are_rejected_at_once():
+def test_requests_beyond_max_in_flight_are_rejected_at_once():
     proxy = MongodbProxy()
     proxy.engine.max_in_flight = 3
     answers = [ask(proxy)[1] for _ in range(5)]
@@ -116,31 +116,31 @@
     assert answers[4][0].status is ResponseStatus.REJECTED
 
 
-def test_events_of_one_turn_are_read_before_a_timer_that_came_due_with_them():
+def test_events_of_one_turn_are_handled_together_with_a_timer_that_expires_in_it():
     proxy = MongodbProxy()
-    _, got = ask(proxy)
-    seen = []
+    _, responses = ask(proxy)
+    event_types = []
     handle = proxy.engine.router.handle
 
-    def watched(now, events):
-        seen.append([type(event).__name__ for event in events])
+    def recording_handle(now, events):
+        event_types.append([type(event).__name__ for event in events])
         return handle(now, events)
 
-    proxy.engine.router.handle = watched
+    proxy.engine.router.handle = recording_handle
     proxy.engine.feed(api.TimerExpired(1))
     proxy.endpoints.sent[0].answer()
     proxy.turn()
-    assert seen[0] == ["TimerExpired", "AttemptFinished"]
-    assert got[0].status is ResponseStatus.SERVED
+    assert event_types[0] == ["TimerExpired", "AttemptFinished"]
+    assert responses[0].status is ResponseStatus.SERVED
 
 
-def test_a_session_read_tracked_by_the_proxy_leaves_at_once_or_is_decided_anew():
+def test_only_session_reads_tracked_by_the_proxy_have_a_handover_limit():
     for tracking, bound in ((api.SessionTracking.BY_PROXY, True), (api.SessionTracking.BY_CLIENT, False)):
         proxy = MongodbProxy()
         proxy.engine.router.settings = replace(proxy.engine.router.settings, session_tracking=tracking)
         send_by = []
         send = proxy.endpoints.send
-        proxy.endpoints.send = lambda m, p, e, by, send=send, kept=send_by: kept.append(by) or send(
+        proxy.endpoints.send = lambda m, p, e, by, send=send, recorded=send_by: recorded.append(by) or send(
             m, p, e, by
         )
         ask(
--- a/tests/test_golden_engine.py
+++ b/tests/test_golden_engine.py
@@ -1,7 +1,7 @@
-"""Golden runs of the engine: the same seed does the same as when the digests were recorded.
+"""Golden runs of the engine: each seed gives the same digest as when the digests were recorded.
 
-`python -m tests.test_golden_engine` prints the digests of the present code, to record them anew where a
-change of behaviour is meant.
+`python -m tests.test_golden_engine` prints the digests of the current code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 
 @cache
-def played(seed: int) -> EnginePlay:
-    """Play one seed, once."""
+def run_seed(seed: int) -> EnginePlay:
+    """Run one seed; the result is cached."""
     engine_play = EnginePlay(seed)
     engine_play.play()
     return engine_play
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_engine_does_as_recorded(seed):
-    assert played(seed).digest.hash.hexdigest() == json.loads(DIGESTS.read_text())[str(seed)]
+def test_the_engine_matches_the_recorded_digest(seed):
+    assert run_seed(seed).digest.hash.hexdigest() == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def test_the_seeds_meet_every_kind_of_event():
+def test_the_seeds_cover_every_kind_of_event():
     kinds: Counter[str] = Counter()
     counters: Counter[str] = Counter()
     for seed in SEEDS:
-        kinds.update(played(seed).digest.kinds)
-        engine = played(seed).engine
+        kinds.update(run_seed(seed).digest.kinds)
+        engine = run_seed(seed).engine
         for name in ("answered_early", "rejected_for_lag", "rejected_for_load"):
             counters[name] += getattr(engine, name)
         counters["callback errors"] += engine.callbacks.errors
@@ -46,4 +46,4 @@
 
 
 if __name__ == "__main__":
-    print(json.dumps({str(seed): played(seed).digest.hash.hexdigest() for seed in SEEDS}, indent=1))
+    print(json.dumps({str(seed): run_seed(seed).digest.hash.hexdigest() for seed in SEEDS}, indent=1))
--- a/tests/test_golden_pool.py
+++ b/tests/test_golden_pool.py
@@ -1,7 +1,7 @@
-"""Golden runs of the connection pool: the same seed does the same as when the digests were recorded.
+"""Golden runs of the connection pool: each seed gives the same digest as when the digests were recorded.
 
-`python -m tests.test_golden_pool` prints the digests of the present code, to record them anew where a change
-of behaviour is meant.
+`python -m tests.test_golden_pool` prints the digests of the current code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_pool_does_as_recorded(seed):
+def test_the_pool_matches_the_recorded_digest(seed):
     assert PoolPlay(seed).play() == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def test_the_seeds_meet_every_kind_of_event():
+def test_the_seeds_cover_every_kind_of_event():
     kinds: Counter[str] = Counter()
     for seed in SEEDS:
         play = PoolPlay(seed)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""A listener whose calls fail: nothing in its backlog is closed or forgotten."""
+"""A listener whose system calls fail neither closes nor loses a connection in its backlog."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reactor(Clock):
-    """A clock, and the set of readers."""
+    """A fake clock with the set of readers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,26 +33,26 @@
 
 
 class FailingSocket:
-    """A listening socket whose next accepts fail with these errors."""
+    """A listening socket whose next `accept` calls fail with the given errors."""
 
-    def __init__(self, held: socket.socket, errors: list[int]) -> None:
-        self.held, self.errors = held, errors
+    def __init__(self, wrapped: socket.socket, errors: list[int]) -> None:
+        self.wrapped, self.errors = wrapped, errors
 
     def accept(self):
         if self.errors:
             error = self.errors.pop(0)
             raise OSError(error, os.strerror(error))
-        return self.held.accept()
+        return self.wrapped.accept()
 
     def __getattr__(self, name):
-        return getattr(self.held, name)
+        return getattr(self.wrapped, name)
 
 
-class Stage:
+class ListenerFixture:
     """A listener on loopback with clients in its backlog."""
 
     def __init__(self, clients: int, errors: list[int]) -> None:
-        self.reactor, self.made, self.problems = Reactor(), [], []
+        self.reactor, self.protocols, self.problems = Reactor(), [], []
         factory = Factory.forProtocol(Protocol)
         factory.buildProtocol = self.build
         self.port = Listener(0, factory, 50, "127.0.0.1", self.reactor)
@@ -63,102 +63,104 @@
         self.port.socket = FailingSocket(self.port.socket, errors)
 
     def build(self, address):
-        self.made.append(Protocol())
-        return self.made[-1]
+        self.protocols.append(Protocol())
+        return self.protocols[-1]
 
     def accepted(self) -> int:
-        return sum(protocol.transport is not None for protocol in self.made)
+        return sum(protocol.transport is not None for protocol in self.protocols)
 
     def close(self) -> None:
         for client in self.clients:
             client.close()
-        self.port.socket.held.close()
+        self.port.socket.wrapped.close()
 
 
 @pytest.fixture
-def stage():
+def make_listener():
     opened = []
 
-    def build(clients: int, errors: list[int]) -> Stage:
-        opened.append(Stage(clients, errors))
+    def build(clients: int, errors: list[int]) -> ListenerFixture:
+        opened.append(ListenerFixture(clients, errors))
         return opened[-1]
 
     yield build
-    for one in opened:
-        one.close()
+    for listener in opened:
+        listener.close()
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENOBUFS, errno.EAGAIN], ids=errno.errorcode.get)
-def test_accept_all_is_not_done_while_the_backlog_waits(stage, error):
-    held = stage(3, [error])
-    assert not held.port.accept_all() and held.accepted() == 0
-    assert held.port.accept_all() and held.accepted() == 3
+def test_accept_all_returns_false_while_the_backlog_is_not_empty(make_listener, error):
+    fixture = make_listener(3, [error])
+    assert not fixture.port.accept_all() and fixture.accepted() == 0
+    assert fixture.port.accept_all() and fixture.accepted() == 3
 
 
-def test_accept_all_returns_if_every_call_fails(stage):
-    held = stage(1, [errno.ECONNABORTED] * 1000)
-    assert not held.port.accept_all() and held.accepted() == 0
+def test_accept_all_returns_if_every_call_fails(make_listener):
+    fixture = make_listener(1, [errno.ECONNABORTED] * 1000)
+    assert not fixture.port.accept_all() and fixture.accepted() == 0
 
 
-def test_a_shortage_pauses_the_listener_for_a_while(stage):
-    held = stage(2, [errno.EMFILE])
+def test_a_shortage_pauses_the_listener(make_listener):
+    fixture = make_listener(2, [errno.EMFILE])
     freed = []
-    held.port.on_descriptors_out = freed.append
-    held.port.doRead()
-    assert held.port not in held.reactor.readers and freed == [False]
-    assert [problem.name for problem in held.problems] == ["EMFILE"]
-    held.reactor.advance(PAUSE_MIN_S)
-    assert held.port in held.reactor.readers
-    held.port.doRead()
-    assert held.accepted() == 2
+    fixture.port.on_descriptors_out = freed.append
+    fixture.port.doRead()
+    assert fixture.port not in fixture.reactor.readers and freed == [False]
+    assert [problem.name for problem in fixture.problems] == ["EMFILE"]
+    fixture.reactor.advance(PAUSE_MIN_S)
+    assert fixture.port in fixture.reactor.readers
+    fixture.port.doRead()
+    assert fixture.accepted() == 2
 
 
-def test_after_one_connections_failure_the_others_are_accepted_in_the_same_turn(stage):
-    held = stage(2, [errno.ECONNABORTED, errno.EPROTO])
-    held.port.doRead()
-    assert held.accepted() == 2 and held.port in held.reactor.readers
+def test_after_a_failed_connection_the_others_are_accepted_in_the_same_turn(make_listener):
+    fixture = make_listener(2, [errno.ECONNABORTED, errno.EPROTO])
+    fixture.port.doRead()
+    assert fixture.accepted() == 2 and fixture.port in fixture.reactor.readers
 
 
-def test_an_accepted_connection_that_cannot_be_set_up_is_retried(stage, monkeypatch):
-    held = stage(1, [])
+def test_an_accepted_connection_that_cannot_be_set_up_is_retried(make_listener, monkeypatch):
+    fixture = make_listener(1, [])
     failures = [OSError(errno.ENOMEM, "no memory")] * 2
-    whole = held.port.transport
+    original = fixture.port.transport
 
     def transport(*args):
         if failures:
             raise failures.pop()
-        return whole(*args)
+        return original(*args)
 
-    monkeypatch.setattr(held.port, "transport", transport)
-    held.port.doRead()
-    assert held.accepted() == 0 and not held.port.accept_all(), "one accepted connection has no protocol yet"
-    held.reactor.pump([1.0] * 4)
-    assert held.accepted() == 1 and held.port.accept_all()
+    monkeypatch.setattr(fixture.port, "transport", transport)
+    fixture.port.doRead()
+    assert (
+        fixture.accepted() == 0 and not fixture.port.accept_all()
+    ), "one accepted connection is not set up yet"
+    fixture.reactor.pump([1.0] * 4)
+    assert fixture.accepted() == 1 and fixture.port.accept_all()
 
 
-def test_an_accepted_connection_that_can_never_be_set_up_is_closed(stage, monkeypatch):
-    held = stage(1, [])
+def test_an_accepted_connection_that_can_never_be_set_up_is_closed(make_listener, monkeypatch):
+    fixture = make_listener(1, [])
 
     def transport(*args):
         raise OSError(errno.ENOMEM, "no memory")
 
-    monkeypatch.setattr(held.port, "transport", transport)
-    held.port.doRead()
-    held.reactor.pump([1.0] * (SET_UP_ATTEMPTS + 1))
-    assert len(held.problems) == SET_UP_ATTEMPTS and held.clients[0].recv(1) == b""
+    monkeypatch.setattr(fixture.port, "transport", transport)
+    fixture.port.doRead()
+    fixture.reactor.pump([1.0] * (SET_UP_ATTEMPTS + 1))
+    assert len(fixture.problems) == SET_UP_ATTEMPTS and fixture.clients[0].recv(1) == b""
 
 
-def test_a_protocol_that_raises_loses_its_connection_and_not_the_listener(stage, monkeypatch):
-    held = stage(2, [])
-    told = []
-    monkeypatch.setattr(listening.log, "err", lambda *args: told.append(args))
+def test_a_protocol_that_raises_loses_its_connection_and_not_the_listener(make_listener, monkeypatch):
+    fixture = make_listener(2, [])
+    logged = []
+    monkeypatch.setattr(listening.log, "err", lambda *args: logged.append(args))
 
     def raise_once(self, transport, calls=[]) -> None:  # noqa: B006 (counts calls)
         calls.append(True)
         if len(calls) == 1:
-            raise ValueError("a fault")
+            raise ValueError("injected fault")
         self.transport = transport
 
     monkeypatch.setattr(Protocol, "makeConnection", raise_once)
-    held.port.doRead()
-    assert held.accepted() == 1 and len(told) == 1 and held.port in held.reactor.readers
+    fixture.port.doRead()
+    assert fixture.accepted() == 1 and len(logged) == 1 and fixture.port in fixture.reactor.readers
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Stated settings: what is wrong is one line with the field's place, what is missing has a default."""
+"""Translation of settings: an invalid field gives a one-line error that names it, a missing one a default."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sedgepitch.settings import InvalidInputError, translate_settings
 from tests.support.platform import SETTINGS
 
-BAD = [
+INVALID = [
     (("classes", 0, "deadlineS"), -1, "setup.classes[0]: field 'deadlineS'"),
     (("classes", 1, "objectiveS"), float("nan"), "setup.classes[1]: field 'objectiveS'"),
     (("classes", 1, "windowS"), "long", "setup.classes[1]: field 'windowS'"),
@@ -33,24 +33,24 @@
 
 
 def with_settings(settings: dict) -> str:
-    """A configuration file's text."""
-    told = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
-    return json.dumps(told)
+    """Return the text of a configuration file."""
+    config = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings}
+    return json.dumps(config)
 
 
-@pytest.mark.parametrize(("path", "value", "says"), BAD)
-def test_a_wrong_setting_is_one_line_with_its_place(path, value, says):
+@pytest.mark.parametrize(("path", "value", "message"), INVALID)
+def test_an_invalid_setting_gives_a_one_line_error_with_its_path(path, value, message):
     settings = copy.deepcopy(SETTINGS)
     part = settings
     for step in path[:-1]:
         part = part[step]
     part[path[-1]] = value
-    with pytest.raises(NodeConfigError) as told:
+    with pytest.raises(NodeConfigError) as raised:
         parse(with_settings(settings), {}, 0.0)
-    assert says in str(told.value) and "\n" not in str(told.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_what_is_missing_or_null_has_its_default_and_unknown_words_are_the_strictest():
+def test_missing_and_null_fields_have_defaults_and_unknown_words_the_strictest_value():
     settings = copy.deepcopy(SETTINGS)
     settings["limits"] = {"mostTries": None, "idleCloseS": 0}
     settings["rules"] = settings["stats"] = None
@@ -67,7 +67,7 @@
     assert config.idle_for == 60.0 and config.connect_within == 1.0
 
 
-def test_an_effect_and_a_freshness_are_read_each_by_itself():
+def test_effect_and_freshness_are_translated_independently():
     settings = copy.deepcopy(SETTINGS)
     settings["classes"][0]["effect"] = "at_most_once"
     settings["classes"][1]["effect"] = "idempotent"
@@ -76,6 +76,6 @@
     assert (write.idempotency, write.freshness) == (api.Idempotency.IDEMPOTENT, api.Freshness.WRITE)
 
 
-def test_settings_without_classes_are_refused():
+def test_settings_without_classes_are_rejected():
     with pytest.raises((InvalidInputError, ValueError), match="class"):
         translate_settings({"classes": []})
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -1,4 +1,4 @@
-"""The wheel and the sketch, held against their plain twins."""
+"""The wheel and the sketch, compared with simple reference implementations."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @settings(max_examples=400, deadline=None)
 @given(STEPS)
-def test_wheel_gives_what_a_heap_gives_within_a_tick(steps):
+def test_wheel_yields_the_same_items_as_a_heap_within_a_tick(steps):
     now, tick, number = 0.0, 0.5, 0
     wheel: TimingWheel[int] = TimingWheel(tick, now)
     entries, heap, due = {}, [], {}
@@ -40,10 +40,10 @@
         else:
             now += amount
             for item in wheel.advance(now):
-                assert due[item] <= now + 1e-6, "told early"
+                assert due[item] <= now + 1e-6, "item yielded early"
                 entries.pop(item)
                 heap = [e for e in heap if e[1] != item]
-            assert all(at > now - tick - 1e-6 for at, _ in heap), "told late"
+            assert all(at > now - tick - 1e-6 for at, _ in heap), "item yielded late"
         assert len(wheel) == len(entries)
         following = wheel.next_due()
         assert (following is None) == (not entries)
@@ -52,7 +52,7 @@
     assert len(wheel) == 0
 
 
-def test_a_cancelled_entry_is_cancelled_once():
+def test_an_entry_can_be_cancelled_only_once():
     wheel: TimingWheel[str] = TimingWheel(0.01, 0.0)
     entry = wheel.put(1.0, "x")
     assert wheel.cancel(entry)
@@ -67,7 +67,7 @@
     ),
     st.integers(0, 1000),
 )
-def test_sketch_is_never_below_a_dictionary_and_seldom_far_above(events, seed):
+def test_sketch_estimates_are_never_too_small_and_rarely_far_too_large(events, seed):
     sketch, now = DecayingSketch(256, 4, 5.0, seed, 0.0), 0.0
     plain: dict[str, float] = {}
     for number, amount, passed in events:
@@ -84,7 +84,7 @@
     assert over <= max(1, len(plain) // 10)
 
 
-def test_sketch_keeps_the_largest_by_name_and_survives_long_times():
+def test_sketch_keeps_the_largest_keys_by_name_and_stays_accurate_over_time():
     sketch = DecayingSketch(1024, 3, 1.0, 1, 0.0)
     for second in range(300):
         sketch.add("noisy", 5.0, float(second))
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter, through lines written by hand."""
+"""The line protocol adapter, tested with handwritten lines."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 ]
 
 
-def play(*lines: str) -> subprocess.CompletedProcess[str]:
-    """Run the adapter on these lines."""
+def run_adapter(*lines: str) -> subprocess.CompletedProcess[str]:
+    """Run the adapter with these input lines."""
     return subprocess.run(
         [sys.executable, "-m", "sedgepitch.wirehost"],
         input="".join(line + "\n" for line in lines),
@@ -37,12 +37,12 @@
 
 
 def batch(number: int, now: float, *items: dict) -> str:
-    """One line of input."""
+    """Return one line of input."""
     return json.dumps({"wallS": now, "batch": number, "items": items})
 
 
 def start(*names: str, roster: int = 0) -> list[dict]:
-    """The events that start instances."""
+    """Return the events that start instances."""
     items: list[dict] = [{"type": "manifest", "rosterId": roster, "lines": ENTRIES}]
     for name in names:
         items.append({"type": "hello", "driver": name, "entropy": 5, "setup": SETUP})
@@ -51,17 +51,17 @@
 
 
 def query(name: str, job: int, qos: str) -> dict:
-    """A client's request."""
+    """Return the event of a client's request."""
     return {"type": "query", "driver": name, "job": job, "ttlS": 0.9, "qos": qos, "shard": 3, "extra": [1]}
 
 
 def replies(result: subprocess.CompletedProcess[str]) -> list[dict]:
-    """The replies of a run that went well."""
+    """Return the replies of a run, which must have succeeded."""
     assert result.returncode == 0 and result.stderr == ""
     return [json.loads(line) for line in result.stdout.splitlines()]
 
 
-def test_requests_are_sent_and_answers_taken():
+def test_requests_are_sent_and_answers_processed():
     done = {
         "type": "finished",
         "driver": "d1",
@@ -73,35 +73,35 @@
         "doneFlag": True,
         "stamp": 4 * 1000 + 1,
     }
-    got = replies(
-        play(
+    outputs = replies(
+        run_adapter(
             batch(0, 60.0),
             batch(1, 60.1, *start("d1")),
             batch(2, 60.2, query("d1", 7, "w"), {"type": "novelty", "driver": "d1"}),
             batch(3, 60.3, done, done, query("d1", 8, "r")),
         )
     )
-    assert [r["batch"] for r in got] == [0, 1, 2, 3]
-    assert {"type": "attempt", "driver": "d1", "job": 7, "member": 11, "maxWaitS": 0.0} in got[2]["cmds"]
-    assert [c["job"] for c in got[3]["cmds"] if c["type"] == "attempt"] == [8]
+    assert [r["batch"] for r in outputs] == [0, 1, 2, 3]
+    assert {"type": "attempt", "driver": "d1", "job": 7, "member": 11, "maxWaitS": 0.0} in outputs[2]["cmds"]
+    assert [c["job"] for c in outputs[3]["cmds"] if c["type"] == "attempt"] == [8]
 
 
-def test_restart_in_one_batch_forgets_everything():
-    got = replies(
-        play(
+def test_restart_within_one_batch_discards_all_state():
+    outputs = replies(
+        run_adapter(
             batch(1, 60.1, *start("d1")),
             batch(2, 60.2, query("d1", 7, "w"), {"type": "killed", "driver": "d1"}, *start("d1")),
             batch(3, 60.3, {"type": "killed", "driver": "d1"}, query("d1", 9, "r")),
         )
     )
-    assert all(c["type"] != "attempt" for c in got[1]["cmds"])
-    assert got[2]["cmds"] == []
+    assert all(c["type"] != "attempt" for c in outputs[1]["cmds"])
+    assert outputs[2]["cmds"] == []
 
 
 def test_roster_numbers_are_resolved_in_order():
     drained = [dict(e, state="L") for e in ENTRIES]
-    got = replies(
-        play(
+    outputs = replies(
+        run_adapter(
             batch(
                 1,
                 60.1,
@@ -113,21 +113,23 @@
             )
         )
     )
-    assert [c["driver"] for c in got[0]["cmds"] if c["type"] == "attempt"] == ["d1"]
+    assert [c["driver"] for c in outputs[0]["cmds"] if c["type"] == "attempt"] == ["d1"]
 
 
-def test_instances_share_nothing():
-    alone = replies(play(batch(1, 60.1, *start("d1")), batch(2, 60.2, query("d1", 7, "r"))))
+def test_instances_share_no_state():
+    alone = replies(run_adapter(batch(1, 60.1, *start("d1")), batch(2, 60.2, query("d1", 7, "r"))))
     both = replies(
-        play(batch(1, 60.1, *start("d1", "d2")), batch(2, 60.2, query("d2", 6, "r"), query("d1", 7, "r")))
+        run_adapter(
+            batch(1, 60.1, *start("d1", "d2")), batch(2, 60.2, query("d2", 6, "r"), query("d1", 7, "r"))
+        )
     )
     assert alone[1]["cmds"] == [c for c in both[1]["cmds"] if c["driver"] == "d1"]
 
 
 def test_a_batch_of_megabytes_is_answered():
     items = [query("d1", n, "r") for n in range(20000)]
-    got = replies(play(batch(1, 60.1, *start("d1")), batch(2, 60.2, *items)))
-    assert len(got) == 2
+    outputs = replies(run_adapter(batch(1, 60.1, *start("d1")), batch(2, 60.2, *items)))
+    assert len(outputs) == 2
 
 
 @pytest.mark.parametrize(
@@ -152,8 +154,8 @@
         (batch(1, 1.0, *start("d1"), {"type": "sync", "driver": "d1", "how": "Partial", "rosterId": 9}), "9"),
     ],
 )
-def test_malformed_input_gets_one_plain_line(line, message):
-    result = play(line)
+def test_malformed_input_gives_a_one_line_error(line, message):
+    result = run_adapter(line)
     assert result.returncode != 0 and result.stdout == ""
     assert message in result.stderr and result.stderr.count("\n") == 1
     assert "Traceback" not in result.stderr
