--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,7 +10,7 @@
 from tests.support.mongodb_harness import MongodbProxy
 
 
-def ask(proxy, class_name="upload", time_left=1.0):
+def submit(proxy, class_name="upload", time_left=1.0):
     responses = []
     pending = proxy.engine.submit(ClientRequest(class_name, 0, time_left, "payload"), responses.append)
     proxy.turn()
@@ -19,13 +19,13 @@
 
 def test_answer_in_the_same_turn_as_the_deadline_is_given_once():
     proxy = MongodbProxy()
-    _, responses = ask(proxy)
+    _, responses = submit(proxy)
     proxy.task.advance(1.0)  # the deadline passes and the answer arrives in the same turn
     proxy.endpoints.sent[0].answer()
     proxy.turn(0.1)
     assert len(responses) == 1
     proxy = MongodbProxy()
-    _, responses = ask(proxy)
+    _, responses = submit(proxy)
     proxy.clock.call_later(1.0 - 1e-9, proxy.endpoints.sent[0].answer)
     proxy.turn(1.0)
     assert [a.status for a in responses] == [ResponseStatus.SERVED]
@@ -37,7 +37,7 @@
     for endpoint in (2, 3):
         report = api.LoadReport(proxy.clock.now(), False)
         proxy.engine.feed(api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, report))
-    _, responses = ask(proxy, "map-read")
+    _, responses = submit(proxy, "map-read")
     while len(proxy.endpoints.sent) < 2 and proxy.clock.now() < 1000.95:
         proxy.turn(0.01)
     assert len(proxy.endpoints.sent) == 2, "the slow read was not hedged"
@@ -50,7 +50,7 @@
 
 def test_non_idempotent_write_without_an_answer_fails_and_is_not_retried():
     proxy = MongodbProxy()
-    _, responses = ask(proxy, "note")
+    _, responses = submit(proxy, "note")
     assert [s.endpoint for s in proxy.endpoints.sent] == [1]
     proxy.turn(1.0)
     proxy.turn(0.05)
@@ -61,7 +61,7 @@
 
 def test_write_that_never_ran_is_rejected_before_its_deadline():
     proxy = MongodbProxy()
-    _, responses = ask(proxy, "note", 0.5)
+    _, responses = submit(proxy, "note", 0.5)
     while not responses and proxy.clock.now() < 1000.6:
         for sent in proxy.endpoints.sent:
             if not sent.abandoned:
@@ -74,7 +74,7 @@
 
 def test_disconnected_client_gets_no_response_and_the_end_of_its_attempt_is_still_reported():
     proxy = MongodbProxy()
-    pending, responses = ask(proxy)
+    pending, responses = submit(proxy)
     proxy.engine.client_disconnected(pending)
     proxy.turn()
     proxy.endpoints.sent[0].answer()
@@ -101,7 +101,7 @@
     proxy.engine.dispatcher.handlers = {
         kind: lambda action: None for kind in proxy.engine.dispatcher.handlers
     }
-    _, responses = ask(proxy)
+    _, responses = submit(proxy)
     proxy.turn(1.0)
     proxy.turn(0.1)
     assert [a.status for a in responses] == [ResponseStatus.REJECTED]
@@ -111,14 +111,14 @@
 def test_requests_beyond_max_in_flight_are_rejected_at_once():
     proxy = MongodbProxy()
     proxy.engine.max_in_flight = 3
-    answers = [ask(proxy)[1] for _ in range(5)]
+    answers = [submit(proxy)[1] for _ in range(5)]
     assert [len(a) for a in answers] == [0, 0, 0, 1, 1]
     assert answers[4][0].status is ResponseStatus.REJECTED
 
 
 def test_events_of_one_turn_are_handled_together_with_a_timer_that_expires_in_it():
     proxy = MongodbProxy()
-    _, responses = ask(proxy)
+    _, responses = submit(proxy)
     event_types = []
     handle = proxy.engine.router.handle
 
@@ -143,7 +143,7 @@
         proxy.endpoints.send = lambda m, p, e, by, send=send, recorded=send_by: recorded.append(by) or send(
             m, p, e, by
         )
-        ask(
+        submit(
             proxy, next(c.name for c in proxy.engine.classes.values() if c.freshness is api.Freshness.SESSION)
         )
         assert [by < float("inf") for by in send_by] == [bound]
--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -10,7 +10,7 @@
 from sedgepitch.routing.records import EjectionReason
 from tests.support.mongodb_harness import MongodbProxy
 from tests.support.router_harness import SETTINGS, Rig, entry, finals, sends
-from tests.test_engine import ask
+from tests.test_engine import submit
 from tests.test_router_faults import serve
 
 
@@ -81,7 +81,7 @@
                 endpoint, AttemptResult.OK, 0.001, api.LoadReport(proxy.clock.now(), False)
             )
         )
-    _, got = ask(proxy, "map-read")
+    _, got = submit(proxy, "map-read")
     while len(proxy.endpoints.sent) < 2 and proxy.clock.now() < 1000.95:
         proxy.turn(0.01)
     silent, quick = proxy.endpoints.sent
