--- a/sedgepitch/net/socket_state.py
+++ b/sedgepitch/net/socket_state.py
@@ -43,7 +43,7 @@
     return False
 
 
-def is_quiet(transport: object) -> bool:
+def is_open_and_idle(transport: object) -> bool:
     """Return whether a transport is open with nothing to read; True for one without a socket (in tests)."""
     if getattr(transport, "disconnecting", False) or not getattr(transport, "connected", True):
         return False
--- a/sedgepitch/protocols/mongodb/endpoint_connection.py
+++ b/sedgepitch/protocols/mongodb/endpoint_connection.py
@@ -62,7 +62,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next command."""
-        return socket_state.is_quiet(self.transport)
+        return socket_state.is_open_and_idle(self.transport)
 
     def _write(self, payload: Payload) -> None:
         self.request_id = codec.next_request_id(self.request_id)
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -143,7 +143,7 @@
             listener.activity.message_incomplete(self, now)
             return
         evicted = listener.activity.became_idle(self, now)
-        if evicted is not None and socket_state.is_quiet(evicted.transport):
+        if evicted is not None and socket_state.is_open_and_idle(evicted.transport):
             evicted.end(CloseReason.REST_LIMIT)
 
     # Statements
@@ -209,7 +209,7 @@
         """
         if self.state in BUSY_STATES or self.state is ClientState.CLOSING:
             return
-        if not socket_state.is_quiet(self.transport):
+        if not socket_state.is_open_and_idle(self.transport):
             return
         if not self.reader.held:
             self.end(CloseReason.SHUTDOWN)
--- a/sedgepitch/protocols/postgresql/client_listener.py
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -85,14 +85,14 @@
         That request would be lost with its connection. Where all others are busy, the newcomer goes.
         """
         while (evicted := self.activity.evict(now)) is not None:
-            if socket_state.is_quiet(evicted.transport):
+            if socket_state.is_open_and_idle(evicted.transport):
                 return evicted
         return newcomer
 
     def free_descriptor(self) -> None:
         """Close the connection that can best be spared; none that is busy or whose request lies unread."""
         while (evicted := self.activity.evict(self.clock.now())) is not None:
-            if socket_state.is_quiet(evicted.transport):
+            if socket_state.is_open_and_idle(evicted.transport):
                 evicted.end(CloseReason.EVICTED)  # in order: its next request may be on its way
                 return
 
--- a/sedgepitch/protocols/postgresql/endpoint_connection.py
+++ b/sedgepitch/protocols/postgresql/endpoint_connection.py
@@ -117,7 +117,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next statement."""
-        return not self.broken and not self.reader.held and socket_state.is_quiet(self.transport)
+        return not self.broken and not self.reader.held and socket_state.is_open_and_idle(self.transport)
 
     # Messages
 
