--- a/tests/test_router_lost_requests.py
+++ b/tests/test_router_lost_requests.py
@@ -10,7 +10,7 @@
 from sedgepitch.routing.records import EjectionReason
 from tests.support.mongodb_harness import MongodbProxy
 from tests.support.router_harness import SETTINGS, Rig, entry, finals, sends
-from tests.test_engine import ask
+from tests.test_engine import submit
 from tests.test_router_faults import serve
 
 
@@ -84,7 +84,7 @@
                 endpoint, AttemptResult.OK, 0.001, api.LoadReport(proxy.clock.now(), False)
             )
         )
-    _, responses = ask(proxy, "map-read")
+    _, responses = submit(proxy, "map-read")
     while len(proxy.endpoints.sent) < 2 and proxy.clock.now() < 1000.95:
         proxy.turn(0.01)
     unanswered, hedged = proxy.endpoints.sent
