--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -1,14 +1,14 @@
-"""Admission control: whether a request is admitted now, queued, or shed with a Retry-After.
+"""Admission control: decides whether a request is admitted now, queued, or rejected with a Retry-After.
 
-It comes before the router, so that a tenant that asks too much does not starve the others and the router's
-own waiting list stays short. Requests wait in fair order (`fair_queue`) in one pool for each replica group
-and for its primary alone (`pool`, with the limits on what is in flight). One more limit, over all pools, is
-this process's own (`process_concurrency_limit`); whichever limit is the lowest governs.
+It runs before the router, so that a tenant that sends too many requests does not starve the others and the
+router's own waiting list stays short. Requests wait in fair order (`fair_queue`), in one pool for each
+replica group and one for its primary alone (`pool`, which also limits the requests in flight). A further
+limit over all pools protects this process itself (`process_concurrency_limit`). The lowest limit applies.
 
-A request is queued no longer than a share of its time, nor so long that its answer would miss its latency
-objective; where it could not be reached by then it is rejected at once, since work that is late is not
-worth doing. Its Retry-After is capacity that is reserved (`reservations`). What comes again without a
-reservation is bounded (`retry_budget`). Nothing here grows with the number of tenants or clients.
+A request is queued for no more than a share of its remaining time, and no longer than its latency objective
+allows. If it cannot be admitted by then it is rejected at once, since a late answer is of no use. The
+Retry-After of a rejection is backed by reserved capacity (`reservations`). Retries without a reservation are
+bounded (`retry_budget`). Memory does not grow with the number of tenants or clients.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from sedgepitch.structures.sketch import DecayingSketch
 from sedgepitch.structures.wheel import TimingWheel, WheelEntry
 
-QUEUE_TIMER_TICK_S = 0.005  # how exactly the time of queued requests ends
-MAX_TIME_IN_FLIGHT_RATIO = 2.0  # time in flight of nearly every request, over its class's usual one
-MIN_QUEUEING_SHARE = 0.1  # of its latency objective that any request may be queued
-USAGE_SKETCH_WIDTH = 4096  # cells a row
-USAGE_TOP_TENANTS = 16  # that are known by name
+QUEUE_TIMER_TICK_S = 0.005  # resolution of the queueing timeout
+MAX_TIME_IN_FLIGHT_RATIO = 2.0  # longest time in flight to expect, over the mean of the class
+MIN_QUEUEING_SHARE = 0.1  # of its latency objective; any request may be queued that long
+USAGE_SKETCH_WIDTH = 4096  # cells per row
+USAGE_TOP_TENANTS = 16  # tenants tracked by name
 USAGE_HALF_LIFE_S = 30.0
-POOL_SEED_STEP = 7  # between the seeds of two pools; arbitrary
+POOL_SEED_STEP = 7  # difference between the seeds of two pools; any value works
 NO_LIMIT = float("inf")
 
 TOO_MANY_RETRIES = "too many retries"
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True, eq=False)
 class _TrackedRequest:
-    """One request from its arrival to its end. Moments are None where the step is yet to come."""
+    """One request from its arrival to its end; times are None until the step has happened."""
 
     arrival: AdmissionRequest
     queued: QueuedRequest
     pool: AdmissionPool
-    timer: WheelEntry[int] | None = None  # while it is queued
-    turn: int = -1  # of its pool's router, when it was admitted
+    timer: WheelEntry[int] | None = None  # while queued
+    turn: int = -1  # the pool's router turn in which it was admitted
     admitted_at: float | None = None
     sent_at: float | None = None
 
@@ -56,18 +56,18 @@
 class AdmissionController:
     """All pools of one proxy. Pure: the same settings, seed and calls give the same decisions.
 
-    Every `now` is a moment in seconds on the caller's monotonic clock.
+    Every `now` is a time in seconds of the caller's monotonic clock.
     """
 
     def __init__(self, settings: AdmissionSettings, seed: int, now: float) -> None:
-        """Start with no pools; `seed` fixes the moments of reservations and the sketches."""
+        """Start with no pools; `seed` fixes the times of reservations and the hashes of sketches."""
         self.settings = settings
-        self.pools: dict[tuple[int, bool], AdmissionPool] = {}  # by group, and whether for its primary alone
+        self.pools: dict[tuple[int, bool], AdmissionPool] = {}  # by (group, primary only)
         self.requests: dict[int, _TrackedRequest] = {}
         self.queued = 0  # in all pools
         self.in_flight = 0  # in all pools
         self.most_active_tenant = ""  # as of the last tick
-        self.process_limit = NO_LIMIT  # requests in flight that the process can carry; set by the engine
+        self.process_limit = NO_LIMIT  # requests in flight in the whole process; set by the engine
         self._seed = seed
         self._queue_timers: TimingWheel[int] = TimingWheel(QUEUE_TIMER_TICK_S, now)
         self._latency = ClassLatency()
@@ -79,7 +79,7 @@
     # Events
 
     def arrive(self, arrival: AdmissionRequest, now: float) -> list[Decision]:
-        """Decide on a new request; no decision on it means that it is queued."""
+        """Decide on a new request; it is queued if no returned decision names it."""
         pool = self._pool(arrival, now)
         pool.update_rates(now)
         request = self._track(arrival, pool)
@@ -90,7 +90,7 @@
         if not self._within_retry_budget(arrival, redeemed, now):
             return [self._reject(request, now, TOO_MANY_RETRIES)]
         first_in_line = (redeemed and not pool.redeemed) or not pool.queue.length
-        if self._process_may_carry(pool) and pool.may_admit() and first_in_line:
+        if self._process_may_admit(pool) and pool.may_admit() and first_in_line:
             pool.queue.charge(arrival.tenant, queued.cost, queued.tenant_weight)
             return [self._admit(request, now)]
         if redeemed:
@@ -111,7 +111,7 @@
         return decisions
 
     def sent(self, number: int, now: float) -> list[Decision]:
-        """Note that the router has sent the first attempt of a request; decide on queued ones."""
+        """Record that the router sent the first attempt of a request; decide on queued requests."""
         request = self.requests.get(number)
         if request is None or request.sent_at is not None or request.admitted_at is None:
             return []
@@ -120,11 +120,11 @@
         return self._admit_queued(request.pool, now)
 
     def ended(self, number: int, now: float, served: bool, received_at: float = 0.0) -> list[Decision]:
-        """Note that a request has its final answer, or its client has disconnected; decide on queued ones.
+        """Record that a request got its final answer or its client disconnected; decide on queued requests.
 
         `served` is false for a rejection or a failure; the engine passes true for a disconnected client.
-        `received_at` is when the answer's bytes arrived, 0 where that is not known: what passed since then
-        was this process's own delay and tells nothing of endpoints.
+        `received_at` is when the answer's bytes arrived, 0 if unknown: the time since then is this process's
+        own delay and not part of the endpoint's latency.
         """
         request = self.requests.pop(number, None)
         if request is None:
@@ -141,19 +141,19 @@
             pool.count_ended_unsent(request.turn, served)
         else:
             cost = max(0.0, (received_at or now) - request.sent_at)
-            self._learn(request, cost, request.sent_at, now - request.admitted_at, served, now)
+            self._record_cost(request, cost, request.sent_at, now - request.admitted_at, served, now)
         if not served:
             self._retry_budget.remember_rejected(request.arrival.idempotency_key)
         pool.update_rates(now)
         return self._admit_queued(pool, now)
 
     def reserve(self, number: int, now: float) -> float:
-        """Reserve capacity for a request that the router rejects; returns in how many seconds, 0 for none."""
+        """Reserve capacity for a request that the router rejects; return the Retry-After in s, 0 for none."""
         request = self.requests.get(number)
         return 0.0 if request is None else self._reserve(request, 0.0, now)
 
     def router_decided(self, now: float) -> list[Decision]:
-        """Note that the router has decided on all that was admitted; what it did not send waits in it."""
+        """Record that the router has decided on all admitted requests; those it did not send wait there."""
         decisions: list[Decision] = []
         for pool in self.pools.values():
             if pool.router_decided():
@@ -161,7 +161,7 @@
         return decisions
 
     def tick(self, now: float) -> list[Decision]:
-        """Reject what has been queued for as long as it may be."""
+        """Reject the requests whose queueing time is over."""
         decisions: list[Decision] = []
         self.most_active_tenant = self._retry_budget.most_active_tenant(now)
         for number in self._queue_timers.advance(now):
@@ -173,7 +173,7 @@
         return decisions
 
     def reload(self, settings: AdmissionSettings) -> None:
-        """Take new settings; what is queued keeps its place, and weights count from the next request."""
+        """Apply new settings; queued requests keep their place, new weights apply to later requests."""
         self.settings = settings
         self._retry_budget.share = settings.retry_budget_share
         self._retry_budget.max_keys = settings.max_reservations
@@ -181,7 +181,7 @@
             pool.reload(settings)
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what `sedgepitch admission` shows, as JSON values under the keys of that interface."""
+        """Return the JSON values that `sedgepitch admission` shows."""
         rooms = [
             {
                 "group": group,
@@ -206,8 +206,8 @@
     def _max_queueing_delay(self, arrival: AdmissionRequest) -> float:
         """Return how many seconds a request may be queued so that its answer comes in time.
 
-        That is a share of its time left; and, where it has a latency objective, that objective less the
-        longest time that its class usually is in flight.
+        This is a share of its time left. With a latency objective it is at most the objective less the
+        longest time in flight to expect of its class.
         """
         max_delay = arrival.time_left * self.settings.max_queueing_share
         if arrival.latency_objective > 0.0:
@@ -217,14 +217,14 @@
         return max_delay
 
     def _within_retry_budget(self, arrival: AdmissionRequest, redeemed: bool, now: float) -> bool:
-        """Whether a request is a first attempt, a retry with a reservation, or a retry within the budget."""
+        """Return whether this is a first attempt, or a retry with a reservation or within the budget."""
         if not self._retry_budget.is_retry(arrival.idempotency_key):
             self._retry_budget.count_first_attempt(arrival.tenant, now)
             return True
         return redeemed or self._retry_budget.count_retry(arrival.tenant, now)
 
-    def _process_may_carry(self, pool: AdmissionPool) -> bool:
-        """Whether the process can carry one more; a pool's even part of its limit is the pool's own."""
+    def _process_may_admit(self, pool: AdmissionPool) -> bool:
+        """Return whether the process limit allows one more; each pool is guaranteed an even part of it."""
         if self.in_flight < self.process_limit:
             return True
         return pool.in_flight < self.process_limit / len(self.pools)
@@ -241,14 +241,14 @@
         return self.settings.tenant_weights.get(tenant, self.settings.default_weight)
 
     def _reserve(self, request: _TrackedRequest, after: float, now: float) -> float:
-        """Reserve capacity no sooner than `after` seconds from now; returns in how many, 0 for none."""
+        """Reserve capacity at least `after` seconds from now; return the Retry-After in s, 0 for none."""
         queued = request.queued
-        reserved_in = request.pool.reservations.reserve(
+        retry_after = request.pool.reservations.reserve(
             request.arrival.reservation_token, queued.tenant, queued.cost, self._quota(request), after, now
         )
-        return reserved_in or 0.0
+        return retry_after or 0.0
 
-    # Steps
+    # State changes
 
     def _pool(self, arrival: AdmissionRequest, now: float) -> AdmissionPool:
         key = (arrival.group, arrival.primary_only)
@@ -287,9 +287,9 @@
         return Admit(request.arrival.id)
 
     def _admit_queued(self, pool: AdmissionPool, now: float) -> list[Decision]:
-        """Admit queued requests as far as the limits allow."""
+        """Admit queued requests while the limits allow it."""
         decisions: list[Decision] = []
-        while self._process_may_carry(pool) and pool.may_admit():
+        while self._process_may_admit(pool) and pool.may_admit():
             queued = pool.next_queued()
             if queued is None:
                 break
@@ -299,14 +299,14 @@
         return decisions
 
     def _reject(self, request: _TrackedRequest, now: float, why: str) -> Reject:
-        """Shed a request, with a Retry-After where capacity can be reserved once the queue has drained."""
+        """Reject a request, with a Retry-After if capacity can be reserved after the queue has drained."""
         self._stop_queueing(request)
         self.requests.pop(request.arrival.id, None)
         self._retry_budget.remember_rejected(request.arrival.idempotency_key)
         retry_after = self._reserve(request, request.pool.drain_time(), now)
         return Reject(request.arrival.id, retry_after, why)
 
-    def _learn(
+    def _record_cost(
         self,
         request: _TrackedRequest,
         cost: float,
@@ -315,7 +315,7 @@
         served: bool,
         now: float,
     ) -> None:
-        """Take what a request cost its endpoints, in seconds, and its latency where it was served."""
+        """Record a request's cost in seconds of endpoint time and, if it was served, its latency."""
         arrival, pool = request.arrival, request.pool
         pool.count_served(request.queued, cost)
         self._usage.add_batched(arrival.tenant, cost, now)
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -1,14 +1,14 @@
-"""The queue of a pool: weighted fair between tenants, by priority within one, fair between its clients.
+"""The queue of a pool: weighted fair between tenants; within a tenant by priority, then fair between clients.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996), applied twice. A tenant's request gets the start tag
-max(virtual time, the tenant's last finish tag); the smallest goes first, and its start tag is the new
-virtual time. The finish tag is cost / weight later and is corrected when the true cost is known. A tenant
-whose finish tag is not ahead of virtual time is as one never seen, so only tags ahead are kept: memory is
-bounded by what is queued, and by `max_tracked_tenants` idle tenants that are ahead of their share. Beyond
-that bound the smallest leads are forgotten.
+Start-time fair queueing (Goyal, Vin and Cheng, 1996), applied at both levels. A tenant's request gets the
+start tag max(virtual time, the tenant's last finish tag). The request with the smallest start tag goes first,
+and that tag becomes the new virtual time. The finish tag is the start tag plus cost / weight; it is corrected
+when the true cost is known. A tenant whose finish tag is not ahead of virtual time is treated like a new
+tenant, so only tags ahead of it are kept. Memory is bounded by the queued requests and by
+`max_tracked_tenants` idle tenants that are ahead of their share; beyond that, the smallest leads are dropped.
 
-While two tenants both have requests queued, their costs by weight differ by at most one request each, and by
-what of theirs was admitted at wrong estimates (the theorem of the paper, with corrections delayed until the
+While two tenants both have requests queued, their costs by weight differ by at most one request each, plus
+the requests admitted with a wrong estimate (the theorem of the paper, with corrections delayed until the
 answer).
 """
 
@@ -18,12 +18,12 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush
 
-MAX_STALE_ENTRIES = 64  # stale entries that may stay in a heap or a table, beside as many as are live
+MAX_STALE_ENTRIES = 64  # entries a heap or table may hold beyond twice the live ones before it is cleaned up
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """One request that may be queued; `cost` is in seconds of an endpoint's time."""
+    """A request that may be queued; `cost` is in seconds of endpoint time."""
 
     id: int
     tenant: str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PriorityLevel:
-    """The queued requests of one tenant and one priority weight: fair between clients by cost."""
+    """The queued requests of one tenant and one priority weight, fair between clients by cost."""
 
     virtual_time: float = 0.0
     finish_tags: dict[str, float] = field(default_factory=dict)  # by client
@@ -74,7 +74,7 @@
         return None
 
     def _forget_finish_tags(self) -> None:
-        """Drop tags that are not ahead of virtual time, where many have gathered."""
+        """Drop the tags that are not ahead of virtual time, once there are many."""
         if len(self.finish_tags) > 2 * len(self.queues) + MAX_STALE_ENTRIES:
             self.finish_tags = {
                 client: tag
@@ -92,12 +92,12 @@
     finish_tag: float
     levels: dict[float, _PriorityLevel] = field(default_factory=dict)
     length: int = 0
-    cost: float = 0.0  # s, of all that is queued
+    cost: float = 0.0  # s, of all queued requests
     in_heap: bool = False
     correction: float = 0.0  # to the finish tag, for requests that cost more or less than estimated
 
     def pop(self) -> QueuedRequest | None:
-        """Take the next request of the highest priority; None where nothing is queued."""
+        """Remove and return the next request of the highest priority, None if nothing is queued."""
         for priority_weight in sorted(self.levels, reverse=True):
             request = self.levels[priority_weight].pop()
             if request is not None:
@@ -106,9 +106,10 @@
         return None
 
     def backlog_before(self, request: QueuedRequest) -> float:
-        """Return the cost that goes before a newcomer: of its client at no lower priority, or an even part.
+        """Return the cost that is served before a new request.
 
-        The even part is of all that the tenant has queued, shared by its priority levels.
+        This is the cost of its client's requests of no lower priority, but at least an even part per priority
+        level of the tenant's queued cost.
         """
         backlog = sum(
             queued.cost
@@ -121,16 +122,16 @@
 
 
 class FairQueue:
-    """All that is queued for one pool. Costs logarithmic time in the tenants that have something queued."""
+    """The queued requests of one pool. Operations are logarithmic in the queued tenants."""
 
     def __init__(self, max_tracked_tenants: int) -> None:
-        """Make an empty queue that remembers so many idle tenants at most."""
+        """Create an empty queue that remembers at most `max_tracked_tenants` idle tenants."""
         self.max_tracked_tenants = max_tracked_tenants
         self.virtual_time = 0.0
-        self.tenants: dict[str, TenantQueue] = {}  # those with something queued
-        self.finish_tags: dict[str, float] = {}  # ahead of virtual time, of tenants with nothing queued
+        self.tenants: dict[str, TenantQueue] = {}  # with queued requests
+        self.finish_tags: dict[str, float] = {}  # of tenants with nothing queued; all ahead of virtual time
         self.length = 0
-        self.cost = 0.0  # s, of all that is queued
+        self.cost = 0.0  # s, of all queued requests
         self._heap: list[tuple[float, int, str]] = []  # (start tag, sequence number, tenant)
         self._sequence = 0
 
@@ -150,10 +151,10 @@
         tenant.cost += request.cost
         self.length += 1
         self.cost += request.cost
-        self._enter_heap(tenant)
+        self._push_tenant(tenant)
 
     def pop(self) -> QueuedRequest | None:
-        """Take the next request; None where nothing is queued."""
+        """Remove and return the next request, None if nothing is queued."""
         while self._heap:
             start_tag, _, name = heappop(self._heap)
             tenant = self.tenants.get(name)
@@ -168,22 +169,22 @@
             request.start_tag = start_tag
             tenant.finish_tag = start_tag + request.cost / tenant.weight + tenant.correction
             tenant.correction = 0.0
-            self._count_out(tenant, request)
+            self._subtract(tenant, request)
             if tenant.length:
-                self._enter_heap(tenant)
+                self._push_tenant(tenant)
             else:
                 self._close(tenant)
             return request
         return None
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take out one request; its place is skipped when its turn comes."""
+        """Remove a request; its queue entry is skipped later."""
         if request.removed:
             return
         request.removed = True
         tenant = self.tenants.get(request.tenant)
         if tenant is not None:
-            self._count_out(tenant, request)
+            self._subtract(tenant, request)
             if not tenant.length:
                 self._close(tenant)
 
@@ -194,7 +195,7 @@
         self._keep_finish_tag(tenant, start_tag + cost / weight)
 
     def correct(self, tenant: str, difference: float, weight: float) -> None:
-        """Charge a tenant for true less estimated cost, in seconds; counts from its next request on."""
+        """Charge a tenant for true minus estimated cost, in s; takes effect with its next request."""
         queued = self.tenants.get(tenant)
         if queued is not None:
             queued.correction += difference / weight
@@ -209,11 +210,11 @@
         return max(0.0, finish_tag - self.virtual_time)
 
     def longest(self) -> TenantQueue | None:
-        """Return the tenant with the most cost by weight queued: the one to shed load from."""
+        """Return the tenant with the highest queued cost by weight, from which load is shed."""
         return max(self.tenants.values(), key=lambda tenant: tenant.cost / tenant.weight, default=None)
 
     def shed_from(self, tenant: TenantQueue) -> QueuedRequest | None:
-        """Take out a tenant's newest request of lowest priority, of the client with the most queued."""
+        """Remove and return a tenant's newest request of lowest priority, of its client with most queued."""
         for priority_weight in sorted(tenant.levels):
             queues = tenant.levels[priority_weight].queues
             for client in sorted(queues, key=lambda client: -len(queues[client])):
@@ -223,24 +224,24 @@
                         return request
         return None
 
-    def _enter_heap(self, tenant: TenantQueue) -> None:
-        """Give a tenant's next request its start tag.
+    def _push_tenant(self, tenant: TenantQueue) -> None:
+        """Insert a tenant with the start tag of its next request.
 
-        A tenant that was corrected to before virtual time catches up on what it was overcharged.
+        After a correction the tag may be behind virtual time, so the tenant regains what it was overcharged.
         """
         if not tenant.in_heap:
             self._sequence += 1
             tenant.in_heap = True
             heappush(self._heap, (tenant.finish_tag, self._sequence, tenant.name))
 
-    def _count_out(self, tenant: TenantQueue, request: QueuedRequest) -> None:
+    def _subtract(self, tenant: TenantQueue, request: QueuedRequest) -> None:
         tenant.length -= 1
         tenant.cost = max(0.0, tenant.cost - request.cost)
         self.length -= 1
         self.cost = max(0.0, self.cost - request.cost)
 
     def _close(self, tenant: TenantQueue) -> None:
-        """Forget a tenant with nothing queued, but for a finish tag that is ahead."""
+        """Forget a tenant with nothing queued, except for a finish tag ahead of virtual time."""
         self.tenants.pop(tenant.name, None)
         self._keep_finish_tag(tenant.name, tenant.finish_tag + tenant.correction)
         if len(self._heap) > 2 * len(self.tenants) + MAX_STALE_ENTRIES:
@@ -250,7 +251,7 @@
             heapify(self._heap)
 
     def _keep_finish_tag(self, tenant: str, finish_tag: float) -> None:
-        """Remember a finish tag that is ahead of virtual time; beyond the bound, the largest half stay."""
+        """Keep a finish tag that is ahead of virtual time; beyond the bound keep the largest half."""
         if finish_tag <= self.virtual_time:
             self.finish_tags.pop(tenant, None)
             return
--- a/sedgepitch/decisions/admission/messages.py
+++ b/sedgepitch/decisions/admission/messages.py
@@ -1,4 +1,4 @@
-"""What passes between the engine and admission control. Needed also where admission control is off."""
+"""The messages between the engine and admission control. Used also when admission control is off."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(slots=True)
 class AdmissionRequest:
-    """A request that asks to be admitted; times in seconds."""
+    """A request to be admitted; times in seconds."""
 
     id: int
     tenant: str
     client: str
     class_name: str
     priority_weight: float
-    time_left: float  # until the deadline that the router is told
+    time_left: float  # until the deadline passed to the router
     group: int
     primary_only: bool
-    reservation_token: str  # who may use a reservation: the same when the client retries
-    idempotency_key: str = ""  # shared by the retries of one request alone; empty where not known
-    latency_objective: float = 0.0  # what is left of it; 0 where any answer before the deadline will do
+    reservation_token: str  # identifies the holder of a reservation; the same when the client retries
+    idempotency_key: str = ""  # shared only by the retries of one request; empty if unknown
+    latency_objective: float = 0.0  # time left of it; 0 if any answer before the deadline is in time
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Shed the request; `retry_after` seconds from now capacity is reserved for it, 0 where none can be."""
+    """Reject the request; capacity is reserved `retry_after` seconds from now, none if that is 0."""
 
     id: int
     retry_after: float
--- a/sedgepitch/decisions/admission/process_concurrency_limit.py
+++ b/sedgepitch/decisions/admission/process_concurrency_limit.py
@@ -1,17 +1,19 @@
-"""Limits how many requests this process carries at once, by its own delay.
+"""Limits how many requests this process handles at once, by its own delay.
 
-Where the proxy's processor is what is short, endpoints look idle and no limit of theirs is reached: what is
-admitted waits in this process, each turn of the event loop grows with it, and answers come late. So the
-limit follows the mean wait of a span, from arrival to read and from due to called. Above the tolerable wait
-it falls to DECREASE of what was in flight; below MAX_GROWTH_WAIT_SHARE of it and in use it grows, at first
-doubling (slow start). Admission takes it as one more limit; without admission, what is beyond it is
-rejected at once. One long pause is one span and one decrease.
+When the proxy's own processor is the bottleneck, endpoints look idle and none of their limits is reached:
+admitted requests wait in this process, each iteration of the event loop gets longer, and answers come late.
+So the limit follows the mean wait in a span, measured from arrival to read and from due to called. Above the
+tolerable wait the limit falls to DECREASE of the requests in process. Below MAX_GROWTH_WAIT_SHARE of it, and
+with the limit in use, it grows, doubling at first (slow start). Admission control applies it as one more
+limit; without admission control, requests beyond it are rejected at once. One long pause is one span and so
+one decrease.
 
-Under more load even reading requests is too much. While spans in a row are that late (`overloaded`), a
-request that itself waited too long may be rejected unread: first of the most active tenant, and of all
-others when they waited several times as long. It never ran, so the rejection is truthful, and its time is
-mostly gone. No new connections are accepted meanwhile, so overload ends by itself once nothing has been
-read for OVERLOAD_MAX_AGE_S: after the last connection has closed, nothing else would show its end.
+Under still higher load even reading requests takes too long. While consecutive spans are that late
+(`overloaded`), a request that itself waited too long may be rejected unread: first those of the most active
+tenant, and those of other tenants once they waited several times as long. The request never ran, so the
+rejection is truthful, and most of its time is gone already. No new connections are accepted meanwhile.
+Overload therefore ends by itself when nothing has been read for OVERLOAD_MAX_AGE_S: after the last connection
+has closed, no further wait could show its end.
 """
 
 from __future__ import annotations
@@ -19,21 +21,21 @@
 SPAN_S = 0.1
 INITIAL_LIMIT = 64.0  # requests
 MIN_LIMIT = 8.0  # requests
-DECREASE = 0.7
-GROWTH_FACTOR = 1.1  # a span
-MIN_GROWTH = 1.0  # requests a span
-SLOW_START_FACTOR = 2.0  # a span
+DECREASE = 0.7  # factor
+GROWTH_FACTOR = 1.1  # per span
+MIN_GROWTH = 1.0  # requests per span
+SLOW_START_FACTOR = 2.0  # per span
 MAX_GROWTH_WAIT_SHARE = 0.25  # of the tolerable wait
-MIN_USE_SHARE = 0.25  # of the limit that has to be in use for it to grow
+MIN_USE_SHARE = 0.25  # of the limit; it grows only if that much is in use
 OVERLOADED_WAIT_RATIO = 2.5  # mean wait of a span over the tolerable wait
 OVERLOADED_SPANS = 2  # in a row
-OVERLOAD_MAX_AGE_S = 0.5  # since the last wait, after which it says nothing of now
-OTHER_TENANTS_WAIT_RATIO = 4.0  # wait over the tolerable wait, for tenants that are not the most active
+OVERLOAD_MAX_AGE_S = 0.5  # since the last wait; older waits do not indicate overload
+OTHER_TENANTS_WAIT_RATIO = 4.0  # wait over the tolerable wait; for all but the most active tenant
 NEVER = float("inf")
 
 
 class ProcessConcurrencyLimit:
-    """The limit. Pure: moments are passed in; `tolerable_wait` is in seconds."""
+    """The limit. Pure: times are passed in; `tolerable_wait` is in seconds."""
 
     __slots__ = (
         "_peak_in_process",
@@ -54,15 +56,15 @@
         self.limit = INITIAL_LIMIT
         self.in_slow_start = True
         self.decreases = 0
-        self.late_spans = 0  # in a row
+        self.late_spans = 0  # consecutive
         self._span_started_at = -NEVER
         self._recorded_at = -NEVER
-        self._total = 0.0  # s waited in this span
+        self._total = 0.0  # s, sum of the waits in this span
         self._samples = 0
         self._peak_in_process = 0  # requests, in this span
 
     def record(self, seconds: float, in_process: int, now: float) -> None:
-        """Record one wait that ended now, and how many requests the process carries."""
+        """Record a wait that ended now, and how many requests the process handles."""
         if now - seconds - self._recorded_at > OVERLOAD_MAX_AGE_S:
             self._forget_late_spans()
         self._recorded_at = now
@@ -71,7 +73,7 @@
         if in_process > self._peak_in_process:
             self._peak_in_process = in_process
         if now - self._span_started_at >= SPAN_S:
-            self._move_limit(self._total / self._samples)
+            self._adjust_limit(self._total / self._samples)
             self._span_started_at = now
             self._total = 0.0
             self._samples = 0
@@ -79,34 +81,34 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether the last spans were so late that reading is too much, as of the last wait."""
+        """Return whether the last spans were late enough to reject requests unread, as of the last wait."""
         return self.late_spans >= OVERLOADED_SPANS
 
     def overloaded_at(self, now: float) -> bool:
-        """Whether it is overloaded now: accepting connections is too much, and judging others."""
+        """Return whether the process is overloaded now and should not accept connections or judge others."""
         return self.overloaded and now - self._recorded_at <= OVERLOAD_MAX_AGE_S
 
     def rejects_unread(self, waited: float, most_active: bool) -> bool:
-        """Whether a request that has waited so many seconds may be rejected without being read.
+        """Return whether a request that has waited `waited` seconds may be rejected without being read.
 
-        `most_active` says that it is of the most active tenant, or that tenants are not told apart.
+        `most_active` means that it belongs to the most active tenant, or that tenants are not distinguished.
         """
         ratio = 1.0 if most_active else OTHER_TENANTS_WAIT_RATIO
         return self.overloaded and waited > self.tolerable_wait * ratio
 
     def _forget_late_spans(self) -> None:
-        """Begin anew after an idle time; the limit stays."""
+        """Reset the late spans and samples after an idle time; the limit stays."""
         self.late_spans = 0
         self._total = 0.0
         self._samples = 0
         self._peak_in_process = 0
 
-    def _move_limit(self, mean_wait: float) -> None:
+    def _adjust_limit(self, mean_wait: float) -> None:
         late = mean_wait > OVERLOADED_WAIT_RATIO * self.tolerable_wait
         self.late_spans = self.late_spans + 1 if late else 0
         if mean_wait > self.tolerable_wait:
             self.in_slow_start = False
-            if self._peak_in_process > MIN_LIMIT:  # with fewer, the wait is not made of them
+            if self._peak_in_process > MIN_LIMIT:  # with fewer requests, they are not the cause of the wait
                 self.limit = max(MIN_LIMIT, DECREASE * min(self.limit, float(self._peak_in_process)))
                 self.decreases += 1
             return
--- a/sedgepitch/decisions/admission/reservations.py
+++ b/sedgepitch/decisions/admission/reservations.py
@@ -1,14 +1,14 @@
-"""Reserves capacity for rejected requests, at the Retry-After that their clients are told.
+"""Reserves capacity for rejected requests at the Retry-After that their clients receive.
 
-The future is cut into slots. Of each, RESERVABLE_SHARE of the measured service rate may be reserved; the rest
-stays for requests without a reservation. Of that a tenant may reserve its quota by weight, so that one which
-is rejected most cannot reserve all. The moment is drawn at random within the first slot that has capacity, so
-clients that were rejected together do not return together.
+Time ahead is divided into slots. In each slot RESERVABLE_SHARE of the measured service rate may be reserved;
+the rest is for requests without a reservation. A tenant may reserve at most its quota by weight of that
+share, so a tenant with many rejections cannot reserve all of it. The time is drawn at random within the first
+slot with capacity, so clients that were rejected together do not return together.
 
-A reservation is known by a token, which a protocol makes of what stays the same when a client retries. A
-token may have several reservations; a request with it redeems the earliest whose slot has begun, and none
-before, so coming early gains nothing. When capacity falls, the latest reservations that no longer fit are
-revoked; who comes on one of these gets a new Retry-After.
+A reservation is identified by a token, which a protocol derives from what stays the same when a client
+retries. A token may have several reservations. A request with the token redeems the earliest one whose slot
+has begun, and none before that, so returning early gains nothing. When capacity falls, the latest
+reservations that no longer fit are revoked; a request that returns for one of them gets a new Retry-After.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 SLOT_S = 0.05
 RESERVABLE_SHARE = 0.5  # of the measured service rate
-GRACE_S = 0.25  # after its slot for which a reservation holds: clients' timers are late, never early
+GRACE_S = 0.25  # validity of a reservation after its slot, since clients' timers are late, never early
 MIN_RETRY_AFTER = 0.05  # s
-RATE_FALL = 0.8  # of the known rate, below which a new one counts as a fall
-COST_TOLERANCE = 1e-12  # s, of float sums
+RATE_FALL_RATIO = 0.8  # of the known rate; only a rate below that counts as a fall
+COST_TOLERANCE = 1e-12  # s, rounding error of sums
 NO_COST = 1e-9  # s; a slot with less has no reservations
 
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """Capacity that is reserved for one retry; `cost` is in seconds of an endpoint's time."""
+    """Capacity reserved for one retry; `cost` is in seconds of endpoint time."""
 
     token: str
     tenant: str
@@ -39,44 +39,44 @@
     cost: float
     at: float
 
-    def holds_until(self) -> float:
-        """Return the last moment at which it can be redeemed."""
+    def expires_at(self) -> float:
+        """Return the latest time at which it can be redeemed."""
         return (self.slot + 1) * SLOT_S + GRACE_S
 
 
 class ReservationSchedule:
-    """The reservations of one pool, at most `max_reservations`, whatever the number of tenants.
+    """The reservations of one pool: at most `max_reservations`, however many tenants there are.
 
-    Nothing is reserved further ahead than `horizon` seconds, nor before a service rate is known.
+    Nothing is reserved more than `horizon` seconds ahead or before the service rate is known.
     """
 
     def __init__(self, max_reservations: int, horizon: float, seed: int) -> None:
-        """Make an empty schedule; `seed` fixes the moments that it draws."""
+        """Create an empty schedule; `seed` fixes the drawn times."""
         self.max_reservations = max_reservations
         self.horizon = horizon
-        self.reservations: OrderedDict[Reservation, None] = OrderedDict()  # as they were made
+        self.reservations: OrderedDict[Reservation, None] = OrderedDict()  # oldest first
         self.by_token: dict[str, deque[Reservation]] = {}
         self.reserved_cost: dict[int, float] = {}  # by slot
         self.tenant_reserved_cost: dict[tuple[int, str], float] = {}  # by slot and tenant
         self.tenant_counts: dict[str, int] = {}
         self.revoked = 0
-        self.service_rate = 0.0  # seconds of endpoints' time that are served a second
+        self.service_rate = 0.0  # seconds of endpoint time served per second
         self._random = random.Random(seed)
-        self._first_slots: dict[str, int] = {}  # a tenant's earlier slots are full
+        self._first_slots: dict[str, int] = {}  # by tenant; its earlier slots are full
 
     def update_rate(self, service_rate: float, now: float) -> None:
-        """Take the rate at which the pool serves; where it falls, revoke the latest that no longer fit."""
-        falls = service_rate < RATE_FALL * self.service_rate
-        rises = service_rate > self.service_rate
-        if rises:
+        """Set the pool's service rate; if it falls, revoke the latest reservations that no longer fit."""
+        lower = service_rate < RATE_FALL_RATIO * self.service_rate
+        higher = service_rate > self.service_rate
+        if higher:
             self._first_slots.clear()
-        if not (falls or rises):
+        if not (lower or higher):
             return
         self.service_rate = service_rate
-        if falls:
-            self._revoke_what_no_longer_fits(service_rate * SLOT_S * RESERVABLE_SHARE, now)
+        if lower:
+            self._revoke_excess(service_rate * SLOT_S * RESERVABLE_SHARE, now)
 
-    def _revoke_what_no_longer_fits(self, slot_capacity: float, now: float) -> None:
+    def _revoke_excess(self, slot_capacity: float, now: float) -> None:
         for reservation in list(reversed(self.reservations)):
             if reservation.at <= now:
                 continue
@@ -88,10 +88,10 @@
     def reserve(
         self, token: str, tenant: str, cost: float, quota: float, after: float, now: float
     ) -> float | None:
-        """Reserve capacity no sooner than `after` seconds from now.
+        """Reserve capacity at least `after` seconds from now.
 
-        Returns in how many seconds, None where nothing can be reserved. `cost` is in seconds of an endpoint's
-        time; `quota` is the tenant's share of the capacity, 1 for all of it.
+        Return in how many seconds, None if nothing can be reserved. `cost` is in seconds of endpoint time;
+        `quota` is the tenant's share of the capacity, 1 for all of it.
         """
         self._drop_expired(now)
         if self.service_rate <= 0.0 or len(self.reservations) >= self.max_reservations:
@@ -114,18 +114,18 @@
         return at - now
 
     def redeem(self, token: str, now: float) -> bool:
-        """Whether a request that comes now with this token has capacity reserved; uses the reservation up."""
-        waiting = self.by_token.get(token)
-        if waiting is None:
+        """Return whether a request with this token has capacity reserved now, and use up the reservation."""
+        reserved = self.by_token.get(token)
+        if reserved is None:
             return False
-        holds = False
-        while waiting and not holds and waiting[0].slot * SLOT_S <= now:
-            reservation = waiting.popleft()
+        valid = False
+        while reserved and not valid and reserved[0].slot * SLOT_S <= now:
+            reservation = reserved.popleft()
             self._remove(reservation)
-            holds = now <= reservation.holds_until()
-        if not waiting:
+            valid = now <= reservation.expires_at()
+        if not reserved:
             del self.by_token[token]
-        return holds
+        return valid
 
     def _add(self, reservation: Reservation) -> None:
         slot, tenant, cost = reservation.slot, reservation.tenant, reservation.cost
@@ -136,7 +136,7 @@
         self.by_token.setdefault(reservation.token, deque()).append(reservation)
 
     def _remove(self, reservation: Reservation) -> None:
-        """Release what a reservation holds; its token is left to the caller."""
+        """Remove a reservation and release its capacity; the caller updates `by_token`."""
         tenant = reservation.tenant
         del self.reservations[reservation]
         _subtract(self.reserved_cost, reservation.slot, reservation.cost)
@@ -147,16 +147,16 @@
             self._first_slots.pop(tenant, None)
 
     def _remove_token(self, reservation: Reservation) -> None:
-        waiting = self.by_token[reservation.token]
-        waiting.remove(reservation)
-        if not waiting:
+        reserved = self.by_token[reservation.token]
+        reserved.remove(reservation)
+        if not reserved:
             del self.by_token[reservation.token]
 
     def _drop_expired(self, now: float) -> None:
-        """Drop reservations that nobody redeemed; they stand nearly in the order of their slots."""
+        """Drop expired reservations; they are stored nearly in the order of their slots."""
         while self.reservations:
             reservation = next(iter(self.reservations))
-            if now <= reservation.holds_until():
+            if now <= reservation.expires_at():
                 break
             self._remove_token(reservation)
             self._remove(reservation)
@@ -165,8 +165,8 @@
 
 
 def _subtract(costs: dict[Key, float], key: Key, cost: float) -> None:
-    left = costs[key] - cost
-    if left > NO_COST:
-        costs[key] = left
+    remaining = costs[key] - cost
+    if remaining > NO_COST:
+        costs[key] = remaining
     else:
         del costs[key]
--- a/sedgepitch/decisions/admission/retry_budget.py
+++ b/sedgepitch/decisions/admission/retry_budget.py
@@ -1,4 +1,4 @@
-"""Recognises retries and bounds those that come without a reservation."""
+"""Recognises retries and bounds those without a reservation."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from sedgepitch.structures.sketch import DecayingSketch
 
 HALF_LIFE_S = 10.0
-FREE_RETRIES = 5.0  # that a tenant may make, however few first attempts it makes
-SKETCH_WIDTH = 4096  # cells a row
+FREE_RETRIES = 5.0  # per tenant, on top of the share of its first attempts
+SKETCH_WIDTH = 4096  # cells per row
 
 
 class RetryBudget:
     """Counts first attempts and retries of each tenant, in memory that does not grow with tenants.
 
-    A retry is a request with the idempotency key of one that was lately rejected or failed. At most
-    `max_keys` of these keys are remembered. Retries may be `share` of a tenant's first attempts, beside
-    FREE_RETRIES.
+    A retry is a request with the idempotency key of a request that was recently rejected or failed. At most
+    `max_keys` such keys are remembered. A tenant may make FREE_RETRIES retries plus `share` of its first
+    attempts.
     """
 
     def __init__(self, share: float, max_keys: int, seed: int, now: float) -> None:
         """Start with nothing counted; `seed` fixes the sketches' hashes."""
         self.share = share
         self.max_keys = max_keys
-        self.rejected_keys: OrderedDict[str, None] = OrderedDict()  # the latest last
+        self.rejected_keys: OrderedDict[str, None] = OrderedDict()  # oldest first
         self._first_attempts = DecayingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed, now)
         self._retries = DecayingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed + 1, now)
 
     def is_retry(self, idempotency_key: str) -> bool:
-        """Whether a request repeats one that was rejected; the key is forgotten with it."""
+        """Return whether a request repeats a rejected one; if so, forget the key."""
         if idempotency_key not in self.rejected_keys:
             return False
         del self.rejected_keys[idempotency_key]
         return True
 
     def count_first_attempt(self, tenant: str, now: float) -> None:
-        """Count a request that is no retry."""
+        """Count a request that is not a retry."""
         self._first_attempts.add_batched(tenant, 1.0, now)
 
     def count_retry(self, tenant: str, now: float) -> bool:
-        """Count a retry without a reservation; returns whether it is within the budget."""
+        """Count a retry without a reservation; return whether it is within the budget."""
         retries = self._retries.add(tenant, 1.0, now)
         return retries <= FREE_RETRIES + self.share * self._first_attempts.estimate(tenant, now)
 
@@ -53,5 +53,5 @@
             self.rejected_keys.popitem(last=False)
 
     def most_active_tenant(self, now: float) -> str:
-        """Return the tenant with the most first attempts lately, "" where there are none."""
+        """Return the tenant with the most recent first attempts, "" if there are none."""
         return next((name for name, _ in self._first_attempts.largest(now)), "")
--- a/sedgepitch/decisions/connections/descriptor_budget.py
+++ b/sedgepitch/decisions/connections/descriptor_budget.py
@@ -1,16 +1,16 @@
-"""The budget of file descriptors: one limit shared by client connections and endpoint connections.
+"""The budget of file descriptors, shared by client connections and endpoint connections.
 
-A process may hold a fixed number of descriptors. The budget grants each connection before it is opened, so
-the limit is reached here and not as EMFILE in `accept` or `connect`. Clients may hold at most CLIENT_SHARE
-of what can be shared: however many connect, descriptors for endpoints remain. A side that is refused closes
-an idle connection of its own.
+A process may hold a fixed number of descriptors. Each connection is granted before it is opened, so that the
+limit is reached here and not as EMFILE in `accept` or `connect`. Clients may hold at most CLIENT_SHARE of the
+descriptors that can be shared, so that descriptors for endpoints remain however many clients connect. A side
+that is refused closes an idle connection of its own.
 """
 
 from __future__ import annotations
 
 RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, two discovery streams, one being accepted
 CLIENT_SHARE = 0.5  # of the descriptors that are not reserved
-MIN_PER_SIDE = 8  # for clients and for endpoints, however small the limit
+MIN_PER_SIDE = 8  # granted to clients and to endpoints, however small the limit
 UNLIMITED = 1 << 30
 
 
@@ -26,15 +26,15 @@
         self.max_endpoints = max(MIN_PER_SIDE, shared - self.max_clients)
         self.clients = 0  # client connections open
         self.endpoints = 0  # endpoint connections open
-        self.refused = 0  # endpoint connections that were not granted, since the start
+        self.refused = 0  # endpoint connections not granted, since start-up
 
     def client_accepted(self) -> bool:
-        """Count an accepted connection; return False if another client has to be closed for it."""
+        """Count an accepted connection; return False if another client connection must be closed for it."""
         self.clients += 1
         return self.clients <= self.max_clients
 
     def client_closed(self) -> None:
-        """Count the close of a client's connection."""
+        """Count a closed client connection."""
         self.clients -= 1
 
     def acquire(self) -> bool:
@@ -51,5 +51,5 @@
 
     @property
     def endpoints_nearly_exhausted(self) -> bool:
-        """Whether fewer than MIN_PER_SIDE endpoint connections are left, so idle ones should be closed."""
+        """Return whether fewer than MIN_PER_SIDE endpoint connections are left, so idle ones should close."""
         return self.endpoints + MIN_PER_SIDE > self.max_endpoints
--- a/sedgepitch/decisions/connections/shutdown_schedule.py
+++ b/sedgepitch/decisions/connections/shutdown_schedule.py
@@ -4,31 +4,31 @@
 from                    rule
 ======================  ==================================================================================
 shutdown requested      new connections are accepted and all requests served
-`accept_until`          what waits in the backlog is accepted, then the port closes
-`close_idle_from`       idle connections with nothing unread are closed, others after their response
+`accept_until`          connections in the backlog are accepted, then the port is closed
+`close_idle_from`       idle connections without unread bytes are closed, others after their response
 `drain_deadline`        requests that are still pending get their final answer
-`exit_deadline`         the process exits, whatever connections clients still hold
+`exit_deadline`         the process exits, even if clients still hold connections
 ======================  ==================================================================================
 
-Serving goes on that long because many clients have no other proxy instance to go to. Connections are closed
+Requests are served that long because many clients have no other proxy instance to use. Connections are closed
 before the exit because a close between requests costs a client one new connection, while the end of the
-process costs the request that is pending on it.
+process costs it the pending request.
 """
 
 from __future__ import annotations
 
-NEW_CONNECTIONS_S = 0.5  # after the request; the platform sends new connections for 0.2 to 0.4 s
-# The platform kills no sooner than the longest request deadline, counted as MAX_DEADLINE_S where it is
-# longer, plus KILL_MARGIN_S after the request.
+NEW_CONNECTIONS_S = 0.5  # after the request; the platform still sends new connections for 0.2 to 0.4 s
+# After the shutdown request the platform waits at least the longest request deadline, but no more than
+# MAX_DEADLINE_S of it, plus KILL_MARGIN_S before it kills the process.
 MAX_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
 CLOSE_IDLE_BEFORE_KILL_S = 0.35
 DRAIN_BEFORE_KILL_S = 0.15
-EXIT_BEFORE_KILL_S = 0.06  # for the end of what clients still hold: dozens of connections take half of it
+EXIT_BEFORE_KILL_S = 0.06  # to close the remaining client connections; dozens of them take half of it
 
 
 class ShutdownSchedule:
-    """The times of one shutdown, in seconds of the clock that `requested_at` is of.
+    """The times of one shutdown, in seconds of the clock of `requested_at`.
 
     `longest_deadline` is the longest request deadline of all classes, in seconds.
     """
@@ -44,9 +44,9 @@
         self.exit_deadline = killed_at - EXIT_BEFORE_KILL_S
 
     def may_exit(self, now: float, *, listening: bool, connections: int, pending: int) -> bool:
-        """Whether the process may exit: never with requests pending.
+        """Return whether the process may exit: never while requests are pending.
 
-        Without pending requests it may once the port and all connections are closed, or from `exit_deadline`.
+        Otherwise it may exit once the port and all connections are closed, or from `exit_deadline` on.
         """
         if pending:
             return False
