--- a/sedgepitch/decisions/__init__.py
+++ b/sedgepitch/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the daemon's own subsystems: pure, no input or output, no clock but the time passed in."""
+"""Decisions of the daemon's subsystems: pure, without I/O, and without a clock except the time passed in."""
--- a/sedgepitch/decisions/cursors.py
+++ b/sedgepitch/decisions/cursors.py
@@ -1,8 +1,8 @@
-"""Which endpoint holds an open cursor, under an id of the proxy's own.
+"""The table of open cursors: which endpoint holds each, under an id chosen by the proxy.
 
-Endpoints number their cursors independently, so two may use the same id: clients see ids drawn here, and an
-id that was not given out, is closed, or belongs to another namespace finds nothing. The table is bounded and
-idle cursors expire; whatever is evicted is returned, so that its endpoint can be told to close it.
+Endpoints number their cursors independently, so two of them may use the same id. Clients see ids drawn here;
+an id that was never issued, is closed, or belongs to another namespace is not found. The table is bounded and
+idle cursors expire. Evicted cursors are returned, so that they can be closed at their endpoint.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-ID_BITS = 62  # positive in BSON's 64-bit integer, and not 0: the lowest bit is always set
+ID_BITS = 62  # positive as a BSON 64-bit integer; never 0, since the lowest bit is always set
 
 
 @dataclass(slots=True, frozen=True)
 class Cursor:
-    """An open cursor: the client's id, the endpoint's, and who holds it."""
+    """An open cursor: its id for the client, its endpoint, and its id there."""
 
     id: int
     endpoint: int
     endpoint_cursor_id: int
     namespace: str
-    last_used: float  # s of the clock
+    last_used: float  # s, of the caller's clock
 
 
 class CursorTable:
-    """All open cursors of one proxy instance, the least recently used first.
+    """All open cursors of one proxy instance, least recently used first.
 
-    `capacity` counts cursors; `idle_timeout` is in seconds.
+    `capacity` is the number of cursors; `idle_timeout` is in seconds.
     """
 
     def __init__(self, capacity: int, idle_timeout: float, seed: int) -> None:
-        """Make an empty table; `seed` decides the ids."""
+        """Create an empty table; `seed` determines the ids."""
         self.capacity = capacity
         self.idle_timeout = idle_timeout
         self.random = random.Random(seed)
@@ -42,7 +42,7 @@
     def open(
         self, endpoint: int, endpoint_cursor_id: int, namespace: str, now: float
     ) -> tuple[Cursor, list[Cursor]]:
-        """Add a cursor that an endpoint opened; returns it, and those evicted for it."""
+        """Add a cursor that an endpoint opened; return it and the cursors evicted for it."""
         evicted = self.expire(now)
         while len(self.cursors) >= self.capacity:
             evicted.append(self.cursors.popitem(last=False)[1])
@@ -57,7 +57,7 @@
         return cursor_id
 
     def use(self, cursor_id: int, namespace: str, now: float) -> Cursor | None:
-        """Find a cursor for its next batch and count it as used; None where there is none of that id."""
+        """Find a cursor for its next batch and mark it as used; return None if it is not found."""
         cursor = self.cursors.get(cursor_id)
         if cursor is None or cursor.namespace != namespace or now - cursor.last_used > self.idle_timeout:
             return None
@@ -67,18 +67,18 @@
         return cursor
 
     def close(self, cursor_id: int) -> Cursor | None:
-        """Close one cursor; returns it if it was open."""
+        """Close a cursor; return it if it was open."""
         return self.cursors.pop(cursor_id, None)
 
     def close_where(self, matches: Callable[[Cursor], bool]) -> list[Cursor]:
-        """Close all that match, as when an endpoint is lost and their rest cannot be read any more."""
+        """Close and return all matching cursors, for example of a lost endpoint that cannot continue them."""
         closed = [cursor for cursor in self.cursors.values() if matches(cursor)]
         for cursor in closed:
             del self.cursors[cursor.id]
         return closed
 
     def expire(self, now: float) -> list[Cursor]:
-        """Close those idle for too long; returns them."""
+        """Close and return the cursors that were idle for too long."""
         expired = []
         while self.cursors:
             oldest = next(iter(self.cursors.values()))
@@ -89,9 +89,9 @@
 
 
 def may_continue(draining_since: float | None, drain_grace: float, now: float) -> bool:
-    """Whether an endpoint that drains may still be asked for the next batch of a cursor it holds.
+    """Return whether the next batch of a cursor may still be requested from its endpoint.
 
-    Times are in seconds; `draining_since` is None for an endpoint that does not drain. Half of the grace is
-    left for what is in flight meanwhile.
+    Times are in seconds; `draining_since` is None for an endpoint that is not draining. Half of the grace
+    period is kept for requests already in flight.
     """
     return draining_since is None or now - draining_since < drain_grace / 2
--- a/sedgepitch/decisions/discovery/__init__.py
+++ b/sedgepitch/decisions/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery decisions: which watch streams to hold and which version of the endpoint list applies."""
+"""Discovery decisions: which watch streams to keep open and which version of the endpoint list applies."""
--- a/sedgepitch/decisions/discovery/list_versions.py
+++ b/sedgepitch/decisions/discovery/list_versions.py
@@ -1,16 +1,15 @@
-"""Which version of the endpoint list applies, as complete lists and changes arrive.
+"""Decides which version of the endpoint list applies as complete lists and changes arrive.
 
 Rules:
 
-* A change applies if its revision is newer than the one held; otherwise it has been applied before.
-* A complete list always applies, also with an older revision: the source may have lost its state, or another
-  source that lags behind may have taken its place.
+* A change applies if its revision is newer than the present one; otherwise it has been applied before.
+* A complete list always applies, even with an older revision: the source may have lost its state, or another
+  source that lags behind may have replaced it.
 * An endpoint that a newer revision reported as draining or removed stays draining while an older complete
-  list reports it as up, until it has restarted or a change names it. The older list knows nothing of the
-  drain; a request sent to a draining endpoint breaks a rule, one not sent costs capacity only.
+  list reports it as up, until it has restarted or a change names it. The older list does not contain the
+  drain. Sending a request to a draining endpoint breaks a rule; not sending one only costs capacity.
 * Sources name endpoints by strings, the router by integers. The integer is derived from the name alone, so
-  it is the same in each proxy instance and after each restart. It is kept while the name is listed or in
-  use.
+  it is the same in each proxy instance and after each restart. It is kept while the name is listed or in use.
 """
 
 from __future__ import annotations
@@ -26,9 +25,9 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveredEndpoint:
-    """One endpoint as a source lists it.
+    """One endpoint as listed by a source.
 
-    `started_at` is in seconds of the proxy's monotonic clock, 0 where the start was long ago.
+    `started_at` is in seconds of the proxy's monotonic clock, 0 if the start was long ago.
     """
 
     name: str
@@ -60,13 +59,13 @@
         self.ids: dict[str, int] = {}
         self.names: dict[int, str] = {}
         self.addresses: dict[int, Address] = {}
-        self.present: set[int] = set()  # listed, and not removed
-        self.departing: dict[str, float] = {}  # reported draining or removed -> `started_at` of that report
+        self.present: set[int] = set()  # ids of endpoints that are listed and not removed
+        self.departing: dict[str, float] = {}  # name -> `started_at` in the report of its drain or removal
 
     def apply(self, version: ListVersion, cached: bool = False) -> EndpointListUpdate | None:
         """Apply a version; return the update for the router, or None if it is not newer.
 
-        A cached list gives endpoints but no revision, since it may be out of date.
+        A cached list may be out of date, so its endpoints apply but its revision does not.
         """
         older = not cached and version.revision < self.revision
         if not cached:
@@ -84,7 +83,7 @@
         return EndpointListUpdate(entries, version.complete, cached)
 
     def forget(self, endpoint_id: int) -> None:
-        """Drop an endpoint that nothing uses any more, unless it is still listed."""
+        """Drop an endpoint that is no longer in use, unless it is still listed."""
         if endpoint_id in self.present or endpoint_id not in self.names:
             return
         name = self.names.pop(endpoint_id)
@@ -107,7 +106,7 @@
         )
 
     def _effective_state(self, endpoint: DiscoveredEndpoint, older: bool) -> EndpointState:
-        """Return the state that counts: a list with an older revision does not take back a drain."""
+        """Return the state to apply: a list with an older revision does not revoke a drain."""
         if endpoint.state is not EndpointState.UP:
             self.departing[endpoint.name] = endpoint.started_at
             return endpoint.state
@@ -118,7 +117,7 @@
         return endpoint.state
 
     def _id_of(self, name: str) -> int:
-        """Return the id of a name: its CRC-32, or the next free integer if another name has that one."""
+        """Return the id of a name: its CRC-32, or the next free integer if that is taken."""
         endpoint_id = self.ids.get(name)
         if endpoint_id is None:
             endpoint_id = crc32(name.encode("utf-8", "replace"))
--- a/sedgepitch/decisions/discovery/watch_streams.py
+++ b/sedgepitch/decisions/discovery/watch_streams.py
@@ -1,26 +1,28 @@
-"""Which watch streams on the endpoint list are held, when another is opened, and when one is closed.
+"""Decides when watch streams on the endpoint list are opened and closed.
 
 A watch stream is a connection on which the source sends changes, and a heartbeat at least every
-HEARTBEAT_INTERVAL_S. The stream that sent something last is the active one. Streams opened since, which have
-sent nothing yet, are candidates. The invariant: an active stream is closed only after a candidate has sent
-something, so there is no moment without a stream on which changes can arrive.
+HEARTBEAT_INTERVAL_S. The stream that sent something last is the active one. Streams opened since then that
+have sent nothing yet are candidates. The invariant: an active stream is closed only after a candidate has
+sent something, so that changes can arrive at any moment.
 
 ==================  ==========================================================================================
 event               decision
 ==================  ==========================================================================================
-silence             the active stream sent nothing for HEARTBEAT_TIMEOUT_S: a candidate is opened beside it,
-                    from the revision held
-candidate timeout   the newest candidate is not answered within RESPONSE_TIMEOUT_S, or was and has been silent
-                    for HEARTBEAT_TIMEOUT_S: another is opened. Of more than MAX_CANDIDATES the oldest is
-                    closed, so a source that is down is tried at a steady rate by few connections
+silence             the active stream sent nothing for HEARTBEAT_TIMEOUT_S: open a candidate beside it, from
+                    the present revision
+candidate timeout   the newest candidate got no response within RESPONSE_TIMEOUT_S, or has been silent for
+                    HEARTBEAT_TIMEOUT_S since: open another. Beyond MAX_CANDIDATES the oldest is closed, so
+                    that a source that is down is tried at a steady rate with few connections
 heartbeat           the candidate becomes active; the previous active stream and older candidates are closed
-lost                with another candidate open nothing is opened; else one is, after a backoff that doubles
-                    from BACKOFF_MIN_S to BACKOFF_MAX_S, and is 0 after a stream that lived an interval
-source moved        a candidate is opened at the new address at once; the active stream stays until then
+lost                with another candidate open, nothing is opened; otherwise a stream is opened after a
+                    backoff that doubles from BACKOFF_MIN_S to BACKOFF_MAX_S. The backoff is 0 after an active
+                    stream that was open for at least HEARTBEAT_INTERVAL_S
+source moved        a candidate is opened at the new address at once; the active stream stays until the
+                    candidate has sent something
 ==================  ==========================================================================================
 
-The owner reads what has arrived before it asks about a silence, so a delay of this process is not taken for
-silence of the source. A source that is slow rather than silent gets a second stream.
+The owner reads the bytes that have arrived before it checks for silence, so a delay of this process is not
+taken for silence of the source. A source that is slow rather than silent gets a second stream.
 """
 
 from __future__ import annotations
@@ -31,8 +33,8 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-HEARTBEAT_INTERVAL_S = 2.0  # the platform sends an empty line each 2 s while nothing changes
-MAX_SILENT_INTERVALS = 1.5  # the platform allows three
+HEARTBEAT_INTERVAL_S = 2.0  # the platform sends an empty line every 2 s while nothing changes
+MAX_SILENT_INTERVALS = 1.5  # the platform allows up to 3
 HEARTBEAT_TIMEOUT_S = MAX_SILENT_INTERVALS * HEARTBEAT_INTERVAL_S
 RESPONSE_TIMEOUT_S = 1.0  # the source runs on this machine and answers at once
 MAX_CANDIDATES = 2
@@ -44,15 +46,15 @@
 @dataclass(slots=True)
 class _Stream:
     opened_at: float
-    last_activity: float  # `opened_at` until something has come
+    last_activity: float  # `opened_at` until something has arrived
     silence_limit_s: float  # after `last_activity`, until another candidate is opened
 
 
 class WatchStreams(Generic[Key]):
     """The watch streams of one source.
 
-    Performs no I/O. Times are seconds of one monotonic clock, passed in; keys are the owner's connections.
-    The owner opens a stream whenever `should_open` says so, and closes those that `opened`, `heartbeat` and
+    Performs no I/O. Times are passed in, in seconds of one monotonic clock; keys are the owner's connections.
+    The owner opens a stream whenever `should_open` is true, and closes those that `opened`, `heartbeat` and
     `source_moved` return.
     """
 
@@ -60,23 +62,23 @@
 
     def __init__(self) -> None:
         self.active: Key | None = None
-        self.candidates: list[Key] = []  # the oldest first
-        self.open_at = -NEVER  # when to open the next one for a loss or a move; NEVER if neither asks for one
+        self.candidates: list[Key] = []  # oldest first
+        self.open_at = -NEVER  # when to open the next one after a loss or a move; NEVER if none is due
         self._streams: dict[Key, _Stream] = {}
         self._backoff_s = 0.0
 
     def holds(self, key: Key) -> bool:
-        """Whether a stream is still held, so that what it sends counts."""
+        """Return whether a stream is still in use, so that its messages apply."""
         return key in self._streams
 
     def should_open(self, now: float) -> bool:
-        """Whether a stream is to be opened now."""
+        """Return whether a stream should be opened now."""
         return now >= self.next_open_at()
 
     def next_open_at(self) -> float:
-        """Return when the next stream is to be opened if nothing happens before; NEVER if none is."""
+        """Return when to open the next stream if no event occurs before; NEVER if none is due."""
         if self.open_at < NEVER:
-            return self.open_at  # also while the active one is silent: a source that refuses has its backoff
+            return self.open_at  # also while the active one is silent: the backoff applies to a refusal
         if self.candidates:
             newest = self._streams[self.candidates[-1]]
             return newest.last_activity + newest.silence_limit_s
@@ -85,21 +87,21 @@
         return self._streams[self.active].last_activity + HEARTBEAT_TIMEOUT_S
 
     def opened(self, key: Key, now: float) -> list[Key]:
-        """Record that a candidate is being opened; return the candidates to close for it."""
+        """Record that a candidate is being opened; return the candidates to close in exchange."""
         self.open_at = NEVER
         self._streams[key] = _Stream(now, now, RESPONSE_TIMEOUT_S)
         self.candidates.append(key)
         return self._remove(self.candidates[:-MAX_CANDIDATES])
 
     def response_started(self, key: Key, now: float) -> None:
-        """Record that the source accepted the watch; its first object or heartbeat may take an interval."""
+        """Record that the source accepted the watch; its first heartbeat may take a whole interval."""
         stream = self._streams.get(key)
         if stream is not None:
             stream.last_activity = now
             stream.silence_limit_s = HEARTBEAT_TIMEOUT_S
 
     def heartbeat(self, key: Key, now: float) -> list[Key]:
-        """Record an object or an empty line; return the streams to close, now that this one is active."""
+        """Record an object or an empty line, which makes this stream active; return the streams to close."""
         stream = self._streams.get(key)
         if stream is None:
             return []
@@ -113,13 +115,13 @@
         return self._remove(replaced)
 
     def partial_object(self, key: Key, started_at: float, now: float) -> None:
-        """Record part of an object begun at `started_at`; it counts as a heartbeat for a limited time."""
+        """Record part of an object that began at `started_at`; it is a heartbeat for a limited time."""
         stream = self._streams.get(key)
         if stream is not None and now - started_at < HEARTBEAT_TIMEOUT_S:
             stream.last_activity = now
 
     def lost(self, key: Key, now: float) -> None:
-        """Record that a stream ended, could not be opened, or sent what cannot be read."""
+        """Record that a stream ended, could not be opened, or sent malformed data."""
         stream = self._streams.pop(key, None)
         if stream is None:
             return
@@ -129,20 +131,20 @@
         else:
             self.candidates.remove(key)
         if self.candidates:
-            return  # the newest has a timeout of its own
+            return  # the timeout of the newest candidate applies
         if was_active and now - stream.opened_at >= HEARTBEAT_INTERVAL_S:
             self._backoff_s = 0.0
         self.open_at = min(self.open_at, now + self._backoff_s)
         self._backoff_s = min(max(BACKOFF_MIN_S, 2.0 * self._backoff_s), BACKOFF_MAX_S)
 
     def source_moved(self) -> list[Key]:
-        """Record that the source moved; return the candidates to close, opened at the old address."""
+        """Record that the source moved; return the candidates at the old address, to be closed."""
         self.open_at = -NEVER
         self._backoff_s = 0.0
         return self._remove(list(self.candidates))
 
     def all(self) -> list[Key]:
-        """Return all streams that are held."""
+        """Return all streams in use."""
         return list(self._streams)
 
     def _remove(self, keys: list[Key]) -> list[Key]:
--- a/sedgepitch/decisions/request_classes.py
+++ b/sedgepitch/decisions/request_classes.py
@@ -1,8 +1,8 @@
 """Which request class a command belongs to, and how fresh its data must be.
 
-A class states an idempotency and a freshness. A command may ask for more and never gets less: each class has
-variants beside it, `name/fresh`, `name/session` and `name/unsafe`, which differ in that one property alone,
-so that the router's limits work on the same figures. Rules are compiled once; the first match in order wins.
+A class states an idempotency and a freshness. A command may require more and never gets less: each class has
+the variants `name/fresh`, `name/session` and `name/unsafe`, each of which differs in that one property, so
+that the router's limits use the same figures. Rules are compiled once; the first matching rule applies.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandFacts:
-    """What a protocol read off a command; no values of the data itself."""
+    """The properties of a command that a protocol extracts; no values of its data."""
 
     database: str
     collection: str
     command: str
     writes: bool
-    keyed: bool = False  # it carries an idempotency key, by which endpoints drop repeats
+    keyed: bool = False  # has an idempotency key, by which endpoints drop duplicates
     comment: str = ""
-    read_preference: str = ""  # the mode, "" where the client stated none
-    read_concern: str = ""  # the level, "" where the client stated none
+    read_preference: str = ""  # the mode, "" if the client set none
+    read_concern: str = ""  # the level, "" if the client set none
     max_staleness: float | None = None  # s
     app_name: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Match:
-    """What a command must look like: shell patterns, all of which must match.
+    """Shell patterns for the properties of a command, all of which must match.
 
-    The one list of what settings may match on: `config/models.py` takes it as it stands.
+    Its fields are the keys that settings may match on: `config/models.py` uses this class as it is.
     """
 
     database: str = ANYTHING
@@ -53,12 +53,12 @@
     read_concern: str = ANYTHING
     app_name: str = ANYTHING
 
-    __pydantic_config__: ClassVar[dict[str, str]] = {"extra": "forbid"}  # unknown keys are mistakes
+    __pydantic_config__: ClassVar[dict[str, str]] = {"extra": "forbid"}  # unknown keys are errors
 
 
 @dataclass(slots=True, frozen=True)
 class ClassRule:
-    """One match of a class."""
+    """One match of a request class."""
 
     class_name: str
     match: Match = field(default_factory=Match)
@@ -69,7 +69,7 @@
     """The class variant that a command belongs to."""
 
     class_name: str
-    session_age: float = 0.0  # s since the last commit that the read must see, 0 where there is none
+    session_age: float = 0.0  # s since the last commit that the read must see, 0 if there is none
 
 
 def variants(classes: Iterable[RequestClass]) -> tuple[RequestClass, ...]:
@@ -93,8 +93,8 @@
     cls: RequestClass
     patterns: tuple[tuple[str, re.Pattern[str]], ...]  # (field of CommandFacts, pattern)
 
-    def fits(self, facts: CommandFacts) -> bool:
-        """Whether the command is a write or read as the class is, and all patterns match."""
+    def matches(self, facts: CommandFacts) -> bool:
+        """Return whether class and command are both writes or both reads, and all patterns match."""
         if (self.cls.freshness is Freshness.WRITE) is not facts.writes:
             return False
         return all(pattern.match(getattr(facts, name)) for name, pattern in self.patterns)
@@ -103,7 +103,7 @@
 class Classifier:
     """The compiled rules of one set of classes.
 
-    Raises ValueError where a rule names a class that is not there, or no class takes what no rule matches.
+    Raises ValueError if a rule names an unknown class.
     """
 
     def __init__(self, classes: Sequence[RequestClass], rules: Sequence[ClassRule]) -> None:
@@ -115,7 +115,7 @@
 
     def _compile(self, rule: ClassRule) -> _CompiledRule:
         if rule.class_name not in self.classes:
-            raise ValueError(f"a match names the class '{rule.class_name}', which is not there")
+            raise ValueError(f"a match names the class '{rule.class_name}', which is not defined")
         patterns = tuple(
             (part.name, re.compile(translate(pattern)))
             for part in fields(Match)
@@ -124,15 +124,15 @@
         return _CompiledRule(self.classes[rule.class_name], patterns)
 
     def find(self, facts: CommandFacts) -> RequestClass | None:
-        """Return the first class whose match fits; None where none does: such a command is rejected.
+        """Return the class of the first matching rule; None if none matches: the command is then rejected.
 
-        A write fits only classes of writes, and a read only the others: a rule that would send a write the
-        way of reads matches nothing.
+        A write matches only classes of writes, and a read only the others: a rule that would route a write
+        like a read matches nothing.
         """
         if facts in self._cache:
             return self._cache[facts]
-        found = next((rule.cls for rule in self.rules if rule.fits(facts)), None)
-        if len(self._cache) >= CACHED_COMMANDS_MAX:  # comments may differ in each command
+        found = next((rule.cls for rule in self.rules if rule.matches(facts)), None)
+        if len(self._cache) >= CACHED_COMMANDS_MAX:  # each command may have a different comment
             self._cache.clear()
         self._cache[facts] = found
         return found
@@ -140,10 +140,10 @@
     def choose_variant(
         self, cls: RequestClass, facts: CommandFacts, time_left: float, session_age: float | None
     ) -> ClassifiedCommand:
-        """Return the variant for this command, by the strictest of class, preference, concern and session.
+        """Return the variant for this command: the strictest of class, preference, concern and session.
 
-        `time_left` is in seconds. `session_age` is how long ago, in seconds, the newest commit was made that
-        the read must see, None for no such commit.
+        `time_left` is in seconds. `session_age` is the age in seconds of the newest commit that the read must
+        see, None if there is no such commit.
         """
         if cls.freshness is Freshness.WRITE:
             unsafe = cls.idempotency is Idempotency.KEYED and not facts.keyed
@@ -164,10 +164,10 @@
     def _required_age(
         cls: RequestClass, facts: CommandFacts, time_left: float, session_age: float | None
     ) -> float | None:
-        """Return how old the data may be in seconds, None where the class's own freshness says all.
+        """Return the maximum age of the data in seconds, None if the class's own freshness is enough.
 
-        A bounded read that must see a commit as well is held to the stricter of both; its bound is counted
-        from the latest moment at which it may still be sent.
+        If a bounded read must also see a commit, the stricter condition applies. The bound counts from the
+        latest time at which the read may still be sent.
         """
         ages = [] if session_age is None else [session_age]
         bound = cls.max_staleness if cls.freshness is Freshness.BOUNDED else None
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -135,7 +135,7 @@
     plain = [float(at) for at, optime in pairs if optime <= asked]
     assert observations.position_of((asked, 0)) == (max(plain) if plain else None)
     assert observations.optimes == sorted(set(observations.optimes))
-    assert observations.last_asked == sorted(observations.last_asked)
+    assert observations.last_sent == sorted(observations.last_sent)
 
 
 class Truth:
