--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: fair shares, reservations, bounds; alone, in virtual time, and before the router."""
+"""Admission control: fair shares, reservations and bounds, in virtual time and in front of the router."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class Fleet:
-    """Servers behind admission control in virtual time: admitted requests go to a free server, else wait."""
+    """Servers behind admission control in virtual time: an admitted request takes a free server or waits."""
 
     def __init__(self, admission: AdmissionController, servers: int, rng: random.Random) -> None:
         self.admission, self.free, self.rng, self.now = admission, servers, rng, 0.0
-        self.inside: list[tuple[int, float]] = []
+        self.waiting: list[tuple[int, float]] = []
         self.heap: list[tuple[float, int, str, object]] = []
         self.order = 0
         self.cost: dict[int, float] = {}
@@ -40,44 +40,44 @@
         self.used: dict[str, float] = {}
         self.max_queued = 0
 
-    def at(self, when: float, what: str, item: object) -> None:
+    def schedule(self, when: float, kind: str, item: object) -> None:
         self.order += 1
-        heapq.heappush(self.heap, (when, self.order, what, item))
+        heapq.heappush(self.heap, (when, self.order, kind, item))
 
-    def ask(self, when: float, request: AdmissionRequest, cost: float) -> None:
+    def submit(self, when: float, request: AdmissionRequest, cost: float) -> None:
         self.cost[request.id], self.tenant[request.id] = cost, request.tenant
-        self.at(when, "ask", request)
+        self.schedule(when, "arrive", request)
 
-    def take(self, decisions) -> None:
+    def apply(self, decisions) -> None:
         for decision in decisions:
             self.decisions.setdefault(decision.id, []).append(decision)
             if isinstance(decision, Admit):
-                self.inside.append((decision.id, self.now))
-        while self.free and self.inside:
-            number, _ = self.inside.pop(0)
+                self.waiting.append((decision.id, self.now))
+        while self.free and self.waiting:
+            number, _ = self.waiting.pop(0)
             self.free -= 1
-            self.at(self.now + self.cost[number], "done", number)
-            self.take(self.admission.sent(number, self.now))
+            self.schedule(self.now + self.cost[number], "done", number)
+            self.apply(self.admission.sent(number, self.now))
 
     def run(self, until: float) -> None:
-        ticks = 0.0
+        next_tick = 0.0
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, what, item = heapq.heappop(self.heap)
-            if self.now > ticks:
-                ticks = self.now + 0.01
-                self.take(self.admission.tick(self.now))
-            if what == "ask":
-                self.take(self.admission.arrive(item, self.now))
+            self.now, _, kind, item = heapq.heappop(self.heap)
+            if self.now > next_tick:
+                next_tick = self.now + 0.01
+                self.apply(self.admission.tick(self.now))
+            if kind == "arrive":
+                self.apply(self.admission.arrive(item, self.now))
             else:
                 self.free += 1
                 tenant = self.tenant[item]
                 self.used[tenant] = self.used.get(tenant, 0.0) + self.cost[item]
-                self.take(self.admission.ended(item, self.now, True))
+                self.apply(self.admission.ended(item, self.now, True))
             self.max_queued = max(self.max_queued, self.admission.queued)
 
 
 def flood(rates: dict[str, float], cost, seconds=20.0, servers=4, seed=1, **changes) -> Fleet:
-    """Tenants that ask at these rates; `cost` gives a request's true cost by tenant."""
+    """Run tenants that send requests at these rates; `cost` gives a request's true cost by tenant."""
     rng = random.Random(seed)
     fleet = Fleet(AdmissionController(AdmissionSettings(**changes), seed, 0.0), servers, rng)
     number = 0
@@ -86,7 +86,7 @@
         while (when := when + rng.expovariate(rate)) < seconds:
             number += 1
             client = f"{tenant}-{number % 3}"
-            fleet.ask(when, arrival(number, tenant, client=client), cost(tenant))
+            fleet.submit(when, arrival(number, tenant, client=client), cost(tenant))
     fleet.run(seconds)
     return fleet
 
@@ -96,28 +96,28 @@
     return {tenant: used / total for tenant, used in sorted(fleet.used.items())}
 
 
-def test_a_tenant_at_ten_times_its_quota_leaves_the_others_theirs():
-    got = shares(flood({"noisy": 4000.0, "b": 400.0, "c": 400.0}, lambda t: 0.01))
-    assert all(abs(share - 1 / 3) < 0.05 / 3 for share in got.values()), got
+def test_a_tenant_at_ten_times_its_quota_does_not_reduce_the_shares_of_others():
+    result = shares(flood({"noisy": 4000.0, "b": 400.0, "c": 400.0}, lambda t: 0.01))
+    assert all(abs(share - 1 / 3) < 0.05 / 3 for share in result.values()), result
 
 
-def test_weights_count():
-    got = shares(flood({"a": 900.0, "b": 900.0}, lambda t: 0.01, tenant_weights={"a": 3.0}))
-    assert got["a"] == pytest.approx(0.75, abs=0.03)
+def test_shares_follow_tenant_weights():
+    result = shares(flood({"a": 900.0, "b": 900.0}, lambda t: 0.01, tenant_weights={"a": 3.0}))
+    assert result["a"] == pytest.approx(0.75, abs=0.03)
 
 
-def test_shares_go_by_measured_cost_not_by_count():
-    got = shares(flood({"dear": 300.0, "cheap": 3000.0}, lambda t: 0.05 if t == "dear" else 0.005))
-    assert got["dear"] == pytest.approx(0.5, abs=0.05), got
+def test_shares_follow_measured_cost_not_request_count():
+    result = shares(flood({"dear": 300.0, "cheap": 3000.0}, lambda t: 0.05 if t == "dear" else 0.005))
+    assert result["dear"] == pytest.approx(0.5, abs=0.05), result
 
 
-def test_quota_that_one_tenant_does_not_use_goes_to_the_others():
+def test_unused_quota_of_one_tenant_goes_to_the_others():
     fleet = flood({"small": 20.0, "big": 2000.0}, lambda t: 0.01)
     assert fleet.used["small"] > 0.95 * 20 * 20 * 0.01 * 0.9
     assert sum(fleet.used.values()) > 0.95 * 4 * 20
 
 
-def test_ten_noisy_of_a_thousand_tenants():
+def test_ten_noisy_tenants_do_not_starve_990_quiet_ones():
     rates = {f"t{n}": (400.0 if n < 10 else 0.2) for n in range(1000)}
     fleet = flood(rates, lambda t: 0.01, seconds=10.0)
     quiet = [n for n, tenant in fleet.tenant.items() if int(tenant[1:]) >= 10]
@@ -127,7 +127,7 @@
     assert min(noisy) > 0.9 * max(noisy)
 
 
-def test_memory_stays_flat_over_ten_thousand_clients_that_ask_once():
+def test_memory_stays_bounded_over_ten_thousand_tenants_with_one_request_each():
     rng = random.Random(1)
     fleet = Fleet(
         AdmissionController(
@@ -137,7 +137,7 @@
         rng,
     )
     for number in range(10_000):
-        fleet.ask(number / 2000.0, arrival(number, f"t{number}"), 0.01)
+        fleet.submit(number / 2000.0, arrival(number, f"t{number}"), 0.01)
     fleet.run(60.0)
     admission = fleet.admission
     assert fleet.max_queued <= 200
@@ -155,9 +155,9 @@
     fleet = Fleet(AdmissionController(AdmissionSettings(), 3, 0.0), 4, rng)
     number, reserved_at, served = 0, {}, 0
     when = 0.0
-    while (when := when + rng.expovariate(800.0)) < 12.0:  # twice what the fleet can do
+    while (when := when + rng.expovariate(800.0)) < 12.0:  # twice the capacity of the fleet
         number += 1
-        fleet.ask(when, arrival(number, f"t{number % 20}", reservation_token=f"m{number}"), 0.01)
+        fleet.submit(when, arrival(number, f"t{number % 20}", reservation_token=f"m{number}"), 0.01)
     due: list[tuple[float, str, str]] = []
     for second in range(1, 1500):
         fleet.run(second * 0.01)
@@ -166,22 +166,22 @@
                 if isinstance(decision, Reject) and decision.retry_after > 0 and n not in reserved_at:
                     reserved_at[n] = fleet.now + decision.retry_after
                     number += 1
-                    again = arrival(number, fleet.tenant[n], reservation_token=f"m{n}", time_left=0.5)
-                    fleet.ask(reserved_at[n] + 0.01, again, 0.01)
+                    retry = arrival(number, fleet.tenant[n], reservation_token=f"m{n}", time_left=0.5)
+                    fleet.submit(reserved_at[n] + 0.01, retry, 0.01)
                     due.append((reserved_at[n], number, n))
-    back = [new for at, new, _ in due if at < 13.0]
-    served = sum(isinstance(fleet.decisions[new][0], Admit) for new in back)
-    assert len(back) > 500
-    assert served / len(back) >= 0.95
+    retries = [new for at, new, _ in due if at < 13.0]
+    served = sum(isinstance(fleet.decisions[new][0], Admit) for new in retries)
+    assert len(retries) > 500
+    assert served / len(retries) >= 0.95
 
 
-def test_a_reservation_holds_in_its_slot_not_before_and_once():
+def test_a_reservation_is_valid_once_and_not_before_its_slot():
     schedule = ReservationSchedule(100, 5.0, 1)
-    assert schedule.reserve("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # no rate known yet
+    assert schedule.reserve("x", "t", 0.01, 1.0, 0.0, 10.0) is None  # the service rate is unknown
     schedule.update_rate(1.0, 10.0)
     retry_after = schedule.reserve("x", "t", 0.01, 1.0, 0.2, 10.0)
     assert 0.2 <= retry_after <= 0.2 + 3 * SLOT_S
-    assert not schedule.redeem("x", 10.0 + 0.05)  # early: no advantage, and the reservation stays
+    assert not schedule.redeem("x", 10.0 + 0.05)  # too early: rejected, but the reservation stays
     assert schedule.redeem("x", 10.0 + retry_after)
     assert not schedule.redeem("x", 10.0 + retry_after)
     late = schedule.reserve("y", "t", 0.01, 1.0, 0.2, 10.0)
@@ -207,7 +207,7 @@
     assert schedule.revoked == before - len(schedule.reservations)
 
 
-def test_a_tenant_that_is_rejected_most_reserves_no_more_than_its_quota():
+def test_a_tenant_with_many_rejections_reserves_no_more_than_its_quota():
     schedule = ReservationSchedule(10_000, 2.0, 1)
     schedule.update_rate(4.0, 0.0)
     for n in range(2000):
@@ -223,17 +223,17 @@
         max_size=100,
     )
 )
-def test_the_sums_of_a_reservation_schedule_always_add_up(steps):
+def test_the_totals_of_a_reservation_schedule_are_consistent(steps):
     schedule, now = ReservationSchedule(30, 2.0, 1), 0.0
-    for tenant, cost, passed, what in steps:
-        now += passed
-        if what == 0:
+    for tenant, cost, elapsed, action in steps:
+        now += elapsed
+        if action == 0:
             schedule.update_rate(cost * 100, now)
-        elif what < 4:
-            retry_after = schedule.reserve(f"{tenant}{what}", tenant, cost, 0.5, passed, now)
+        elif action < 4:
+            retry_after = schedule.reserve(f"{tenant}{action}", tenant, cost, 0.5, elapsed, now)
             assert retry_after is None or 0 < retry_after <= 2.0 + SLOT_S
         else:
-            schedule.redeem(f"{tenant}{what - 3}", now)
+            schedule.redeem(f"{tenant}{action - 3}", now)
         assert len(schedule.reservations) <= 30
         assert sum(schedule.reserved_cost.values()) == pytest.approx(
             sum(p.cost for p in schedule.reservations)
@@ -245,14 +245,14 @@
         assert sum(map(len, schedule.by_token.values())) == len(schedule.reservations)
 
 
-def test_retries_stay_within_their_budget_when_everything_fails():
+def test_retries_stay_within_the_budget_when_all_requests_fail():
     admission, now, admitted = AdmissionController(AdmissionSettings(), 1, 0.0), 0.0, 0
     for number in range(500):
         now += 0.002
         admission.arrive(arrival(number, idempotency_key=f"m{number}"), now)
         admission.sent(number, now)
         admission.ended(number, now + 0.001, False)
-    for number in range(500, 1500):  # all of them come back twice, at once
+    for number in range(500, 1500):  # each is retried twice, at once
         now += 0.0001
         decisions = admission.arrive(arrival(number, idempotency_key=f"m{number % 500}"), now)
         if isinstance(decisions[0], Admit):
@@ -262,22 +262,22 @@
     assert admitted <= 0.2 * 500 + 6
 
 
-def test_new_requests_of_a_client_are_not_taken_for_retries():
+def test_new_requests_of_a_client_do_not_count_as_retries():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
-    for number in range(300):  # one connection, no key, all refused inside
+    for number in range(300):  # one connection, no idempotency key, all rejected by the router
         admission.arrive(arrival(number, reservation_token="one connection"), number * 0.001)
         admission.ended(number, number * 0.001, False)
     assert isinstance(admission.arrive(arrival(1000, reservation_token="one connection"), 0.4)[0], Admit)
 
 
-def test_a_request_that_cannot_be_reached_in_time_is_rejected_at_once():
+def test_a_request_that_could_not_be_admitted_in_time_is_rejected_at_once():
     fleet = flood({"a": 2000.0}, lambda t: 0.01, seconds=5.0)
     late = fleet.admission.arrive(arrival(10**6, "a", client="a-0", time_left=0.001), fleet.now)
     assert isinstance(late[0], Reject)
     assert late[0].why == "its turn would come too late"
 
 
-def test_the_allowance_falls_with_rejections_in_the_router_and_grows_again():
+def test_the_allowance_falls_after_rejections_in_the_router_and_recovers():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     for number in range(40):
         admission.arrive(arrival(number), 0.0)
@@ -298,13 +298,13 @@
     )
     for number in range(22):
         admission.arrive(arrival(number, "noisy", priority_weight=1.0 if number % 2 else 6.0), 0.0)
-    out = admission.arrive(arrival(100, "quiet"), 0.0)
-    assert [type(d) for d in out] == [Reject]
-    assert out[0].id % 2 == 1  # priority weight 1
+    decisions = admission.arrive(arrival(100, "quiet"), 0.0)
+    assert [type(d) for d in decisions] == [Reject]
+    assert decisions[0].id % 2 == 1  # priority weight 1
     assert admission.queued == 20
 
 
-def test_new_weights_lose_nothing_that_is_queued():
+def test_a_reload_of_weights_keeps_queued_requests():
     admission = AdmissionController(
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, 0.0
     )
@@ -327,78 +327,78 @@
     ),
     st.lists(st.floats(0.5, 4.0), min_size=5, max_size=5),
 )
-def test_no_queued_tenant_falls_behind_another_by_more_than_a_request_each(plan, weights):
-    queue, used, number, most = FairQueue(1000), [0.0] * 5, 0, 0.05
-    held = {}
-    for tenant in range(5):  # all five wait from the beginning, and always have enough
+def test_costs_by_weight_of_queued_tenants_differ_by_at_most_a_request_each(plan, weights):
+    queue, used, number, max_cost = FairQueue(1000), [0.0] * 5, 0, 0.05
+    requests = {}
+    for tenant in range(5):  # all five have requests queued throughout
         for _ in range(200):
             number += 1
             cost = plan[number % len(plan)][2] if plan else 0.01
-            held[number] = QueuedRequest(number, str(tenant), "c", 1.0, cost, weights[tenant])
-            queue.push(held[number])
+            requests[number] = QueuedRequest(number, str(tenant), "c", 1.0, cost, weights[tenant])
+            queue.push(requests[number])
     for _ in range(300):
         if min(t.length for t in queue.tenants.values()) < 2 or len(queue.tenants) < 5:
             break
-        taken = queue.pop()
-        used[int(taken.tenant)] += taken.cost
+        request = queue.pop()
+        used[int(request.tenant)] += request.cost
         for one in range(5):
             for other in range(5):
-                apart = abs(used[one] / weights[one] - used[other] / weights[other])
-                assert apart <= most / weights[one] + most / weights[other] + 1e-9
+                difference = abs(used[one] / weights[one] - used[other] / weights[other])
+                assert difference <= max_cost / weights[one] + max_cost / weights[other] + 1e-9
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 2**32))
 def test_each_request_is_decided_once_and_the_same_calls_give_the_same_decisions(seed):
-    def day() -> tuple[dict, int]:
+    def run() -> tuple[dict, int]:
         rng = random.Random(seed)
         admission = AdmissionController(
             AdmissionSettings(max_queued=15, max_waiting_in_router=3, max_reservations=20), seed, 0.0
         )
-        now, open_, decided = 0.0, {}, {}
+        now, states, decided = 0.0, {}, {}
 
-        def take(decisions):
+        def apply(decisions):
             for decision in decisions:
                 decided.setdefault(decision.id, []).append(decision)
                 if isinstance(decision, Admit):
-                    assert open_[decision.id] == "queued"
-                    open_[decision.id] = "in"
+                    assert states[decision.id] == "queued"
+                    states[decision.id] = "admitted"
                 else:
-                    assert open_.pop(decision.id) == "queued"
+                    assert states.pop(decision.id) == "queued"
 
         for number in range(120):
             now += rng.choice([0.0, 0.001, 0.02, 0.5, -0.1 if rng.random() < 0.05 else 0.0])
             now = max(now, 0.0)
-            open_[number] = "queued"
+            states[number] = "queued"
             token = f"m{rng.randrange(30)}"
             changes = {"priority_weight": rng.choice([1.0, 6.0]), "time_left": rng.choice([0.01, 0.3, 2.0])}
-            take(
+            apply(
                 admission.arrive(
                     arrival(number, f"t{rng.randrange(5)}", reservation_token=token, **changes), now
                 )
             )
-            for other in list(open_):
+            for other in list(states):
                 draw = rng.random()
-                if draw < 0.1 and open_.get(other) == "in":
-                    take(admission.sent(other, now))
-                elif draw < 0.2 and other in open_:
-                    del open_[other]
-                    take(admission.ended(other, now, rng.random() < 0.8))
-            take(admission.tick(now))
-            assert admission.queued == sum(state == "queued" for state in open_.values()) <= 15
-            assert set(admission.requests) == set(open_)
-        return decided, len(open_)
+                if draw < 0.1 and states.get(other) == "admitted":
+                    apply(admission.sent(other, now))
+                elif draw < 0.2 and other in states:
+                    del states[other]
+                    apply(admission.ended(other, now, rng.random() < 0.8))
+            apply(admission.tick(now))
+            assert admission.queued == sum(state == "queued" for state in states.values()) <= 15
+            assert set(admission.requests) == set(states)
+        return decided, len(states)
 
-    assert day() == day()
+    assert run() == run()
 
 
-def test_a_queued_request_gets_one_final_answer_like_any_other():
+def test_each_queued_request_gets_exactly_one_final_answer():
     proxy = MongodbProxy()
     proxy.engine.admission = AdmissionController(
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, proxy.clock.now()
     )
     for endpoint in proxy.engine.router.endpoints.values():
-        endpoint.concurrency_limit = 0.0  # the router has capacity nowhere
+        endpoint.concurrency_limit = 0.0  # the router can send nothing
     answers = []
     for number in range(8):
         command = ClientRequest(
@@ -417,7 +417,7 @@
     assert not proxy.engine.admission.requests
 
 
-def test_a_client_that_disconnects_while_queued_is_forgotten():
+def test_a_request_whose_client_disconnects_is_removed_from_the_queue():
     proxy = MongodbProxy()
     proxy.engine.admission = AdmissionController(
         AdmissionSettings(max_waiting_in_router=2, max_admitted_per_turn=2), 1, proxy.clock.now()
@@ -435,7 +435,7 @@
     assert pending[3].id not in proxy.engine.admission.requests
 
 
-def test_each_key_of_the_door_part_reaches_its_setting():
+def test_each_key_of_the_door_section_sets_its_field():
     keys = {
         "weights": ("tenant_weights", {"a": 3.0}),
         "default_weight": ("default_weight", 2.5),
--- a/tests/test_admission_objectives.py
+++ b/tests/test_admission_objectives.py
@@ -1,4 +1,4 @@
-"""Admission by latency objective: tenants under their quota against water-filling, in virtual time."""
+"""Admission control with latency objectives, compared with water-filling, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 LATENCY_OBJECTIVE_S = 0.2
 
 
-class Timed(Fleet):
-    """A fleet that notes when each request came and was answered, and whose endpoints may slow down."""
+class TimedFleet(Fleet):
+    """A fleet that records the arrival time and latency of each request."""
 
     def __init__(self, admission: AdmissionController, servers: int, rng: random.Random) -> None:
         super().__init__(admission, servers, rng)
-        self.came: dict[int, float] = {}
-        self.took: dict[int, float] = {}
+        self.arrived_at: dict[int, float] = {}
+        self.latency: dict[int, float] = {}
 
-    def ask(self, when: float, request, cost: float) -> None:
-        super().ask(when, request, cost)
-        self.came[request.id] = when
+    def submit(self, when: float, request, cost: float) -> None:
+        super().submit(when, request, cost)
+        self.arrived_at[request.id] = when
 
     def run(self, until: float) -> None:
         ended = self.admission.ended
 
-        def noted(number, now, served, received_at=0.0):
-            self.took[number] = now - self.came[number]
+        def record_and_end(number, now, served, received_at=0.0):
+            self.latency[number] = now - self.arrived_at[number]
             return ended(number, now, served, received_at)
 
-        self.admission.ended = noted
+        self.admission.ended = record_and_end
         super().run(until)
 
 
-def play(rates, cost=lambda now: 0.01, seconds=20.0, servers=5, seed=1, **changes) -> Timed:
-    """`rates` gives each tenant's rate by the present time; `cost` the members' time for a request then."""
+def play(rates, cost=lambda now: 0.01, seconds=20.0, servers=5, seed=1, **changes) -> TimedFleet:
+    """Run tenants; `rates` gives each one's rate by time, `cost` the service time of a request by time."""
     rng = random.Random(seed)
-    fleet = Timed(AdmissionController(AdmissionSettings(**changes), seed, 0.0), servers, rng)
+    fleet = TimedFleet(AdmissionController(AdmissionSettings(**changes), seed, 0.0), servers, rng)
     number = 0
     for tenant, rate in rates.items():
         when = 0.0
@@ -59,97 +59,98 @@
                 time_left=0.8,
                 latency_objective=LATENCY_OBJECTIVE_S,
             )
-            fleet.ask(when, request, cost(when) * rng.uniform(0.8, 1.2))
+            fleet.submit(when, request, cost(when) * rng.uniform(0.8, 1.2))
     fleet.run(seconds + 1.0)
     return fleet
 
 
-def in_time(fleet: Timed, tenant: str, since: float = 2.0) -> float:
-    """Share of a tenant's requests, asked from then on, that were answered within the objective."""
-    asked = [n for n, t in fleet.tenant.items() if t == tenant and fleet.came[n] >= since]
-    return sum(fleet.took.get(n, 9.0) <= LATENCY_OBJECTIVE_S for n in asked) / len(asked)
+def share_in_time(fleet: TimedFleet, tenant: str, since: float = 2.0) -> float:
+    """Return the share of a tenant's requests from `since` on that were answered within the objective."""
+    requests = [n for n, t in fleet.tenant.items() if t == tenant and fleet.arrived_at[n] >= since]
+    return sum(fleet.latency.get(n, 9.0) <= LATENCY_OBJECTIVE_S for n in requests) / len(requests)
 
 
-def of_served(fleet: Timed, since: float = 2.0) -> float:
-    """Share of what was served, from then on, that was served within the objective."""
-    took = [took for n, took in fleet.took.items() if fleet.came[n] >= since]
-    return sum(t <= LATENCY_OBJECTIVE_S for t in took) / len(took)
+def share_of_served_in_time(fleet: TimedFleet, since: float = 2.0) -> float:
+    """Return the share of the answers to requests from `since` on that met the objective."""
+    latencies = [latency for n, latency in fleet.latency.items() if fleet.arrived_at[n] >= since]
+    return sum(t <= LATENCY_OBJECTIVE_S for t in latencies) / len(latencies)
 
 
 def water_level(rates: dict[str, float], capacity: float) -> float:
-    """The fluid reference: each gets what it asks, or the level at which the capacity is used up."""
-    left, asks = capacity, sorted(rates.values())
-    for count, ask in enumerate(asks):
-        level = left / (len(asks) - count)
-        if ask > level:
+    """Return the level at which the capacity is used up if each tenant gets its demand or the level."""
+    remaining, demands = capacity, sorted(rates.values())
+    for count, demand in enumerate(demands):
+        level = remaining / (len(demands) - count)
+        if demand > level:
             return level
-        left -= ask
-    return max(asks)
+        remaining -= demand
+    return max(demands)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_tenants_under_the_water_level_are_served_in_time_and_little_is_served_late(seed):
+def test_tenants_below_the_water_level_are_served_in_time_and_few_answers_are_late(seed):
     rates = {"public": 1600.0, "a": 120.0, "b": 120.0, "c": 40.0}
     fleet = play({t: lambda now, r=r: r for t, r in rates.items()}, seed=seed)
     level = water_level(rates, 500.0)
     assert level == pytest.approx(220.0)
     for tenant in ("a", "b", "c"):
-        assert in_time(fleet, tenant) > 0.95, tenant
-    assert of_served(fleet) > 0.9
-    served = sum(fleet.tenant[n] == "public" for n in fleet.took if fleet.came[n] >= 2.0) / 18.0
+        assert share_in_time(fleet, tenant) > 0.95, tenant
+    assert share_of_served_in_time(fleet) > 0.9
+    served = sum(fleet.tenant[n] == "public" for n in fleet.latency if fleet.arrived_at[n] >= 2.0) / 18.0
     assert served > 0.9 * level
 
 
 def test_a_tenant_that_alternates_between_idle_and_burst_gets_no_more_than_its_quota():
     fleet = play({"public": lambda now: 1600.0, "waves": lambda now: 900.0 if now % 2 < 0.5 else 0.0})
     served = {
-        t: sum(fleet.tenant[n] == t for n in fleet.took if fleet.came[n] >= 2.0) for t in ("public", "waves")
+        t: sum(fleet.tenant[n] == t for n in fleet.latency if fleet.arrived_at[n] >= 2.0)
+        for t in ("public", "waves")
     }
-    # A quarter of the time half of the capacity, and what was held when the burst ended.
+    # Half of the capacity for a quarter of the time, plus the requests queued at the end of a burst.
     assert served["waves"] < 1.35 * 0.25 * 250.0 * 18.0
     assert served["waves"] > 0.6 * 0.25 * 250.0 * 18.0
-    assert of_served(fleet) > 0.85
+    assert share_of_served_in_time(fleet) > 0.85
 
 
-def test_endpoints_that_slow_down_to_a_half_leave_the_small_tenant_its_time():
+def test_a_small_tenant_is_served_in_time_when_endpoints_slow_down_to_half_speed():
     fleet = play(
         {"public": lambda now: 1600.0, "small": lambda now: 50.0},
         cost=lambda now: 0.01 if now < 8.0 else 0.02,
         seconds=24.0,
     )
-    assert in_time(fleet, "small", since=12.0) > 0.9
-    assert of_served(fleet, since=12.0) > 0.85
-    served = sum(fleet.came[n] >= 12.0 for n in fleet.took) / 12.0
-    assert served > 0.8 * 250.0, "the members' new capacity is used"
+    assert share_in_time(fleet, "small", since=12.0) > 0.9
+    assert share_of_served_in_time(fleet, since=12.0) > 0.85
+    served = sum(fleet.arrived_at[n] >= 12.0 for n in fleet.latency) / 12.0
+    assert served > 0.8 * 250.0, "the endpoints' new capacity is used"
 
 
-def test_a_thousand_tenants_under_their_quota_beside_one_far_above_it():
+def test_a_thousand_tenants_below_their_quota_are_served_in_time_beside_one_far_above_it():
     rates = {f"t{n}": (lambda now: 0.3) for n in range(1000)} | {"public": lambda now: 2000.0}
     fleet = play(rates, seconds=12.0)
-    small = [n for n, t in fleet.tenant.items() if t != "public" and fleet.came[n] >= 2.0]
-    assert sum(fleet.took.get(n, 9.0) <= LATENCY_OBJECTIVE_S for n in small) / len(small) > 0.95
-    assert of_served(fleet) > 0.9
+    small = [n for n, t in fleet.tenant.items() if t != "public" and fleet.arrived_at[n] >= 2.0]
+    assert sum(fleet.latency.get(n, 9.0) <= LATENCY_OBJECTIVE_S for n in small) / len(small) > 0.95
+    assert share_of_served_in_time(fleet) > 0.9
 
 
-def test_work_that_would_be_late_is_rejected_early():
+def test_requests_that_would_be_late_are_rejected_before_admission():
     fleet = play({"public": lambda now: 1600.0})
-    refused = [n for n, v in fleet.decisions.items() if isinstance(v[-1], Reject)]
-    assert refused
-    assert not any(isinstance(fleet.decisions[n][0], Admit) for n in refused)
-    assert of_served(fleet) > 0.9
+    rejected = [n for n, v in fleet.decisions.items() if isinstance(v[-1], Reject)]
+    assert rejected
+    assert not any(isinstance(fleet.decisions[n][0], Admit) for n in rejected)
+    assert share_of_served_in_time(fleet) > 0.9
 
 
-def test_a_write_with_a_late_priority_weight_may_be_queued_beyond_its_latency_objective():
+def test_only_a_request_with_a_latency_objective_has_its_queueing_delay_bounded_by_it():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
-    patient = admission._max_queueing_delay(arrival(1, time_left=2.0, latency_objective=0.0))
-    impatient = admission._max_queueing_delay(
+    without_objective = admission._max_queueing_delay(arrival(1, time_left=2.0, latency_objective=0.0))
+    with_objective = admission._max_queueing_delay(
         arrival(2, time_left=2.0, latency_objective=LATENCY_OBJECTIVE_S)
     )
-    assert patient == pytest.approx(0.8)
-    assert impatient < LATENCY_OBJECTIVE_S
+    assert without_objective == pytest.approx(0.8)
+    assert with_objective < LATENCY_OBJECTIVE_S
 
 
-def test_the_process_limit_leaves_each_pool_its_part():
+def test_the_process_limit_guarantees_each_pool_an_even_part():
     admission = AdmissionController(AdmissionSettings(), 1, 0.0)
     admission.process_limit = 8.0
     reads = [
--- a/tests/test_capacity_estimate.py
+++ b/tests/test_capacity_estimate.py
@@ -1,4 +1,4 @@
-"""The limit on how many may be inside, against a small room of servers in virtual time."""
+"""The capacity estimate against simulated servers in virtual time, and the process concurrency limit."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 
 def play(servers: int, offered, service, seconds: float, seed: int = 1, names=("read",)) -> dict:
-    """An open flood before one room: what is beyond the limit is dropped, servers take turns in one queue.
+    """Run an open load against servers with one queue; requests beyond the limit are dropped.
 
-    `offered` and `service` give rate and mean time by the present time; returns answers as (sent, took).
+    `offered` and `service` give the request rate and the mean service time by time. Answers are returned as
+    (sent at, latency).
     """
     rng = random.Random(seed)
-    limit, now, inside = CapacityEstimate(0.0), 0.0, 0
+    limit, now, in_flight = CapacityEstimate(0.0), 0.0, 0
     free = [0.0] * servers
     ending: list[tuple[float, float, str]] = []
     done: list[tuple[float, float]] = []
@@ -28,80 +29,80 @@
     while now < seconds:
         if ending and ending[0][0] <= arrival:
             now, sent, name = heapq.heappop(ending)
-            inside -= 1
+            in_flight -= 1
             limit.record_latency(name, 0.2, now - sent, sent)
             done.append((sent, now - sent))
         else:
             now = arrival
             arrival += rng.expovariate(offered(now))
-            dropped += inside >= limit.current_limit
-            if inside < limit.current_limit:
-                inside += 1
-                limit.record_in_flight(inside, now)
+            dropped += in_flight >= limit.current_limit
+            if in_flight < limit.current_limit:
+                in_flight += 1
+                limit.record_in_flight(in_flight, now)
                 start = max(now, heapq.heappop(free))
                 name = rng.choice(names)
-                takes = service(now) * rng.uniform(0.8, 1.2) * (4.0 if name == "heavy" else 1.0)
-                heapq.heappush(free, start + takes)
-                heapq.heappush(ending, (start + takes, now, name))
+                service_time = service(now) * rng.uniform(0.8, 1.2) * (4.0 if name == "heavy" else 1.0)
+                heapq.heappush(free, start + service_time)
+                heapq.heappush(ending, (start + service_time, now, name))
         limit.update(now)
         limits.append(limit.limit)
     return {"done": done, "limit": limit, "limits": limits, "dropped": dropped}
 
 
 def tail(result: dict, since: float) -> tuple[float, float]:
-    """Median time and answers a second, of what was sent since then."""
-    times = [took for sent, took in result["done"] if sent >= since]
+    """Return median latency and answers per second of the requests sent from `since` on."""
+    latencies = [latency for sent, latency in result["done"] if sent >= since]
     last = max(sent for sent, _ in result["done"])
-    return median(times), len(times) / (last - since)
+    return median(latencies), len(latencies) / (last - since)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_overload_from_the_start_finds_the_baseline_latency_and_the_capacity(seed):
     result = play(6, lambda now: 2000.0, lambda now: 0.01, 30.0, seed)
-    took, rate = tail(result, 15.0)
-    assert took < 0.03, "an admitted request is answered almost as if it were alone"
+    latency, rate = tail(result, 15.0)
+    assert latency < 0.03, "an admitted request is answered almost without queueing"
     assert rate > 0.85 * 600
 
 
-def test_without_a_queue_nothing_is_dropped():
+def test_nothing_is_dropped_below_capacity():
     result = play(6, lambda now: 200.0, lambda now: 0.01, 10.0)
     assert result["dropped"] == 0
     assert not result["limit"].probing
 
 
-def test_overload_after_a_calm_time_is_bounded_within_seconds():
+def test_overload_after_normal_load_is_limited_within_seconds():
     result = play(6, lambda now: 200.0 if now < 5.0 else 2000.0, lambda now: 0.01, 12.0)
-    took, rate = tail(result, 8.0)
-    assert took < 0.03
+    latency, rate = tail(result, 8.0)
+    assert latency < 0.03
     assert rate > 0.85 * 600
 
 
-def test_endpoints_that_slow_down_to_a_half_are_not_starved():
+def test_endpoints_that_slow_down_to_half_speed_stay_in_use():
     result = play(6, lambda now: 2000.0, lambda now: 0.01 if now < 20.0 else 0.02, 45.0)
-    took, rate = tail(result, 35.0)
+    latency, rate = tail(result, 35.0)
     assert rate > 0.8 * 300
-    assert took < 0.06
+    assert latency < 0.06
     assert min(result["limits"]) >= MIN_LIMIT
 
 
-def test_endpoints_that_become_faster_are_used():
+def test_the_limit_grows_when_endpoints_become_faster():
     result = play(6, lambda now: 2000.0, lambda now: 0.02 if now < 15.0 else 0.01, 40.0)
     _, rate = tail(result, 30.0)
     assert rate > 0.85 * 600
 
 
-def test_a_change_in_the_mix_is_no_change_in_speed():
+def test_a_mix_of_fast_and_slow_classes_is_not_taken_for_queueing():
     result = play(6, lambda now: 60.0, lambda now: 0.01, 20.0, names=("read", "heavy"))
     assert result["dropped"] == 0
 
 
-def test_slow_answers_do_not_keep_the_limit_at_its_start():
+def test_the_limit_grows_beyond_its_initial_value_when_answers_are_slow():
     result = play(200, lambda now: 60.0, lambda now: 1.0, 60.0)
     assert result["limit"].limit > 30
     assert tail(result, 30.0)[1] > 50
 
 
-def test_long_overload_does_not_drift():
+def test_latency_does_not_drift_under_long_overload():
     result = play(3, lambda now: 900.0, lambda now: 0.01, 120.0)
     early, _ = tail(result, 30.0)
     late, rate = tail(result, 100.0)
@@ -109,7 +110,7 @@
     assert rate > 0.85 * 300
 
 
-def test_answers_of_a_fraction_of_a_millisecond_set_no_limit():
+def test_noise_in_latencies_below_a_millisecond_does_not_lower_the_limit():
     rng, limit = random.Random(1), CapacityEstimate(0.0)
     for step in range(20_000):
         now = step * 0.001
@@ -119,7 +120,7 @@
     assert limit.current_limit > 32
 
 
-def test_answers_that_took_no_time_of_a_class_without_an_objective_set_no_limit():
+def test_zero_latencies_of_a_class_without_an_objective_do_not_lower_the_limit():
     limit = CapacityEstimate(0.0)
     for step in range(40):
         limit.record_in_flight(4, step * 0.1)
@@ -129,66 +130,69 @@
     assert not limit.probing
 
 
-# The limit on the process's own concurrency
+# The process concurrency limit
 
 
-def waits(limit: ProcessConcurrencyLimit, seconds: float, wait: float, inside: int, now: float) -> float:
-    """Many equal waits for so long; returns the time afterwards."""
+def record_waits(
+    limit: ProcessConcurrencyLimit, seconds: float, wait: float, in_process: int, now: float
+) -> float:
+    """Record equal waits for `seconds`; return the time afterwards."""
     for _ in range(int(seconds / 0.01)):
         now += 0.01
-        limit.record(wait, inside, now)
+        limit.record(wait, in_process, now)
     return now
 
 
-def test_a_process_that_lags_carries_less_and_grows_back_when_it_does_not():
+def test_the_process_limit_falls_with_long_waits_and_grows_back_after_them():
     limit = ProcessConcurrencyLimit(0.02)
-    now = waits(limit, 2.0, 0.0005, 64, 0.0)
+    now = record_waits(limit, 2.0, 0.0005, 64, 0.0)
     high = limit.limit
-    assert high > INITIAL_LIMIT, "used and quick, it may carry more"
-    now = waits(limit, 3.0, 0.2, 64, now)
+    assert high > INITIAL_LIMIT, "the limit grows while it is in use and waits are short"
+    now = record_waits(limit, 3.0, 0.2, 64, now)
     assert limit.limit < INITIAL_LIMIT / 2
     assert limit.limit >= MIN_PROCESS_LIMIT
-    now = waits(limit, 5.0, 0.0005, int(limit.limit), now)
+    now = record_waits(limit, 5.0, 0.0005, int(limit.limit), now)
     assert limit.limit > MIN_PROCESS_LIMIT
 
 
-def test_one_pause_is_one_decrease():
+def test_one_pause_causes_one_decrease():
     limit = ProcessConcurrencyLimit(0.02)
-    now = waits(limit, 1.0, 0.0005, 10, 0.0)
+    now = record_waits(limit, 1.0, 0.0005, 10, 0.0)
     before = limit.limit
     limit.record(0.4, 10, now + 0.2)
     assert limit.decreases == 1
     assert limit.limit < before
-    waits(limit, 2.0, 0.0005, 10, now + 0.2)
+    record_waits(limit, 2.0, 0.0005, 10, now + 0.2)
     assert limit.decreases == 1
-    assert limit.limit > 10, "and it is grown back"
+    assert limit.limit > 10, "it has grown back"
     assert not limit.rejects_unread(1.0, True)
 
 
-def test_requests_are_rejected_unread_only_in_spans_of_long_waits_and_only_if_they_waited():
+def test_requests_are_rejected_unread_only_under_overload_and_after_a_long_wait():
     limit = ProcessConcurrencyLimit(0.02)
-    now = waits(limit, 1.0, 0.03, 10, 0.0)
-    assert not limit.rejects_unread(0.5, True), "late, but not overloaded"
-    now = waits(limit, 0.5, 0.2, 10, now)
+    now = record_waits(limit, 1.0, 0.03, 10, 0.0)
+    assert not limit.rejects_unread(0.5, True), "waits are above the tolerable wait, but there is no overload"
+    now = record_waits(limit, 0.5, 0.2, 10, now)
     assert limit.rejects_unread(0.05, True)
-    assert not limit.rejects_unread(0.05, False), "of a tenant that does not ask most"
+    assert not limit.rejects_unread(0.05, False), "not of the most active tenant"
     assert limit.rejects_unread(0.5, False)
-    assert not limit.rejects_unread(0.01, True), "this one came just now"
-    waits(limit, 0.5, 0.001, 10, now)
+    assert not limit.rejects_unread(0.01, True), "this request has just arrived"
+    record_waits(limit, 0.5, 0.001, 10, now)
     assert not limit.rejects_unread(0.5, True)
 
 
-# Guards against: overload without an end where nothing is read any more, since nothing may be accepted.
+# Guards against overload that never ends: no connections are accepted, so nothing is read, so no wait shows
+# the end.
 def test_overload_ends_when_nothing_has_been_read_for_a_while():
     limit = ProcessConcurrencyLimit(0.02)
-    now = waits(limit, 1.0, 0.2, 10, 0.0)
+    now = record_waits(limit, 1.0, 0.2, 10, 0.0)
     assert limit.overloaded_at(now)
     assert limit.overloaded_at(now + 0.4)
     assert not limit.overloaded_at(now + 0.6)
     limit.record(0.2, 1, now + 5.0)
-    assert not limit.overloaded_at(now + 5.0), "one late read after an idle time is no row"
-    now = waits(limit, 3.0, 0.7, 10, now + 5.0)
-    assert limit.overloaded_at(now), "reads that are late by more than that time leave no idle time between"
+    assert not limit.overloaded_at(now + 5.0), "one late read after an idle time is not overload"
+    now = record_waits(limit, 3.0, 0.7, 10, now + 5.0)
+    assert limit.overloaded_at(now), "waits longer than OVERLOAD_MAX_AGE_S are not an idle time"
 
 
 def test_unread_requests_of_the_most_active_tenant_are_rejected_first():
@@ -203,13 +207,13 @@
     connection.app_name = "public"
     connection.dataReceived(command(1, find="readings", comment="history-read", maxTimeMS=300))
     proxy.turn(0.4)
-    waits(proxy.engine.process_limit, 0.5, 0.3, 10, proxy.clock.now())
-    for number, busiest, unread in ((2, "council", 0), (3, "public", 1)):
-        admission.most_active_tenant = busiest
+    record_waits(proxy.engine.process_limit, 0.5, 0.3, 10, proxy.clock.now())
+    for number, most_active, unread in ((2, "council", 0), (3, "public", 1)):
+        admission.most_active_tenant = most_active
         transport.arrived = proxy.clock.now() - 0.05
         connection.dataReceived(command(number, find="readings", comment="history-read", maxTimeMS=300))
         assert proxy.engine.rejected_for_load == unread
-        admission.most_active_tenant = busiest
+        admission.most_active_tenant = most_active
         proxy.turn(0.4)
         response_to, last = replies(transport)[-1]
         assert response_to == number
