--- a/tests/test_golden_admission.py
+++ b/tests/test_golden_admission.py
@@ -1,7 +1,7 @@
-"""Golden decisions of admission: the same seed gives the same decisions as when the digests were recorded.
+"""Golden digests of admission control: the same seed gives the same decisions as when they were recorded.
 
-`python -m tests.test_golden_admission` prints the digests of the present code, to record them anew where a
-change of behaviour is meant.
+`python -m tests.test_golden_admission` prints the digests of the present code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 @cache
 def played(seed: int) -> ControllerPlay:
-    """Play one seed against the controller, once."""
+    """Run one seed against the controller; cached."""
     controller = ControllerPlay(seed)
     controller.play()
     return controller
 
 
 def play(seed: int) -> dict[str, str]:
-    """Return the digest of the controller's decisions, and one of each limit by itself."""
+    """Return the digest of the controller's decisions, and one of each limit on its own."""
     return {"controller": played(seed).digest.hash.hexdigest(), **play_limits(seed)}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_admission_decides_as_recorded(seed):
+def test_admission_decisions_match_the_golden_digests(seed):
     assert play(seed) == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def test_the_seeds_meet_every_decision_and_every_reason():
+def test_the_seeds_cover_every_decision_and_rejection_reason():
     kinds: Counter[str] = Counter()
     reasons: set[str] = set()
     for seed in SEEDS:
--- a/tests/test_golden_discovery.py
+++ b/tests/test_golden_discovery.py
@@ -1,7 +1,7 @@
-"""Golden decisions of discovery and client connections: a seed gives the same text as when it was recorded.
+"""Golden digests of discovery and client connections: a seed gives the same text as when they were recorded.
 
-`python -m tests.test_golden_discovery` prints the digests of the present code, to record them anew where a
-change of behaviour is meant.
+`python -m tests.test_golden_discovery` prints the digests of the present code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_discovery_and_connections_decide_as_recorded(seed):
+def test_discovery_and_connection_decisions_match_the_golden_digests(seed):
     assert play(seed).digest() == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def test_the_seeds_reach_every_kind_of_decision():
+def test_the_seeds_cover_every_kind_of_decision():
     kinds = set().union(*(play(seed).kinds for seed in (1, 2, 3, 4, 5, 6)))
     assert kinds >= {
         "closed-by-heartbeat", "closed-by-move", "closed-by-opening", "not-newer", "update", "forgotten",
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -1,4 +1,4 @@
-"""Endpoint list versions: what applies, ids for names, what is forgotten; and the descriptor budget."""
+"""Endpoint list versions: which apply, ids of names, removal, wire format; and the descriptor budget."""
 
 from __future__ import annotations
 
@@ -23,73 +23,76 @@
     return ListVersion(revision, complete, entries)
 
 
-def test_a_change_applies_once_and_a_complete_list_always():
-    held = EndpointListVersions()
-    assert held.apply(version(5, True, entry("a"))).complete
-    assert held.apply(version(5, False, entry("b"))) is None
-    assert held.apply(version(6, False, entry("b"))) is not None
-    assert held.apply(version(2, True, entry("c"))) is not None, "a source that lost its memory"
-    assert held.revision == 2 and len(held.present) == 1
+def test_a_change_applies_once_and_a_complete_list_always_applies():
+    versions = EndpointListVersions()
+    assert versions.apply(version(5, True, entry("a"))).complete
+    assert versions.apply(version(5, False, entry("b"))) is None
+    assert versions.apply(version(6, False, entry("b"))) is not None
+    assert versions.apply(version(2, True, entry("c"))) is not None, "the source may have lost its state"
+    assert versions.revision == 2 and len(versions.present) == 1
 
 
-def told(held: EndpointListVersions, *args) -> dict[str, EndpointState]:
-    """Return the states of the update for the router, by name."""
-    return {held.names[x.endpoint]: x.state for x in held.apply(version(*args)).entries}
+def applied_states(versions: EndpointListVersions, *args) -> dict[str, EndpointState]:
+    """Apply a version; return the states in the update for the router, by endpoint name."""
+    return {versions.names[x.endpoint]: x.state for x in versions.apply(version(*args)).entries}
 
 
-def test_an_older_complete_list_does_not_take_back_a_drain():
-    held = EndpointListVersions()
-    held.apply(version(1, True, entry("a"), entry("b")))
-    held.apply(version(7, False, entry("a", EndpointState.DRAINING)))
-    assert told(held, 5, True, entry("a"), entry("b")) == {"a": EndpointState.DRAINING, "b": EndpointState.UP}
-    assert told(held, 6, False, entry("a")) == {"a": EndpointState.UP}, "a change names it"
+def test_an_older_complete_list_does_not_revoke_a_drain():
+    versions = EndpointListVersions()
+    versions.apply(version(1, True, entry("a"), entry("b")))
+    versions.apply(version(7, False, entry("a", EndpointState.DRAINING)))
+    assert applied_states(versions, 5, True, entry("a"), entry("b")) == {
+        "a": EndpointState.DRAINING,
+        "b": EndpointState.UP,
+    }
+    assert applied_states(versions, 6, False, entry("a")) == {"a": EndpointState.UP}, "a change revokes it"
 
 
-def test_a_restarted_endpoint_is_up_whatever_the_revision():
-    held = EndpointListVersions()
-    held.apply(version(7, True, entry("a", EndpointState.DRAINING)))
-    again = DiscoveredEndpoint("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
-    assert told(held, 3, True, again) == {"a": EndpointState.UP}
-    assert not held.departing
+def test_a_restarted_endpoint_is_up_even_in_an_older_list():
+    versions = EndpointListVersions()
+    versions.apply(version(7, True, entry("a", EndpointState.DRAINING)))
+    restarted = DiscoveredEndpoint("a", ("127.0.0.1", 1), "a", 1, EndpointState.UP, 1.0, 5.0, False)
+    assert applied_states(versions, 3, True, restarted) == {"a": EndpointState.UP}
+    assert not versions.departing
 
 
-def test_a_newer_complete_list_is_applied_as_it_is():
-    held = EndpointListVersions()
-    held.apply(version(7, True, entry("a", EndpointState.DRAINING)))
-    assert told(held, 8, True, entry("a")) == {"a": EndpointState.UP}
+def test_a_newer_complete_list_revokes_a_drain():
+    versions = EndpointListVersions()
+    versions.apply(version(7, True, entry("a", EndpointState.DRAINING)))
+    assert applied_states(versions, 8, True, entry("a")) == {"a": EndpointState.UP}
 
 
-def test_a_cached_list_gives_endpoints_but_no_revision():
-    held = EndpointListVersions()
-    assert held.apply(version(41, True, entry("a")), cached=True).remembered
-    assert held.revision == 0
+def test_a_cached_list_applies_without_its_revision():
+    versions = EndpointListVersions()
+    assert versions.apply(version(41, True, entry("a")), cached=True).remembered
+    assert versions.revision == 0
 
 
-def test_a_name_keeps_its_id_and_gets_its_new_address():
-    held, other = EndpointListVersions(), EndpointListVersions()
-    first = held.apply(version(1, True, entry("a", port=1))).entries[0].endpoint
-    again = held.apply(version(2, False, entry("a", port=2))).entries[0].endpoint
-    assert first == again == other.apply(version(9, True, entry("a"))).entries[0].endpoint
-    assert held.addresses[first] == ("127.0.0.1", 2)
+def test_a_name_keeps_its_id_when_its_address_changes():
+    versions, other = EndpointListVersions(), EndpointListVersions()
+    first = versions.apply(version(1, True, entry("a", port=1))).entries[0].endpoint
+    second = versions.apply(version(2, False, entry("a", port=2))).entries[0].endpoint
+    assert first == second == other.apply(version(9, True, entry("a"))).entries[0].endpoint
+    assert versions.addresses[first] == ("127.0.0.1", 2)
 
 
-def test_a_removed_endpoint_is_forgotten_and_a_listed_one_is_not():
-    held = EndpointListVersions()
-    number = held.apply(version(1, True, entry("a"))).entries[0].endpoint
-    held.forget(number)
-    assert number in held.names
-    held.apply(version(2, False, entry("a", EndpointState.GONE)))
-    held.forget(number)
-    assert not (held.names or held.ids or held.addresses or held.present)
+def test_only_a_removed_endpoint_is_forgotten():
+    versions = EndpointListVersions()
+    endpoint_id = versions.apply(version(1, True, entry("a"))).entries[0].endpoint
+    versions.forget(endpoint_id)
+    assert endpoint_id in versions.names
+    versions.apply(version(2, False, entry("a", EndpointState.GONE)))
+    versions.forget(endpoint_id)
+    assert not (versions.names or versions.ids or versions.addresses or versions.present)
 
 
-def test_a_hundred_thousand_names_leave_nothing_behind():
-    held = EndpointListVersions()
+def test_forgetting_a_hundred_thousand_names_leaves_no_entries():
+    versions = EndpointListVersions()
     for n in range(100_000):
-        told = held.apply(version(2 * n + 1, False, entry(f"s-{n}")))
-        held.apply(version(2 * n + 2, False, entry(f"s-{n}", EndpointState.GONE)))
-        held.forget(told.entries[0].endpoint)
-    assert not (held.names or held.ids or held.addresses or held.present)
+        update = versions.apply(version(2 * n + 1, False, entry(f"s-{n}")))
+        versions.apply(version(2 * n + 2, False, entry(f"s-{n}", EndpointState.GONE)))
+        versions.forget(update.entries[0].endpoint)
+    assert not (versions.names or versions.ids or versions.addresses or versions.present)
 
 
 GOOD = {
@@ -110,16 +113,20 @@
 }
 
 
-def test_an_object_is_translated_into_the_proxys_units():
-    told = read_version(GOOD, unix_offset=1_000_000.0)
-    (one,) = told.entries
-    assert (told.revision, told.complete) == (43, False)
-    assert (one.name, one.address, one.state) == ("s-5be2", ("127.1.0.18", 6432), EndpointState.DRAINING)
-    assert (one.group, one.size, one.primary) == (3, 1.5, True)
-    assert one.started_at == pytest.approx(1000.5)
+def test_a_list_object_is_converted_to_the_proxys_units():
+    parsed = read_version(GOOD, unix_offset=1_000_000.0)
+    (endpoint,) = parsed.entries
+    assert (parsed.revision, parsed.complete) == (43, False)
+    assert (endpoint.name, endpoint.address, endpoint.state) == (
+        "s-5be2",
+        ("127.1.0.18", 6432),
+        EndpointState.DRAINING,
+    )
+    assert (endpoint.group, endpoint.size, endpoint.primary) == (3, 1.5, True)
+    assert endpoint.started_at == pytest.approx(1000.5)
 
 
-def broken(**changes):
+def malformed(**changes):
     return {**GOOD, "members": [{**GOOD["members"][0], **changes}]}
 
 
@@ -132,17 +139,17 @@
         {**GOOD, "revision": True},
         {**GOOD, "members": {}},
         {**GOOD, "members": [3]},
-        broken(id=5),
-        broken(phase="odd"),
-        broken(host_port="db.example:1"),
-        broken(host_port="127.0.0.1:99999"),
-        broken(host_port="127.0.0.1"),
-        broken(size="big"),
-        broken(up_since_ms=float("inf")),
-        broken(cell=None),
+        malformed(id=5),
+        malformed(phase="odd"),
+        malformed(host_port="db.example:1"),
+        malformed(host_port="127.0.0.1:99999"),
+        malformed(host_port="127.0.0.1"),
+        malformed(size="big"),
+        malformed(up_since_ms=float("inf")),
+        malformed(cell=None),
     ],
 )
-def test_a_malformed_list_is_an_error_that_names_the_place(raw):
+def test_a_malformed_list_raises_an_error_that_names_the_place(raw):
     with pytest.raises(MalformedListError, match="discovery"):
         read_version(raw, 0.0)
 
@@ -156,18 +163,18 @@
         ),
     )
 )
-def test_any_json_is_a_list_or_an_error(raw):
+def test_any_json_is_parsed_or_raises_malformed_list_error(raw):
     try:
         read_version(json.loads(json.dumps(raw)), 0.0)
     except MalformedListError:
         pass
 
 
-def test_clients_cannot_use_up_the_descriptors_of_endpoints():
-    account = DescriptorBudget(256)
-    came = [account.client_accepted() for _ in range(500)]
-    assert came.count(True) == account.max_clients
-    assert [account.acquire() for _ in range(500)].count(True) == account.max_endpoints
-    assert account.max_clients + account.max_endpoints < 256 and account.refused
-    account.release()
-    assert account.acquire()
+def test_clients_cannot_exhaust_the_descriptors_of_endpoints():
+    budget = DescriptorBudget(256)
+    granted = [budget.client_accepted() for _ in range(500)]
+    assert granted.count(True) == budget.max_clients
+    assert [budget.acquire() for _ in range(500)].count(True) == budget.max_endpoints
+    assert budget.max_clients + budget.max_endpoints < 256 and budget.refused
+    budget.release()
+    assert budget.acquire()
--- a/tests/test_watch_streams.py
+++ b/tests/test_watch_streams.py
@@ -1,4 +1,4 @@
-"""Watch streams: the active one is never closed early, few are open, a source that is down is retried."""
+"""The JSON object splitter of watch streams, and the decisions on when streams are opened and closed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 
 
-# The stream of objects
+# Splitting a byte stream into objects
 
 
 @given(
@@ -35,103 +35,103 @@
     st.sampled_from(["", "\n", " \r\n\t"]),
     st.lists(st.integers(1, 9), max_size=30),
 )
-def test_objects_are_complete_whatever_the_white_space_and_the_pieces(told, indent, between, cuts):
-    data = "".join(between + json.dumps(x, indent=indent, ensure_ascii=False) + between for x in told)
-    raw, held, found = data.encode("utf-8", "surrogatepass"), JsonObjectSplitter(), []
+def test_objects_are_split_correctly_for_any_white_space_and_chunks(objects, indent, between, cuts):
+    data = "".join(between + json.dumps(x, indent=indent, ensure_ascii=False) + between for x in objects)
+    raw, splitter, found = data.encode("utf-8", "surrogatepass"), JsonObjectSplitter(), []
     for size in [*cuts, len(raw)]:
-        piece, raw = raw[:size], raw[size:]
-        found += [json.loads(x) for x in held.feed(piece)]
-    assert found == told and not held.incomplete
+        chunk, raw = raw[:size], raw[size:]
+        found += [json.loads(x) for x in splitter.feed(chunk)]
+    assert found == objects and not splitter.incomplete
 
 
 @pytest.mark.parametrize("junk", [b"not json", b"[1]", b'"x"', b"}", b"\0", b'{"a":1},{"a":2}'])
-def test_anything_else_is_an_error_and_the_objects_before_it_count(junk):
-    held, found = JsonObjectSplitter(), []
+def test_malformed_data_raises_an_error_after_the_objects_before_it(junk):
+    splitter, found = JsonObjectSplitter(), []
     with pytest.raises(MalformedListError):
-        for whole in held.feed(b'{"a":1}\n' + junk):
-            found.append(whole)
+        for complete in splitter.feed(b'{"a":1}\n' + junk):
+            found.append(complete)
     assert found[0] == b'{"a":1}'
 
 
-def test_an_object_above_the_size_limit_is_an_error(monkeypatch):
+def test_an_object_above_the_size_limit_raises_an_error(monkeypatch):
     monkeypatch.setattr(json_stream, "MAX_OBJECT_BYTES", 1000)
-    held = JsonObjectSplitter()
-    assert list(held.feed(b'{"a":"')) == []
+    splitter = JsonObjectSplitter()
+    assert list(splitter.feed(b'{"a":"')) == []
     with pytest.raises(MalformedListError, match="1000"):
         for _ in range(1001):
-            list(held.feed(b"x"))
+            list(splitter.feed(b"x"))
 
 
-def test_each_byte_is_looked_at_once():
-    held, looked = JsonObjectSplitter(), 0
+def test_scanning_is_linear_in_the_number_of_bytes():
+    splitter, scanned = JsonObjectSplitter(), 0
 
-    class Counting:
+    class CountingPattern:
         def __init__(self, pattern):
             self.pattern = pattern
 
         def search(self, data, at=0):
-            nonlocal looked
+            nonlocal scanned
             found = self.pattern.search(data, at)
-            looked += (found.end() if found else len(data)) - at
+            scanned += (found.end() if found else len(data)) - at
             return found
 
     for name in ("_INSIDE", "_STRING", "_OUTSIDE"):
-        setattr(held, name, Counting(getattr(JsonObjectSplitter, name)))
+        setattr(splitter, name, CountingPattern(getattr(JsonObjectSplitter, name)))
     data = json.dumps({"members": [{"id": "s" * 50, "n": [1, {}]} for _ in range(200)]}, indent=2).encode()
     for byte in data:
-        list(held.feed(bytes([byte])))
-    assert looked <= 2 * len(data)
+        list(splitter.feed(bytes([byte])))
+    assert scanned <= 2 * len(data)
 
 
-# Which streams are held
+# Opening and closing streams
 
 
-def test_a_silent_stream_stays_until_another_sent_a_heartbeat():
-    held: WatchStreams[str] = WatchStreams()
-    held.opened("a", 0.0)
-    assert held.heartbeat("a", 0.0) == []
-    due = held.next_open_at()
-    assert due == HEARTBEAT_TIMEOUT_S and held.should_open(due) and not held.should_open(due - 0.01)
-    assert held.opened("b", due) == []
-    assert held.holds("a") and held.holds("b")
-    assert held.heartbeat("b", due + 0.1) == ["a"] and held.active == "b"
+def test_a_silent_active_stream_is_closed_only_after_a_candidates_heartbeat():
+    streams: WatchStreams[str] = WatchStreams()
+    streams.opened("a", 0.0)
+    assert streams.heartbeat("a", 0.0) == []
+    due = streams.next_open_at()
+    assert due == HEARTBEAT_TIMEOUT_S and streams.should_open(due) and not streams.should_open(due - 0.01)
+    assert streams.opened("b", due) == []
+    assert streams.holds("a") and streams.holds("b")
+    assert streams.heartbeat("b", due + 0.1) == ["a"] and streams.active == "b"
 
 
 def test_a_silent_stream_that_resumes_closes_nothing():
-    held: WatchStreams[str] = WatchStreams()
-    held.opened("a", 0.0)
-    held.heartbeat("a", 0.0)
-    held.opened("b", 3.0)
-    assert held.heartbeat("a", 3.1) == []
-    assert held.holds("a") and held.holds("b")
+    streams: WatchStreams[str] = WatchStreams()
+    streams.opened("a", 0.0)
+    streams.heartbeat("a", 0.0)
+    streams.opened("b", 3.0)
+    assert streams.heartbeat("a", 3.1) == []
+    assert streams.holds("a") and streams.holds("b")
 
 
 def test_an_accepted_stream_has_a_heartbeat_interval_for_its_first_object():
-    held: WatchStreams[str] = WatchStreams()
-    held.opened("a", 0.0)
-    held.response_started("a", 0.1)
-    assert held.next_open_at() >= 0.1 + HEARTBEAT_INTERVAL_S
+    streams: WatchStreams[str] = WatchStreams()
+    streams.opened("a", 0.0)
+    streams.response_started("a", 0.1)
+    assert streams.next_open_at() >= 0.1 + HEARTBEAT_INTERVAL_S
 
 
 def test_a_partial_object_counts_as_a_heartbeat_for_a_limited_time():
-    held: WatchStreams[str] = WatchStreams()
-    held.opened("a", 0.0)
-    held.heartbeat("a", 0.0)
-    held.partial_object("a", 1.0, 2.0)
-    assert held.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
-    held.partial_object("a", 1.0, 1.0 + HEARTBEAT_TIMEOUT_S)
-    assert held.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
+    streams: WatchStreams[str] = WatchStreams()
+    streams.opened("a", 0.0)
+    streams.heartbeat("a", 0.0)
+    streams.partial_object("a", 1.0, 2.0)
+    assert streams.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
+    streams.partial_object("a", 1.0, 1.0 + HEARTBEAT_TIMEOUT_S)
+    assert streams.next_open_at() == 2.0 + HEARTBEAT_TIMEOUT_S
 
 
 def test_a_move_keeps_the_active_stream_and_closes_the_candidates():
-    held: WatchStreams[str] = WatchStreams()
-    held.opened("a", 0.0)
-    held.heartbeat("a", 0.0)
-    held.opened("b", 3.0)
-    assert held.source_moved() == ["b"] and held.holds("a") and held.should_open(3.0)
-    held.opened("c", 3.0)
-    held.lost("c", 3.1)  # the new place refuses
-    assert held.holds("a") and held.next_open_at() < 3.5
+    streams: WatchStreams[str] = WatchStreams()
+    streams.opened("a", 0.0)
+    streams.heartbeat("a", 0.0)
+    streams.opened("b", 3.0)
+    assert streams.source_moved() == ["b"] and streams.holds("a") and streams.should_open(3.0)
+    streams.opened("c", 3.0)
+    streams.lost("c", 3.1)  # the new address refuses connections
+    assert streams.holds("a") and streams.next_open_at() < 3.5
 
 
 STEPS = st.lists(
@@ -145,50 +145,50 @@
 
 
 @given(STEPS)
-def test_in_any_order_of_events_a_stream_is_open_or_about_to_be_opened(steps):
-    """With an owner that opens and closes as it should. Checked after each event."""
-    held: WatchStreams[int] = WatchStreams()
+def test_after_any_events_a_stream_is_open_or_about_to_be_opened(steps):
+    """The test acts as an owner that opens and closes streams as required, and checks after each event."""
+    streams: WatchStreams[int] = WatchStreams()
     now, number, opened_at = 0.0, 0, []
-    held.opened(number, now)
+    streams.opened(number, now)
     for step, which, seconds in steps:
-        keys = held.all()
+        keys = streams.all()
         key = keys[which % len(keys)] if keys else -1
-        before, spoke = set(keys), held.active
+        before, active = set(keys), streams.active
         if step == "response":
-            held.response_started(key, now)
+            streams.response_started(key, now)
         elif step == "heartbeat":
-            gone = held.heartbeat(key, now)
-            assert not gone or held.active == key, "nothing goes but for one that has spoken"
+            closed = streams.heartbeat(key, now)
+            assert not closed or streams.active == key, "streams are closed only for one that became active"
         elif step == "partial":
-            held.partial_object(key, now - seconds, now)
+            streams.partial_object(key, now - seconds, now)
         elif step == "lost":
-            held.lost(key, now)
+            streams.lost(key, now)
         elif step == "moved":
-            assert spoke not in held.source_moved()
+            assert active not in streams.source_moved()
         else:
             now += seconds
-        while held.should_open(now):
+        while streams.should_open(now):
             number += 1
             opened_at.append(now)
-            gone = held.opened(number, now)
-            assert held.active not in gone and not (set(gone) - before)
-        assert len(held.all()) <= MAX_CANDIDATES + 1
-        assert held.all() or held.next_open_at() <= now + BACKOFF_MAX_S, "one that can hear, or soon another"
-        assert held.next_open_at() > now
-        assert held.next_open_at() <= now + HEARTBEAT_TIMEOUT_S
-    asked = sum(step in ("lost", "moved") for step, _, _ in steps)
-    assert len(opened_at) <= asked + now / 0.05 + 2, "asked again by loss or time alone"
-
-
-@pytest.mark.parametrize("after", [0.0, 0.01, 0.9])
-def test_a_source_that_refuses_or_is_silent_is_tried_at_a_steady_rate(after):
-    held: WatchStreams[int] = WatchStreams()
+            closed = streams.opened(number, now)
+            assert streams.active not in closed and not (set(closed) - before)
+        assert len(streams.all()) <= MAX_CANDIDATES + 1
+        assert streams.all() or streams.next_open_at() <= now + BACKOFF_MAX_S, "a stream is open or due soon"
+        assert streams.next_open_at() > now
+        assert streams.next_open_at() <= now + HEARTBEAT_TIMEOUT_S
+    triggers = sum(step in ("lost", "moved") for step, _, _ in steps)
+    assert len(opened_at) <= triggers + now / 0.05 + 2, "only losses, moves and time open streams"
+
+
+@pytest.mark.parametrize("lost_after", [0.0, 0.01, 0.9])
+def test_a_source_that_refuses_or_is_silent_is_tried_at_a_steady_rate(lost_after):
+    streams: WatchStreams[int] = WatchStreams()
     now, opened = 0.0, 0
     while now < 20.0:
-        if held.should_open(now):
+        if streams.should_open(now):
             opened += 1
-            held.opened(opened, now)
-            if after < 0.9:
-                held.lost(opened, now + after)
+            streams.opened(opened, now)
+            if lost_after < 0.9:
+                streams.lost(opened, now + lost_after)
         now += 0.01
     assert 20 <= opened <= 70
