--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -122,9 +122,8 @@
         elapsed = now - self._span_started_at
         if elapsed < (SPAN_S / 2 if self.probing else SPAN_S):
             return
-        stale = (
-            elapsed >= STALE_SPANS * SPAN_S
-        )  # few answers come when they are slow; the limit must move all the same
+        # With slow answers few arrive per span, and the limit must still be able to change.
+        stale = elapsed >= STALE_SPANS * SPAN_S
         latencies = self._class_latencies(1 if stale else MIN_SAMPLE)
         if self.probing:
             self._probe_spans += 1
--- a/sedgepitch/decisions/admission/pool.py
+++ b/sedgepitch/decisions/admission/pool.py
@@ -150,26 +150,26 @@
             weights = request.tenant_weight * len(tenants)
         return tenant.backlog_before(request) * weights / (request.tenant_weight * self.service_rate)
 
-    def shed_for(self, newcomer: QueuedRequest) -> QueuedRequest | None:
+    def shed_for(self, new_request: QueuedRequest) -> QueuedRequest | None:
         """Remove and return a queued request in favour of a new one; None if the new one has to be rejected.
 
         The request is taken from the tenant with the highest queued cost by weight, if that exceeds the cost
-        that the newcomer's tenant would have. From the newcomer's own tenant only a request of lower priority
-        is taken.
+        that the new request's tenant would have. From that tenant itself only a request of lower priority is
+        taken.
         """
         longest = self.queue.longest()
         if longest is None:
             return None
-        if longest.name == newcomer.tenant:
-            lower = min(longest.levels) < newcomer.priority_weight
+        if longest.name == new_request.tenant:
+            lower = min(longest.levels) < new_request.priority_weight
             return self.queue.shed_from(longest) if lower else None
-        if longest.cost / longest.weight <= self._cost_with(newcomer) / newcomer.tenant_weight:
+        if longest.cost / longest.weight <= self._cost_with(new_request) / new_request.tenant_weight:
             return None
         return self.queue.shed_from(longest)
 
-    def _cost_with(self, newcomer: QueuedRequest) -> float:
-        own = self.queue.tenants.get(newcomer.tenant)
-        return (own.cost if own else 0.0) + newcomer.cost
+    def _cost_with(self, new_request: QueuedRequest) -> float:
+        own = self.queue.tenants.get(new_request.tenant)
+        return (own.cost if own else 0.0) + new_request.cost
 
     def next_queued(self) -> QueuedRequest | None:
         """Remove and return the next request: those with a reservation first, then in fair order."""
--- a/sedgepitch/decisions/connections/shutdown_schedule.py
+++ b/sedgepitch/decisions/connections/shutdown_schedule.py
@@ -18,8 +18,8 @@
 from __future__ import annotations
 
 NEW_CONNECTIONS_S = 0.5  # after the request; the platform still sends new connections for 0.2 to 0.4 s
-# After the shutdown request the platform waits at least the longest request deadline, but no more than
-# MAX_DEADLINE_S of it, plus KILL_MARGIN_S before it kills the process.
+# The platform kills the process no earlier than the longest request deadline, counted as at most
+# MAX_DEADLINE_S, plus KILL_MARGIN_S after the shutdown request.
 MAX_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
 CLOSE_IDLE_BEFORE_KILL_S = 0.35
