--- a/sedgepitch/decisions/zones/__init__.py
+++ b/sedgepitch/decisions/zones/__init__.py
@@ -1,5 +1,5 @@
-"""Zone failover as a fleet: what instances observe of each zone, how it is weighed, and operator commands.
+"""Fleet-wide zone failover: observations of each zone, weighted voting on them, and operator commands.
 
-Nothing here reads a clock or a socket: times are passed in, in seconds on the caller's monotonic clock.
-docs/zones.md has the alternatives, the bounds on Byzantine instances and their proofs.
+This package reads no clock and no socket: the caller passes times in seconds on its monotonic clock.
+docs/zones.md describes the alternatives considered, the bounds on Byzantine instances and their proofs.
 """
--- a/sedgepitch/decisions/zones/controller.py
+++ b/sedgepitch/decisions/zones/controller.py
@@ -1,7 +1,7 @@
-"""Which share of the reads each zone gets at this instance: the rules of each state.
+"""State machine that decides the share of reads that this instance sends to each zone.
 
-The same views give the same states: no clock, no chance, no order of arrival. A share only takes away: it
-never makes an endpoint trusted that the router distrusts.
+Deterministic: the same views give the same states, without a clock, random draws or dependence on arrival
+order. A share can only reduce the traffic to a zone; it never admits an endpoint that the router has ejected.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from sedgepitch.decisions.zones.states import Zone, ZoneState, ZoneTable, ZoneTransition
 from sedgepitch.decisions.zones.votes import Vote
 
-SUSPICION_WEIGHT = 0.25  # part of the weight against a zone, from which it is suspected
+SUSPICION_WEIGHT = 0.25  # fraction of the vote weight against a zone from which it is suspected
 
 
 class ZoneController:
-    """One instance's zones. `step` takes a view and returns the shares for the router."""
+    """The zone states of one instance. `step` takes a view and returns the shares for the router."""
 
     def __init__(self, name: str, settings: ZoneSettings) -> None:
-        """Begin without zones; they come with the first view."""
+        """Start without zones; the first view adds them."""
         self.table = ZoneTable(settings)
         self.capacity = ProvenCapacity(self.table)
         self.recovery = Recovery(name, self.table)
@@ -36,7 +36,7 @@
         return self.table.zones
 
     def step(self, view: ZoneView) -> dict[str, float]:
-        """Judge all zones, those with the most weight against them first; returns the share of each."""
+        """Evaluate all zones in descending order of the weight against them, and return the share of each."""
         self.table.keep_only(view.now, view.sizes)
         evidence = FleetEvidence(self._name, view)
         if not view.after_pause and evidence.enough_received():
@@ -47,11 +47,11 @@
         return {zone.name: zone.share for zone in self.zones.values()}
 
     def statuses(self, now: float) -> tuple[ZoneStatus, ...]:
-        """Return what to publish of each zone."""
+        """Return the status to publish for each zone."""
         return self.table.statuses(now)
 
     def take_transitions(self) -> list[ZoneTransition]:
-        """Return the states entered since the last call."""
+        """Return and clear the transitions since the last call."""
         transitions = self.table.transitions
         self.table.transitions = []
         return transitions
@@ -72,7 +72,7 @@
                 self._returning(zone, evidence, verdict_holds, command)
 
     def _update_verdict(self, zone: Zone, evidence: FleetEvidence) -> bool:
-        """Note the verdict; returns whether one against the zone has stood for long enough to count."""
+        """Record the verdict; return whether an adverse one has persisted for its hold time."""
         now = evidence.view.now
         verdict = evidence.verdict(zone.name)
         if verdict is not zone.verdict:
@@ -105,9 +105,10 @@
             self.table.enter(zone, ZoneState.NORMAL, now, 1.0, "")
 
     def _may_follow(self, zone: Zone, evidence: FleetEvidence) -> bool:
-        """Whether an instance that came late, or was suspended, does as its zone peers do.
+        """Return whether this instance may adopt its zone peers' state, as after a late start or a pause.
 
-        One that has returned before them does not: their digests are older than its own step.
+        Not shortly after it has itself returned to the zone: if it returned before its peers, their digests
+        are older than its own step.
         """
         just_returned = evidence.view.now - zone.returned_at < self.table.settings.slow_start_window
         return not just_returned and bool(alternatives(zone, evidence, self.table))
@@ -123,7 +124,7 @@
         if command is not None:
             self._left_by_command(zone, evidence, command)
         elif zone.cause is Vote.LOST:
-            self.recovery.try_lost(zone, evidence)
+            self.recovery.run_trials(zone, evidence)
         elif not alternatives(zone, evidence, self.table):
             self.recovery.begin(zone, now, "nothing else is there to go to")
         elif zone.cause is Vote.NONE:
@@ -132,7 +133,10 @@
             self.recovery.watch(zone, evidence)
 
     def _left_by_command(self, zone: Zone, evidence: FleetEvidence, command: ZoneCommand) -> None:
-        """Follow what the other zones can take. The evidence governs again once the command is withdrawn."""
+        """Adjust the share to the other zones' capacity.
+
+        The evidence decides again once the command is withdrawn.
+        """
         now = evidence.view.now
         zone.reason = f"ordered by {command.issuer}"
         if zone.cause is Vote.NONE and now - zone.step_at >= COUNTED_TIME_S:
--- a/sedgepitch/decisions/zones/digests.py
+++ b/sedgepitch/decisions/zones/digests.py
@@ -1,8 +1,8 @@
-"""The digest that a proxy instance publishes of the zones, and its encoding.
+"""The digest of zone observations that a proxy instance publishes, and its encoding.
 
-A digest holds figures and no verdict: all who receive it judge it by the same function (`votes.votes`), and
-an instance that reports falsely has one instance's vote. Structs are encoded as arrays: the order of their
-fields is the wire format and must not change, since two versions of the program run in one fleet.
+A digest holds figures and no verdict: every receiver evaluates it with the same function (`votes.votes`), so
+an instance that reports false figures has no more than its own vote. Structs are encoded as arrays: the field
+order is the wire format and must not change, since two versions of the program can run in one fleet.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 import msgspec
 from msgspec import Struct
 
-MAX_ZONES = 10  # rows of a digest, so that it fits a state entry
-MAX_DIGEST_BYTES = 512  # encoded
+MAX_ZONES = 10  # rows per digest, so that it fits in a state entry
+MAX_DIGEST_BYTES = 512  # encoded size
 MAX_ZONE_NAME_LENGTH = 24  # characters, in digests
-MAX_REQUEST_RATE = 1e6  # requests a second
+MAX_REQUEST_RATE = 1e6  # requests per second
 PERMILLE = 1000
 MAX_STATE = 4  # the highest value of states.ZoneState
 
@@ -23,7 +23,7 @@
 class ZoneObservation(Struct, frozen=True, array_like=True):
     """What an instance observed of one zone over the last one to two observation windows.
 
-    Endpoints are those tried in that time; `failing` and `slow` ones are counted among those not unreachable.
+    Endpoints are those tried in that time; `failing` and `slow` count only endpoints that are reachable.
     """
 
     zone: str
@@ -34,35 +34,35 @@
     latency_permille: int = 0  # mean latency, in thousandths of the latency objective
     endpoints: int = 0
     unreachable: int = 0  # endpoints that do not answer
-    failing: int = 0  # endpoints with an attempt that failed
-    slow: int = 0  # endpoints slower by far than those of other zones
+    failing: int = 0  # endpoints with a failed attempt
+    slow: int = 0  # endpoints much slower than those of other zones (observations.SLOW_FACTOR)
     since_success_ms: int = 0
     unanswered: int = 0  # attempts sent since the last success
-    endpoints_up: int = 0  # of the zone, by the endpoint list
-    unreachable_bits: int = 0  # a bit for each unreachable endpoint (see observations.endpoint_bit)
+    endpoints_up: int = 0  # endpoints of the zone in the endpoint list
+    unreachable_bits: int = 0  # one bit per unreachable endpoint (see observations.endpoint_bit)
 
 
 class ZoneStatus(Struct, frozen=True, array_like=True):
-    """What an instance does with a zone."""
+    """How an instance currently uses a zone."""
 
     zone: str
-    state: int  # a states.ZoneState
-    share_permille: int  # of the reads that may go there
-    for_deciseconds: int  # how long the state has lasted
+    state: int  # value of states.ZoneState
+    share_permille: int  # share of reads that may go to the zone
+    for_deciseconds: int  # time in the state
     relapses: int = 0
 
 
 class ZoneDigest(Struct, frozen=True, array_like=True):
-    """What an instance publishes of itself. `may_judge` is false after a pause or while it is slow."""
+    """What an instance publishes. `may_judge` is false after a pause of the process or while it is slow."""
 
     zone: str
-    request_rate: float  # requests a second
+    request_rate: float  # requests per second
     may_judge: bool
     observations: tuple[ZoneObservation, ...] = ()
     statuses: tuple[ZoneStatus, ...] = ()
 
     def observation(self, zone: str) -> ZoneObservation | None:
-        """Return what was observed of a zone."""
+        """Return the observation of a zone, or None."""
         return next((row for row in self.observations if row.zone == zone), None)
 
 
@@ -71,7 +71,7 @@
 
 
 def encode(digest: ZoneDigest) -> bytes:
-    """Return a digest as the body of a state entry, without the least tried zones if it would not fit."""
+    """Encode a digest as the body of a state entry, dropping the zones with the fewest attempts to fit."""
     rows = digest.observations
     statuses = {status.zone: status for status in digest.statuses}
     for _ in range(len(rows) + 1):
@@ -85,7 +85,7 @@
 
 
 def decode(body: bytes) -> ZoneDigest | None:
-    """Return a digest; None for bytes that are none, or figures that are impossible."""
+    """Decode a digest; return None for malformed bytes or impossible figures."""
     try:
         digest = _decoder.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, UnicodeDecodeError):
@@ -94,7 +94,7 @@
 
 
 def _plausible(digest: ZoneDigest) -> bool:
-    if not 0.0 <= digest.request_rate <= MAX_REQUEST_RATE:  # also true for what is not a number
+    if not 0.0 <= digest.request_rate <= MAX_REQUEST_RATE:  # also rejects NaN
         return False
     if _any_negative(digest.observations) or _any_negative(digest.statuses):
         return False
@@ -107,5 +107,5 @@
 
 
 def _any_negative(rows: Iterable[ZoneObservation] | Iterable[ZoneStatus]) -> bool:
-    """Whether a figure is below 0; the first field is the zone."""
+    """Return whether any figure is negative. The first field, the zone name, is skipped."""
     return any(min(msgspec.structs.astuple(row)[1:]) < 0 for row in rows)
--- a/sedgepitch/decisions/zones/leaving.py
+++ b/sedgepitch/decisions/zones/leaving.py
@@ -1,4 +1,4 @@
-"""Leaving a zone: a lost one at once, one that still answers gradually and never below what others can take.
+"""Leaving a zone: at once if it is lost, otherwise gradually, as far as other zones can take the load.
 
 The last zone is never left.
 """
@@ -14,22 +14,22 @@
 
 
 class Leaving:
-    """The rules by which zones are left."""
+    """The transitions into SUSPECTED, LEAVING and LEFT."""
 
     def __init__(self, table: ZoneTable, capacity: ProvenCapacity, recovery: Recovery) -> None:
-        """Work on the given table; a withdrawn command leads to a return."""
+        """Operate on the given table; a withdrawn command starts a return through `recovery`."""
         self._table = table
         self._capacity = capacity
         self._recovery = recovery
 
     def suspect(self, zone: Zone, now: float, reason: str) -> None:
-        """Note that a part of the votes is against a zone; it stays in full use."""
+        """Mark a zone as suspected; it stays in full use."""
         if zone.state is not ZoneState.SUSPECTED:
             self._table.enter(zone, ZoneState.SUSPECTED, now, 1.0, reason)
         zone.reason = reason
 
     def begin(self, zone: Zone, evidence: FleetEvidence, command: ZoneCommand | None) -> bool:
-        """Begin to leave a zone; returns whether that is possible."""
+        """Start to leave a zone; return whether that is possible."""
         now = evidence.view.now
         if not alternatives(zone, evidence, self._table):
             zone.reason = "nothing else is there to go to"
@@ -51,7 +51,7 @@
     def advance(
         self, zone: Zone, evidence: FleetEvidence, verdict_holds: bool, command: ZoneCommand | None
     ) -> None:
-        """Lower the share linearly over the time to leave, down to what has to stay."""
+        """Lower the share linearly over the leave duration, down to the share that must stay."""
         now = evidence.view.now
         if zone.verdict is Vote.LOST and verdict_holds and alternatives(zone, evidence, self._table):
             zone.cause = Vote.LOST
--- a/sedgepitch/decisions/zones/operator_commands.py
+++ b/sedgepitch/decisions/zones/operator_commands.py
@@ -1,9 +1,9 @@
-"""Operator commands on zones, merged so that the newest wins at all instances.
+"""Operator commands on zones, merged so that the newest one wins at every instance.
 
-Each instance publishes the commands that it knows, so they reach whoever can be reached, and cross a
-partition when it heals. Of two commands for a zone the one with the higher number counts, and of equal
-numbers the one with the later issuer's name, so that two operators at once end with the same command
-everywhere. A `return` stays known, since it is what overrides an older `leave` that comes round again.
+Each instance publishes all commands that it has, so a command reaches every reachable instance, and crosses a
+partition once that heals. Of two commands for a zone the one with the higher number wins; ties are broken by
+the greater issuer name, so that concurrent operators converge on the same command everywhere. A `return` is
+kept, since it must override an older `leave` that arrives again.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 
 class CommandAction(StrEnum):
-    """What a command asks for; values are the wire's."""
+    """The action that a command requests; the values are the wire format."""
 
     LEAVE = "leave"
     RETURN = "return"
 
 
 class InvalidCommandError(ConfigurationError, ValueError):
-    """A command that is not carried out; the text says why."""
+    """A command is rejected; the message gives the reason."""
 
 
 class ZoneCommand(Struct, frozen=True, array_like=True):
-    """Leave a zone over `duration` seconds, or give it back to the evidence.
+    """Leave a zone over `duration` seconds, or return it to control by evidence.
 
-    The order of the fields is the wire format. `issuer` is the instance that took the command. `action` is a
-    string, so that a command of a later version makes only itself unusable.
+    The field order is the wire format. `issuer` is the instance that accepted the command. `action` is a
+    plain string, so that an unknown action of a later version invalidates only its own command.
     """
 
     zone: str
@@ -47,7 +47,7 @@
     duration: float = 0.0
 
     def overrides(self, other: ZoneCommand | None) -> bool:
-        """Whether this command counts rather than the other."""
+        """Return whether this command takes precedence over the other."""
         if other is None:
             return True
         return (self.number, self.issuer, self.action) > (other.number, other.issuer, other.action)
@@ -61,36 +61,36 @@
     """The newest command of each zone."""
 
     def __init__(self) -> None:
-        """Begin without commands."""
+        """Start without commands."""
         self.by_zone: dict[str, ZoneCommand] = {}
 
     def issue(self, zone: str, action: str, duration: float, issuer: str) -> ZoneCommand:
-        """Take an operator's command, which overrides all that are known. Raises InvalidCommandError."""
+        """Create an operator command that overrides all known ones. Raises InvalidCommandError."""
         if action not in (CommandAction.LEAVE, CommandAction.RETURN):
-            raise InvalidCommandError(f"an order is 'leave' or 'return', not '{action}'")
+            raise InvalidCommandError(f"a zone command must be 'leave' or 'return', not '{action}'")
         if not 0 < len(zone) <= MAX_ZONE_NAME_LENGTH:
-            raise InvalidCommandError(f"a zone's name has 1 to {MAX_ZONE_NAME_LENGTH} characters")
+            raise InvalidCommandError(f"a zone name must have 1 to {MAX_ZONE_NAME_LENGTH} characters")
         if not 0.0 <= duration <= MAX_DURATION_S:
-            raise InvalidCommandError(f"within: 0 to {MAX_DURATION_S:g} s")
+            raise InvalidCommandError(f"within must be 0 to {MAX_DURATION_S:g} s")
         if zone not in self.by_zone and len(self.by_zone) >= MAX_ZONES:
-            raise InvalidCommandError(f"orders for {MAX_ZONES} zones are held already")
+            raise InvalidCommandError(f"commands for {MAX_ZONES} zones, the maximum, exist already")
         number = 1 + max((command.number for command in self.by_zone.values()), default=0)
         command = ZoneCommand(zone, number, issuer[:MAX_ISSUER_LENGTH], action, duration)
         self.by_zone[zone] = command
         return command
 
     def merge(self, received: Iterable[ZoneCommand]) -> bool:
-        """Take the commands that another instance knows; returns whether any was new."""
+        """Merge the commands of another instance; return whether any was new."""
         changed = False
         for command in received:
-            room = command.zone in self.by_zone or len(self.by_zone) < MAX_ZONES
-            if room and _plausible(command) and command.overrides(self.by_zone.get(command.zone)):
+            has_room = command.zone in self.by_zone or len(self.by_zone) < MAX_ZONES
+            if has_room and _plausible(command) and command.overrides(self.by_zone.get(command.zone)):
                 self.by_zone[command.zone] = command
                 changed = True
         return changed
 
     def leave_commands(self) -> dict[str, ZoneCommand]:
-        """Return the commands to leave, by zone."""
+        """Return the `leave` commands by zone."""
         return {z: command for z, command in self.by_zone.items() if command.action == CommandAction.LEAVE}
 
 
@@ -105,7 +105,7 @@
 
 
 def encode(commands: ZoneCommands) -> bytes:
-    """Return commands as the body of a state entry; the newest stay if not all would fit."""
+    """Encode commands as the body of a state entry, dropping the oldest ones to fit."""
     kept = sorted(commands.by_zone.values(), key=lambda command: (-command.number, command.zone))
     while len(body := _encoder.encode(tuple(kept))) > MAX_DIGEST_BYTES:
         kept.pop()
@@ -113,7 +113,7 @@
 
 
 def decode(body: bytes) -> tuple[ZoneCommand, ...]:
-    """Return the commands of a state entry; none for bytes that are none."""
+    """Decode the commands of a state entry; return none for malformed bytes."""
     try:
         return _decoder.decode(body)[:MAX_ZONES]
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, UnicodeDecodeError):
--- a/sedgepitch/decisions/zones/recovery.py
+++ b/sedgepitch/decisions/zones/recovery.py
@@ -1,7 +1,7 @@
-"""Coming back to a zone: trials of a lost one, the watch on one that answered badly, and the recovery ramp.
+"""Return to a zone: trials of a lost one, observation of a degraded one, and the recovery ramp.
 
-The ramp's steps stay under what endpoints that have just started can serve, and no instance is ahead of its
-zone peers' median by more than a step.
+Each ramp step stays below what freshly started endpoints can serve, and no instance gets more than one step
+ahead of its zone peers' median share.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 from sedgepitch.decisions.zones.states import Zone, ZoneState, ZoneTable
 from sedgepitch.decisions.zones.votes import Vote
 
-TRIAL_RATE = 1.0  # requests a second that a trial aims at, at least: any endpoint can serve them
-TRIAL_REQUESTS = 4.0  # that a turn should have room for
-TRIAL_TURN_FACTOR_MAX = 4.0  # times the length of a turn, where there are few requests
-RATE_MIN = 0.01  # requests a second, against a division by zero
+TRIAL_RATE = 1.0  # requests per second, the minimum target of a trial; any endpoint can serve them
+TRIAL_REQUESTS = 4.0  # requests that a trial turn should be long enough for
+TRIAL_TURN_FACTOR_MAX = 4.0  # limit of the extension of a turn at a low request rate
+RATE_MIN = 0.01  # requests per second; avoids a division by zero
 STEP_TOLERANCE_S = 0.1  # s between calls of ZoneController.step while a zone is not in full use
-SHARE_TOLERANCE = 1e-3  # shares are published in thousandths
+SHARE_TOLERANCE = 1e-3  # shares are published in permille, so rounded
 NAMES_IN_REASON = 3
 RANK_BYTES = 8
 
 
 class Recovery:
-    """The rules by which zones are returned to."""
+    """The transitions back to normal use of a zone."""
 
     def __init__(self, name: str, table: ZoneTable) -> None:
-        """Work on the given table, for the instance of this name."""
+        """Operate on the given table, for the instance `name`."""
         self._name = name
         self._table = table
 
     # The ramp
 
     def begin(self, zone: Zone, now: float, reason: str) -> None:
-        """Begin a return with the ramp's first step."""
+        """Start a return at the first step of the ramp."""
         self.take_step(zone, now, 0, reason)
 
     def take_step(self, zone: Zone, now: float, step: int, reason: str) -> None:
-        """Set a zone to a step of the ramp."""
+        """Set a zone to the given step of the ramp."""
         if zone.state is not ZoneState.RETURNING:
             self._table.enter(zone, ZoneState.RETURNING, now, 0.0, reason)
         zone.ramp_step = step
@@ -46,14 +46,14 @@
         zone.share = self._table.settings.ramp_share(step)
 
     def advance(self, zone: Zone, evidence: FleetEvidence) -> None:
-        """Take the next step when it is time, or end the return."""
+        """Take the next step once it is due, or end the return after the last one."""
         settings = self._table.settings
         now = evidence.view.now
         if self._sees_fault(zone, evidence):
-            zone.step_at = now  # a fault that this instance sees holds its own ramp
+            zone.step_at = now  # a fault seen by this instance pauses its own ramp
         if now - zone.step_at < settings.ramp_step_duration - STEP_TOLERANCE_S:
             return
-        if self._exceeds_peers(zone, evidence):
+        if self._ahead_of_peers(zone, evidence):
             return
         if zone.ramp_step + 1 < settings.ramp_steps:
             self.take_step(zone, now, zone.ramp_step + 1, zone.reason)
@@ -62,7 +62,7 @@
             self._table.enter(zone, ZoneState.NORMAL, now, 1.0, "")
 
     def relapse(self, zone: Zone, now: float) -> None:
-        """Leave a zone again that has a verdict against it on the way back; the next trial waits longer."""
+        """Leave a zone again after an adverse verdict during the return, and double the next trial delay."""
         settings = self._table.settings
         zone.relapses += 1
         zone.trial_delay = min(2.0 * zone.trial_delay, settings.trial_delay_max)
@@ -75,7 +75,7 @@
         own_vote = evidence.votes[self._name].get(zone.name, Vote.NONE)
         return own_vote >= Vote.FAILING or zone.name in evidence.partial_outages[self._name]
 
-    def _exceeds_peers(self, zone: Zone, evidence: FleetEvidence) -> bool:
+    def _ahead_of_peers(self, zone: Zone, evidence: FleetEvidence) -> bool:
         if not evidence.peer_statuses(zone.name):
             return False
         return zone.share > evidence.peer_use(zone.name).median_share + SHARE_TOLERANCE
@@ -83,7 +83,7 @@
     # Following zone peers
 
     def follow(self, zone: Zone, now: float, share: float) -> None:
-        """Use a zone as the zone peers do, by their median share: not, a little, or on the ramp."""
+        """Adopt the zone peers' median share: left, left with the watch share, or a step of the ramp."""
         settings = self._table.settings
         reason = "as the zone's peers do"
         if share >= settings.ramp_share(0):
@@ -95,10 +95,10 @@
         zone.cause = Vote.FAILING if watched else Vote.LOST
         self._table.enter(zone, ZoneState.LEFT, now, settings.watch_share if watched else 0.0, reason)
 
-    # A zone that still answers
+    # Degraded zones
 
     def watch(self, zone: Zone, evidence: FleetEvidence) -> None:
-        """Return to a zone with a small share when it was healthy for the trial delay."""
+        """Start a return to a zone kept at the watch share once it was healthy for the trial delay."""
         now = evidence.view.now
         if zone.verdict is Vote.LOST:
             zone.cause = Vote.LOST
@@ -112,10 +112,10 @@
         elif now - zone.healthy_since >= max(zone.trial_delay, self._table.settings.degraded_hold):
             self.begin(zone, now, "well again")
 
-    # A lost zone
+    # Lost zones
 
-    def try_lost(self, zone: Zone, evidence: FleetEvidence) -> None:
-        """A few instances try a lost zone in turn; when enough are served there, all begin to return."""
+    def run_trials(self, zone: Zone, evidence: FleetEvidence) -> None:
+        """Let a few instances at a time try a lost zone; start the return once enough of them are served."""
         now = evidence.view.now
         served = evidence.served(zone.name)
         reason = self._reason_to_return(zone, evidence, served)
@@ -128,7 +128,7 @@
             zone.share = 0.0
 
     def trial_instances(self, zone: Zone, evidence: FleetEvidence, turn: int) -> list[str]:
-        """Return the zone peers whose turn it is, by rendezvous hashing: the same list at all of them."""
+        """Return the zone peers whose trial turn it is, by rendezvous hashing: the same list at each peer."""
 
         def rank(name: str) -> bytes:
             text = f"{zone.name}/{turn}/{name}"
@@ -146,23 +146,23 @@
         return ""
 
     def _is_own_turn(self, zone: Zone, evidence: FleetEvidence) -> bool:
-        passed = evidence.view.now - zone.state_since - zone.trial_delay
-        if passed < 0:
+        elapsed = evidence.view.now - zone.state_since - zone.trial_delay
+        if elapsed < 0:
             return False
-        turn = int(passed / self._turn_duration(evidence))
+        turn = int(elapsed / self._turn_duration(evidence))
         return self._name in self.trial_instances(zone, evidence, turn)
 
     def _turn_duration(self, evidence: FleetEvidence) -> float:
-        """Return the seconds of a turn: longer where zone peers have few requests, so that it has some."""
+        """Return the length of a trial turn in seconds, extended at a low request rate of the zone peers."""
         rates = sorted(evidence.digests[name].request_rate for name in evidence.zone_peers)
         median = rates[len(rates) // 2]
         factor = TRIAL_RATE * TRIAL_REQUESTS / max(RATE_MIN, median)
         return self._table.settings.trial_turn * min(TRIAL_TURN_FACTOR_MAX, max(1.0, factor))
 
     def _trial_share(self, evidence: FleetEvidence) -> float:
-        """Return an instance's share of the ramp's first step, or what gives it a request a second."""
+        """Return a trial instance's part of the ramp's first step, or the share that gives TRIAL_RATE."""
         settings = self._table.settings
-        # Halved, since those of the last turn that were served go on beside those of this one.
-        fair = settings.ramp_share(0) * len(evidence.zone_peers) / settings.trial_instances / 2.0
-        least = TRIAL_RATE / max(RATE_MIN, evidence.view.own.request_rate)
-        return min(settings.trial_share_max, max(fair, least))
+        # Halved, since served instances of the last turn continue alongside those of the current one.
+        fair_share = settings.ramp_share(0) * len(evidence.zone_peers) / settings.trial_instances / 2.0
+        min_share = TRIAL_RATE / max(RATE_MIN, evidence.view.own.request_rate)
+        return min(settings.trial_share_max, max(fair_share, min_share))
--- a/sedgepitch/decisions/zones/votes.py
+++ b/sedgepitch/decisions/zones/votes.py
@@ -1,4 +1,4 @@
-"""How a digest is judged: one vote a zone, by the same function at all instances."""
+"""Evaluates a digest into one vote per zone, with the same function at all instances."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from sedgepitch.decisions.zones.digests import PERMILLE, ZoneDigest, ZoneObservation
 from sedgepitch.decisions.zones.observations import SLOW_FACTOR, WINDOW_S
 
-OUTAGE_SHARE = 0.7  # of the endpoints tried, that are unreachable when a zone is lost
-OUTAGE_ENDPOINTS_MAX = 4  # unreachable endpoints that stand for a zone of any size
-UNANSWERED_MIN = 2  # attempts since the last success, for a zone with fewer unreachable ones to be lost
-SILENCE_GAPS = 4.0  # mean gaps between answers without one
-SILENCE_MIN_MS = 500.0
-ATTEMPTS_MIN = 8  # below this a share of failures proves nothing
-SLOW_ANSWERS_MIN = 3  # one slow answer is chance; a slow zone gives few, so more would leave it unjudged
-FAILURE_SHARE = 0.2  # of attempts, of a zone that fails
-HEALTHY_FAILURE_SHARE = 0.05  # of attempts, of a zone that others are compared with
-HEALTHY_LATENCY_RATIO = 0.4  # mean latency over the objective, of such a zone
-AFFECTED_SHARE = 0.6  # of endpoints, below which failures are single endpoints' own
-SLOW_LATENCY_RATIO_MIN = 0.15  # mean latency over the objective, below which slow is good enough
-CACHED_DIGESTS = 4096  # a digest is judged again at each step until its instance publishes another
+OUTAGE_SHARE = 0.7  # fraction of the tried endpoints that are unreachable in a lost zone
+OUTAGE_ENDPOINTS_MAX = 4  # unreachable endpoints that suffice for an outage of a zone of any size
+UNANSWERED_MIN = 2  # attempts since the last success, for LOST below OUTAGE_SHARE of unreachable endpoints
+SILENCE_GAPS = 4.0  # mean gaps between successes without one, after which a zone is silent
+SILENCE_MIN_MS = 500.0  # shortest time without a success that counts as silence
+ATTEMPTS_MIN = 8  # with fewer, a failure ratio is not significant
+SLOW_ANSWERS_MIN = 3  # one may be chance; a slow zone gives few, so a higher limit would leave it unjudged
+FAILURE_SHARE = 0.2  # fraction of failed attempts from which a zone is failing
+HEALTHY_FAILURE_SHARE = 0.05  # fraction of failed attempts below which a zone serves as a reference
+HEALTHY_LATENCY_RATIO = 0.4  # mean latency / objective below which a zone serves as a reference
+AFFECTED_SHARE = 0.6  # fraction of endpoints with faults; below it they are faults of single endpoints
+SLOW_LATENCY_RATIO_MIN = 0.15  # mean latency / objective below which a zone is never considered slow
+CACHED_DIGESTS = 4096  # each step evaluates the same digest again until its instance publishes a new one
 
 
 class Vote(IntEnum):
-    """What a digest says of a zone; a higher value is worse."""
+    """The vote of a digest on a zone; a higher value is worse."""
 
-    NONE = 0  # nothing that could be judged
+    NONE = 0  # abstention: not enough information
     HEALTHY = 1
     SLOW = 2
     FAILING = 3
@@ -35,16 +35,16 @@
 
 
 def outage_threshold(endpoints_up: int) -> int:
-    """Return how many unreachable endpoints stand for a zone of so many: over half of them, four at most."""
+    """Return the unreachable endpoints that make an outage: over half of the zone, but at most four."""
     return min(OUTAGE_ENDPOINTS_MAX, endpoints_up // 2 + 1)
 
 
 @lru_cache(maxsize=CACHED_DIGESTS)
 def votes(digest: ZoneDigest) -> dict[str, Vote]:
-    """Return a digest's vote on each zone. The result is shared and must not be changed.
+    """Return a digest's vote on each zone. The result is cached and must not be modified.
 
-    A vote against a zone needs another zone that answers: where all look bad, the cause is the load or the
-    instance itself, and leaving would not help.
+    A vote against a zone needs another zone that answers: if all zones look bad, the cause is the load or the
+    instance itself, and leaving a zone would not help.
     """
     if not digest.may_judge:
         return {}
@@ -58,9 +58,9 @@
 
 @lru_cache(maxsize=CACHED_DIGESTS)
 def partial_outages(digest: ZoneDigest) -> frozenset[str]:
-    """Return the zones of which this instance finds all endpoints that it uses unreachable, but uses too few.
+    """Return the zones whose tried endpoints this instance finds unreachable, but too few for a LOST vote.
 
-    Several such instances may find together that the zone is lost: `evidence.FleetEvidence.jointly_lost`.
+    Several such instances can jointly find the zone lost, see `evidence.FleetEvidence.jointly_lost`.
     """
     if not digest.may_judge:
         return frozenset()
@@ -77,15 +77,15 @@
 
 
 def failures(row: ZoneObservation) -> int:
-    """Return the attempts that came to nothing."""
+    """Return the number of attempts that timed out or failed."""
     return row.timeouts + row.errors
 
 
 def _single_vote(row: ZoneObservation) -> Vote:
-    """Judge a zone without the others beside it."""
+    """Return the vote on a zone without comparison to other zones."""
     if row.endpoints == 0:
         return Vote.NONE
-    # An instance that uses few of the zone's endpoints must not take those for the zone.
+    # An instance that uses few of the zone's endpoints must not generalize from them to the zone.
     enough_unreachable = row.unreachable >= outage_threshold(row.endpoints_up)
     if enough_unreachable and row.unreachable >= OUTAGE_SHARE * row.endpoints:
         return Vote.LOST
@@ -101,10 +101,10 @@
 
 
 def _unanswered_for_long(row: ZoneObservation) -> bool:
-    """Whether the last answer is too long ago to say something of now.
+    """Return whether the last success is too old to be evidence of the current state.
 
-    That is for the pace at which answers came; but windows in which a zone falls silent make that pace look
-    slower, so after attempts that timed out, with none answered since, the shortest silence is enough.
+    The limit depends on the mean gap between successes. Windows in which a zone falls silent make this gap
+    look longer, so after timeouts with no success since, the minimum silence is enough.
     """
     if row.successes == 0:
         return True
@@ -114,14 +114,14 @@
 
 
 def _is_failing(row: ZoneObservation) -> bool:
-    """Whether attempts fail at most endpoints, so that it is not a single endpoint's fault."""
+    """Return whether attempts fail at most of the endpoints, which rules out a single faulty endpoint."""
     affected = row.failing + row.unreachable
     widespread = row.endpoints > 1 and affected >= AFFECTED_SHARE * row.endpoints
     return row.attempts >= ATTEMPTS_MIN and widespread and failures(row) >= FAILURE_SHARE * row.attempts
 
 
 def _answering(digest: ZoneDigest, single: Mapping[str, Vote]) -> set[str]:
-    """Return the zones that serve this instance; `single` has the votes without comparison."""
+    """Return the zones that serve this instance; `single` has the uncompared votes."""
     return {
         row.zone
         for row in digest.observations
@@ -132,9 +132,9 @@
 
 
 def _healthy_latencies(digest: ZoneDigest, answering: set[str]) -> dict[str, int]:
-    """Return the latencies of zones that do well enough for another one to be called bad beside them.
+    """Return the latencies of zones that are healthy enough to serve as a reference for the others.
 
-    Under a load that is too much for all, failures fall where chance has them.
+    Under overload of all zones, failures are distributed at random, and no zone is a reference.
     """
     return {
         row.zone: row.latency_permille
@@ -147,7 +147,7 @@
 
 
 def _compared_vote(row: ZoneObservation, vote: Vote, answering: set[str], healthy: Mapping[str, int]) -> Vote:
-    """Return a zone's vote beside the other zones."""
+    """Return the vote on a zone after comparison with the other zones."""
     others = [latency for zone, latency in healthy.items() if zone != row.zone]
     if vote is Vote.LOST and not answering - {row.zone}:
         return Vote.NONE
