--- a/sedgepitch/decisions/gossip/actions.py
+++ b/sedgepitch/decisions/gossip/actions.py
@@ -1,4 +1,4 @@
-"""What a gossip node asks its caller to do, and what it reports."""
+"""Actions that a gossip node requests from its caller, and events that it reports."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SyncState:
-    """Exchange complete states over a stream with whoever listens at an address."""
+    """Exchange complete states over a stream with the member that listens at an address."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
 class StreamPing:
-    """Ask over a stream whether a member is alive; its answer goes to `GossipNode.stream_ping_answered`."""
+    """Ping a member over a stream; pass its answer to `GossipNode.stream_ping_answered`."""
 
     to: str
     address: Address
@@ -38,7 +38,7 @@
 
 
 class EventKind(Enum):
-    """What happened to a member; values are the names in the log."""
+    """What happened to a member; the values are the names in the log."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberEvent:
-    """A change that the owner of a node is to hear of."""
+    """A change of a member, reported to the owner of a node."""
 
     kind: EventKind
     member: str
--- a/sedgepitch/decisions/gossip/anti_entropy.py
+++ b/sedgepitch/decisions/gossip/anti_entropy.py
@@ -1,7 +1,7 @@
 """Anti-entropy: exchanges of complete states over streams.
 
-With a reachable member now and then; more often with dead members and with seeds that were never met, since a
-partition may have healed or the cluster may have started in two parts.
+A node exchanges states periodically with a reachable member, and more often with dead members and with seeds
+that are not members yet, since a partition may have healed or the cluster may have started in two parts.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from sedgepitch.decisions.gossip.settings import GossipSettings
 from sedgepitch.decisions.gossip.state_entries import StateEntries
 
-UNMET_SEED_DIVISOR = 5.0  # seeds never met are asked this many times an interval
-JITTER_MIN = 0.75  # share of the interval
-JITTER_RANGE = 0.5
+UNKNOWN_SEED_DIVISOR = 5.0  # seeds that are not members are contacted this many times per sync interval
+JITTER_MIN = 0.75  # fraction of the interval
+JITTER_RANGE = 0.5  # fraction of the interval, added at random
 
 
 class AntiEntropy:
-    """Decides when and with whom states are exchanged."""
+    """Schedules state exchanges and selects the member for each."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         seeds: Iterable[Address],
         rng: random.Random,
     ) -> None:
-        """Begin with addresses to ask first; the first exchange is due at once."""
+        """Start with the seed addresses; the first exchange is due immediately."""
         self.seeds = list(seeds)
         self.due = -inf
         self._settings = settings
@@ -43,24 +43,24 @@
         self._rng = rng
 
     def state(self, now: float) -> ClusterState:
-        """Return all that this node knows."""
+        """Return the complete state of this node."""
         table = self._table
         updates = [table.own_update(), *(m.update(table.name) for m in table.members.values())]
         return ClusterState(tuple(updates), tuple(self._entries.all_encoded(now)))
 
     def sync(self, now: float, actions: list[Action]) -> None:
-        """Begin an exchange if one is due, and draw when the next one is."""
+        """Start an exchange if one is due, and draw the time of the next one."""
         if now < self.due:
             return
         reachable = self._reachable_address()
-        lost = self._dead_addresses()
-        unmet = self._unmet_seeds()
-        interval = self._interval(bool(lost) or reachable is None, bool(unmet))
+        dead = self._dead_addresses()
+        unknown_seeds = self._unknown_seeds()
+        interval = self._interval(bool(dead) or reachable is None, bool(unknown_seeds))
         self.due = now + interval * (JITTER_MIN + JITTER_RANGE * self._rng.random())
-        others = [*lost, *unmet]
+        others = [*dead, *unknown_seeds]
         if not others and reachable is None:
             others = self.seeds
-        # Reachable members have their turn once a sync interval, however short the interval is now.
+        # Reachable members average one exchange per sync interval, however short the interval is now.
         if reachable is not None and (
             not others or self._rng.random() < interval / self._settings.sync_interval
         ):
@@ -68,11 +68,11 @@
         elif others:
             actions.append(SyncState(self._rng.choice(others)))
 
-    def _interval(self, rejoining: bool, unmet_seeds: bool) -> float:
+    def _interval(self, rejoining: bool, has_unknown_seeds: bool) -> float:
         settings = self._settings
         interval = settings.rejoin_interval if rejoining else settings.sync_interval
-        if unmet_seeds:
-            interval = min(interval, settings.sync_interval / UNMET_SEED_DIVISOR)
+        if has_unknown_seeds:
+            interval = min(interval, settings.sync_interval / UNKNOWN_SEED_DIVISOR)
         return interval
 
     def _reachable_address(self) -> Address | None:
@@ -83,13 +83,13 @@
         dead = (m for m in self._table.members.values() if m.state is MemberState.DEAD)
         return [self._table.routes.get(m.name, m.address) for m in dead]
 
-    def _unmet_seeds(self) -> list[Address]:
+    def _unknown_seeds(self) -> list[Address]:
         known = {self._table.address, *(m.address for m in self._table.members.values())}
         return [seed for seed in self.seeds if seed not in known]
 
 
-def soften(update: MembershipUpdate, sender: str) -> MembershipUpdate:
-    """Return a dead member of another's state as suspected: the other may be the one that was cut off."""
+def downgrade_dead(update: MembershipUpdate, sender: str) -> MembershipUpdate:
+    """Downgrade DEAD in a received state to SUSPECT, since the sender may be the one that was cut off."""
     if update.state != MemberState.DEAD:
         return update
     return replace(update, state=int(MemberState.SUSPECT), accuser=sender)
--- a/sedgepitch/decisions/gossip/failure_detection.py
+++ b/sedgepitch/decisions/gossip/failure_detection.py
@@ -1,12 +1,13 @@
-"""Failure detection: one member is probed an interval; one that does not answer is suspected.
+"""Failure detection: probes one member per interval and suspects a member that does not answer.
 
-A target that does not ack in time is pinged by other members on request, and asked over a stream, since lost
-datagrams do not make a member dead. Other members that cannot reach it say so by a nack; where even nacks are
-missing, this node is more likely the one that hears nothing, and its local health score grows (Lifeguard).
+If a target does not ack in time, other members (helpers) ping it on request, and this node pings it over a
+stream, since datagram loss does not mean that a member is dead. A helper that cannot reach the target replies
+with a nack. If nacks are missing as well, the fault is more likely on this node's side, and its local health
+score grows (Lifeguard).
 
-Departure from Lifeguard: while this node hears from others, the missing nack of a member that is silent
-altogether does not count. Where many members fail at once, those that are asked are mostly dead themselves,
-and the survivors would take the silence for their own deafness.
+Deviation from Lifeguard: while this node receives messages from other members, the missing nack of a member
+that sent nothing at all does not count. When many members fail at once, most of the helpers are dead too, and
+the survivors would attribute the missing nacks to their own health.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 from sedgepitch.decisions.gossip.probe_order import ProbeOrder
 from sedgepitch.decisions.gossip.settings import GossipSettings
 
-SEQUENCE_START_BITS = 24  # sequence numbers begin at random, so a restarted node repeats none soon
+SEQUENCE_START_BITS = 24  # sequence numbers start at random, so that a restarted node does not reuse them
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way. Times are seconds on this node's clock."""
+    """The probe in progress. Times are seconds on this node's clock."""
 
     target: str
     sequence: int
-    indirect_at: float  # when other members are asked
-    ends_at: float  # when the target is suspected
-    requested: bool = False  # whether other members were asked
-    without_nack: set[str] = field(default_factory=set)  # those asked that have not answered so far
+    indirect_at: float  # when helpers are asked to ping the target
+    ends_at: float  # when the target becomes suspected
+    requested: bool = False  # whether helpers were asked
+    without_nack: set[str] = field(default_factory=set)  # helpers that have not sent a nack
 
 
 @dataclass(slots=True, frozen=True)
 class RelayedProbe:
-    """A ping on behalf of another member."""
+    """A ping sent on behalf of another member."""
 
     requester: str
     requester_sequence: int
@@ -61,8 +62,8 @@
         probe_order: ProbeOrder,
         rng: random.Random,
     ) -> None:
-        """Begin without a probe; the first one is due at once."""
-        self.relayed: dict[int, RelayedProbe] = {}  # by the sequence number of this node's ping
+        """Start without a probe; the first one is due immediately."""
+        self.relayed: dict[int, RelayedProbe] = {}  # keyed by the sequence number of this node's ping
         self._settings = settings
         self._table = table
         self._membership = membership
@@ -71,19 +72,19 @@
         self._probe_order = probe_order
         self._probe: Probe | None = None
         self._probe_at = -inf
-        self._heard: set[str] = set()  # members since the present probe began
+        self._active_members: set[str] = set()  # members that sent a message since the current probe started
         self._sequence = rng.getrandbits(SEQUENCE_START_BITS)
 
     @property
     def due(self) -> float:
-        """Return when `end_overdue` or `probe_next` has something to do."""
+        """Return the next time at which `end_overdue` or `probe_next` has work."""
         times = [self._probe_at, *(relay.expires_at for relay in self.relayed.values())]
         if self._probe is not None:
             times.append(self._probe.ends_at if self._probe.requested else self._probe.indirect_at)
         return min(times)
 
     def probe_next(self, now: float, actions: list[Action]) -> None:
-        """Ping the next member if an interval has passed and no probe is under way."""
+        """Ping the next member if an interval has passed and no probe is in progress."""
         if now < self._probe_at:
             return
         interval = self._settings.probe_interval * self._health.multiplier
@@ -96,11 +97,11 @@
         self._sequence += 1
         timeout = self._settings.ping_timeout * self._health.multiplier
         self._probe = Probe(target, self._sequence, now + timeout, now + interval)
-        self._heard.clear()
+        self._active_members.clear()
         self._sender.send(now, target, Ping(self._sequence), actions)
 
     def end_overdue(self, now: float, actions: list[Action]) -> None:
-        """Ask others about a target that is late, suspect one that stayed silent, end relayed probes."""
+        """Start the indirect probe, suspect a target without an answer, and expire relayed probes."""
         probe = self._probe
         if probe is not None and not probe.requested and now >= probe.indirect_at:
             self._probe_indirectly(now, probe, actions)
@@ -112,7 +113,7 @@
                 self._sender.send(now, relay.requester, Nack(relay.requester_sequence), actions)
 
     def relay(self, now: float, requester: str, request: PingRequest, actions: list[Action]) -> None:
-        """Ping a target on another member's behalf."""
+        """Ping a target on behalf of another member."""
         if (
             len(self.relayed) >= self._settings.max_relayed_probes
             or request.target not in self._table.members
@@ -123,31 +124,31 @@
         self.relayed[self._sequence] = RelayedProbe(requester, request.sequence, expires_at)
         self._sender.send(now, request.target, Ping(self._sequence), actions)
 
-    def acked(self, now: float, sequence: int, actions: list[Action]) -> None:
-        """Take an ack: pass it on, or end this node's own probe."""
+    def ack_received(self, now: float, sequence: int, actions: list[Action]) -> None:
+        """Handle an ack: forward it to the requester, or end this node's own probe."""
         relay = self.relayed.pop(sequence, None)
         if relay is not None:
             self._sender.send(now, relay.requester, Ack(relay.requester_sequence), actions)
         elif self._probe is not None and sequence == self._probe.sequence:
             self._succeed()
 
-    def nacked(self, name: str, sequence: int) -> None:
-        """Note that an asked member is reachable though the target is not."""
+    def nack_received(self, name: str, sequence: int) -> None:
+        """Record that a helper is reachable although the target is not."""
         if self._probe is not None and sequence == self._probe.sequence:
             self._probe.without_nack.discard(name)
 
-    def heard(self, name: str) -> None:
-        """Note that a member was heard, whatever it said."""
-        self._heard.add(name)
+    def message_received(self, name: str) -> None:
+        """Record that a message of any kind arrived from a member."""
+        self._active_members.add(name)
 
-    def answered_by_stream(self, name: str) -> None:
+    def stream_answer_received(self, name: str) -> None:
         """End this node's probe of a member that answered over a stream."""
-        self._heard.add(name)
+        self._active_members.add(name)
         if self._probe is not None and self._probe.target == name:
             self._succeed()
 
-    def restart(self, now: float) -> None:
-        """Drop all probes under way after a pause of this process: they are too old to judge by."""
+    def reset(self, now: float) -> None:
+        """Drop all probes in progress after a pause of this process, since they are out of date."""
         self._probe = None
         self.relayed.clear()
         self._probe_at = max(self._probe_at, now + self._settings.probe_interval)
@@ -168,14 +169,15 @@
 
     def _fail(self, now: float, probe: Probe, actions: list[Action]) -> None:
         self._probe = None
-        missing = probe.without_nack & self._heard if self._heard else probe.without_nack
-        self._health.adjust(len(missing))
+        missing_nacks = (
+            probe.without_nack & self._active_members if self._active_members else probe.without_nack
+        )
+        self._health.adjust(len(missing_nacks))
         member = self._table.members.get(probe.target)
         if member is None or not member.reachable:
             return
         self._membership.suspect(now, member, self._table.name)
         address = self._table.address_of(member.name)
         if address is not None:
-            actions.append(
-                SyncState(address)
-            )  # a target that is alive learns of the suspicion and refutes it
+            # Lets a target that is alive learn of the suspicion and refute it.
+            actions.append(SyncState(address))
--- a/sedgepitch/decisions/gossip/local_health.py
+++ b/sedgepitch/decisions/gossip/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health: a node that hears badly itself judges others more slowly."""
+"""Lifeguard's local health: a node with signs of a local fault probes less often, with longer timeouts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
     """A score from 0 (healthy) upwards; probe intervals and timeouts grow with it."""
 
     def __init__(self, maximum: int) -> None:
-        """Begin healthy."""
+        """Start healthy."""
         self.score = 0
         self._maximum = maximum
 
@@ -17,5 +17,5 @@
         return 1 + self.score
 
     def adjust(self, by: int) -> None:
-        """Change the score within its bounds: up for signs of an own fault, down for answers in time."""
+        """Change the score within its bounds: up on signs of a local fault, down on timely answers."""
         self.score = max(0, min(self._maximum, self.score + by))
--- a/sedgepitch/decisions/gossip/membership.py
+++ b/sedgepitch/decisions/gossip/membership.py
@@ -1,7 +1,7 @@
-"""Membership: which updates override what is known, suspicion and its timeout, refutation.
+"""Membership: precedence of updates, suspicion and its timeout, and refutation.
 
-Of two updates about a member the one with the higher incarnation counts, and of equal incarnations the one
-with the worse state. Only the member itself raises its incarnation, to refute what others say of it.
+Of two updates about a member the one with the higher incarnation wins, and at equal incarnations the one with
+the worse state. Only the member itself raises its incarnation, to refute an update about itself.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Membership:
-    """Changes the states in the member table."""
+    """Applies updates and suspicions to the member table."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         health: LocalHealth,
         probe_order: ProbeOrder,
     ) -> None:
-        """Work on the given table; a new member is also entered in the probe order."""
+        """Operate on the given table; new members are also inserted into the probe order."""
         self.suspicions = 0
-        self.deaths = 0  # found by this node itself
+        self.deaths = 0  # declared by this node itself
         self.leaving = False
         self._settings = settings
         self._table = table
@@ -45,9 +45,9 @@
     # Updates
 
     def apply(self, now: float, update: MembershipUpdate, sender: str) -> None:
-        """Apply an update if it overrides what is known; one out of bounds is ignored."""
-        name_fits = 0 < len(update.member) <= self._settings.max_name_length
-        if not name_fits or not 0 <= update.state <= MemberState.LEFT:
+        """Apply an update if it overrides the known state; one that is out of bounds is ignored."""
+        valid_name = 0 < len(update.member) <= self._settings.max_name_length
+        if not valid_name or not 0 <= update.state <= MemberState.LEFT:
             return
         if update.member == self._table.name:
             self._refute(now, update)
@@ -66,7 +66,7 @@
             self._apply_gone(now, member, update)
 
     def _add(self, now: float, update: MembershipUpdate) -> Member | None:
-        """Add a member heard of for the first time; None for one that is gone or one too many."""
+        """Add a new member; return None if it is dead or has left, or if the table is full."""
         if update.state >= MemberState.DEAD:
             return None
         if len(self._table.members) >= self._settings.max_members:
@@ -94,7 +94,7 @@
     def _apply_suspect(self, now: float, member: Member, update: MembershipUpdate, sender: str) -> None:
         if update.incarnation < member.incarnation or not member.reachable:
             return
-        if update.incarnation > member.incarnation:  # it has refuted the last suspicion meanwhile
+        if update.incarnation > member.incarnation:  # the member has refuted the previous suspicion
             member.state = MemberState.ALIVE
             member.incarnation = update.incarnation
         self.suspect(now, member, update.accuser or sender)
@@ -111,14 +111,14 @@
         self._queue.add(now, member.name)
 
     def _refute(self, now: float, update: MembershipUpdate) -> None:
-        """Answer an update about this node with a higher incarnation if it is wrong.
+        """Refute a wrong update about this node by raising its incarnation.
 
-        Also exceeds an earlier process of this name. At most one refutation a gossip interval, so that two
-        processes of one name do not flood the cluster.
+        This also supersedes an earlier process of the same name. At most one refutation per gossip interval,
+        so that two processes of one name do not flood the cluster.
         """
         table = self._table
-        wrong = update.state != MemberState.ALIVE or (update.host, update.port) != table.address
-        if self.leaving or update.incarnation < table.incarnation or not wrong:
+        incorrect = update.state != MemberState.ALIVE or (update.host, update.port) != table.address
+        if self.leaving or update.incarnation < table.incarnation or not incorrect:
             return
         if update.state != MemberState.ALIVE:
             self._health.adjust(1)
@@ -139,13 +139,13 @@
             member.accusers = set()
             self.suspicions += 1
             self._table.report(EventKind.SUSPECTED, member.name)
-        known = member.accusers
-        if accuser and accuser not in known and len(known) <= self._settings.confirmations:
-            known.add(accuser)
+        accusers = member.accusers
+        if accuser and accuser not in accusers and len(accusers) <= self._settings.confirmations:
+            accusers.add(accuser)
             self._queue.add(now, member.name)
 
     def suspicion_timeout(self, member: Member) -> float:
-        """Return the seconds that a suspect has to refute: less with more independent accusers."""
+        """Return the seconds a suspect has to refute the suspicion: fewer with more independent accusers."""
         settings = self._settings
         members = max(1, len(self._table.members))
         minimum = settings.suspicion_multiplier * max(1.0, log10(members)) * settings.probe_interval
@@ -154,22 +154,22 @@
         return max(minimum, maximum - (maximum - minimum) * confirmed)
 
     def next_timeout(self) -> float:
-        """Return when the first suspicion times out; infinity without one."""
+        """Return when the earliest suspicion times out; infinity without suspicions."""
         suspects = (m for m in self._table.members.values() if m.state is MemberState.SUSPECT)
         return min((m.state_since + self.suspicion_timeout(m) for m in suspects), default=inf)
 
     def expire(self, now: float) -> None:
-        """Declare suspects dead whose timeout passed, and forget members long gone."""
+        """Declare timed-out suspects dead, and remove dead and left members after their retention time."""
         for member in list(self._table.members.values()):
-            in_state = now - member.state_since
-            if member.state is MemberState.SUSPECT and in_state >= self.suspicion_timeout(member):
+            elapsed = now - member.state_since
+            if member.state is MemberState.SUSPECT and elapsed >= self.suspicion_timeout(member):
                 self._declare_dead(now, member)
-            elif not member.reachable and in_state > self._settings.dead_retention:
+            elif not member.reachable and elapsed > self._settings.dead_retention:
                 del self._table.members[member.name]
                 self._queue.discard(member.name)
 
     def extend_suspicions(self, by: float) -> None:
-        """Give each suspect this many more seconds."""
+        """Extend the timeout of each suspicion by a number of seconds."""
         for member in self._table.members.values():
             if member.state is MemberState.SUSPECT:
                 member.state_since += by
--- a/sedgepitch/decisions/gossip/messages.py
+++ b/sedgepitch/decisions/gossip/messages.py
@@ -1,7 +1,7 @@
-"""The messages of gossip, as they are encoded.
+"""The gossip messages in their wire format.
 
-Structs are encoded as arrays: the order of the fields and the tags are the wire format and must not change,
-since two versions of the program run in one cluster. Fields may be added at the end.
+Structs are encoded as arrays: the field order and the tags are the wire format and must not change, since two
+versions of the program can run in one cluster. Fields may be added at the end.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class MemberState(IntEnum):
-    """What is known of a member; of equal incarnation the higher value overrides."""
+    """The state of a member; at equal incarnations the higher value overrides."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,7 +21,7 @@
 
 
 class MembershipUpdate(Struct, frozen=True, array_like=True):
-    """The state of one member as its sender knows it. `accuser` suspected it; empty if nobody did."""
+    """The state of a member as known to the sender. `accuser` suspected it; empty without suspicion."""
 
     member: str
     host: str
@@ -32,10 +32,10 @@
 
 
 class StateEntry(Struct, frozen=True, array_like=True):
-    """What a member publishes of one kind; the highest version overrides.
+    """A member's published entry of one kind; the highest version overrides.
 
-    `age` is in seconds: each member that passes an entry on adds the time for which it held it, so clocks of
-    two machines are never compared.
+    `age` is in seconds. Each member that forwards an entry adds the time for which it stored the entry, so
+    clocks of different machines are never compared.
     """
 
     origin: str
@@ -71,13 +71,13 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag=4):
-    """Answers a PingRequest whose target did not answer; shows that the asked member itself is reachable."""
+    """Answers a PingRequest whose target did not answer; shows that the helper itself is reachable."""
 
     sequence: int
 
 
 class UpdateMessage(Struct, frozen=True, array_like=True, tag=5):
-    """Carries updates and state entries alone."""
+    """Carries only updates and state entries."""
 
     updates: tuple[MembershipUpdate, ...] = ()
     entries: tuple[StateEntry, ...] = ()
@@ -87,7 +87,7 @@
 
 
 class ClusterState(Struct, frozen=True, array_like=True):
-    """All that a member knows, exchanged over a stream."""
+    """The complete state of a member, exchanged over a stream."""
 
     updates: tuple[MembershipUpdate, ...] = ()
     entries: tuple[StateEntry, ...] = ()
--- a/sedgepitch/decisions/gossip/node.py
+++ b/sedgepitch/decisions/gossip/node.py
@@ -1,11 +1,12 @@
-"""A gossip node: one member's part of the protocol, in one object.
+"""A gossip node: one member's side of the protocol in one object.
 
-The caller passes in events and the time and carries out the actions that it gets back; `due` says when to
-call `on_timer`.
+The caller passes events and the time and carries out the returned actions; `due` returns when to call
+`on_timer`.
 
-A timer that comes late shows that this process was suspended or starved. It must not take its own silence for
-others': probes under way are dropped and suspects get as much more time as was slept, before anything that
-came meanwhile is judged. The price is that failures during a pause are detected later.
+A late timer shows that this process was suspended or starved of CPU. Missing answers during such a pause say
+nothing about other members, so probes in progress are dropped and all suspicions are extended by the length
+of the pause, before any input that arrived meanwhile is processed. The cost is that failures during a pause
+are detected later.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from msgspec.structs import replace
 
 from sedgepitch.decisions.gossip.actions import Action, Address, MemberEvent, SendDatagram
-from sedgepitch.decisions.gossip.anti_entropy import AntiEntropy, soften
+from sedgepitch.decisions.gossip.anti_entropy import AntiEntropy, downgrade_dead
 from sedgepitch.decisions.gossip.dissemination import TransmitQueue
 from sedgepitch.decisions.gossip.failure_detection import FailureDetector
 from sedgepitch.decisions.gossip.local_health import LocalHealth
@@ -40,18 +41,18 @@
 from sedgepitch.decisions.gossip.settings import GossipSettings, GossipSettingsError
 from sedgepitch.decisions.gossip.state_entries import PublishedEntry, StateEntries
 
-PAUSE_HEALTH_PENALTY = 2  # points of local health that a pause of this process costs
+PAUSE_HEALTH_PENALTY = 2  # added to the local health score after a pause of this process
 
 
 class GossipNode:
-    """One member. Raises GossipSettingsError for a name that cannot be used."""
+    """One member. Raises GossipSettingsError for an invalid name."""
 
     def __init__(
         self, settings: GossipSettings, name: str, address: Address, seeds: Iterable[Address], seed: int
     ) -> None:
-        """Begin knowing nobody; `seeds` are asked first, and `seed` is of all random draws."""
+        """Start without members; `seeds` are the first contacts, `seed` seeds the random generator."""
         if not 0 < len(name) <= settings.max_name_length:
-            raise GossipSettingsError(f"a peer's name needs 1 to {settings.max_name_length} characters")
+            raise GossipSettingsError(f"a peer name must have 1 to {settings.max_name_length} characters")
         rng = random.Random(seed)
         self.settings = settings
         self.table = MemberTable(name, address, rng)
@@ -83,38 +84,38 @@
         return self.table.members
 
     def alive(self) -> list[str]:
-        """Return the names of members not known to be gone, this one included, in order."""
+        """Return the sorted names of alive and suspected members, including this one."""
         return self.table.alive()
 
     def entries_of_kind(self, kind: str, now: float) -> dict[str, PublishedEntry]:
-        """Return the state entries of one kind by origin, own included, of members not known to be gone."""
+        """Return the state entries of one kind by origin, of alive and suspected members and of this one."""
         return self.entries.of_kind(kind, now)
 
     def take_events(self) -> list[MemberEvent]:
-        """Return the events since the last call."""
+        """Return and clear the events since the last call."""
         events = self.table.events
         self.table.events = []
         return events
 
     def due(self) -> float:
-        """Return when `on_timer` is to be called."""
+        """Return when to call `on_timer`."""
         self._due = min(
             self.detector.due, self.anti_entropy.due, self._queue.due, self.membership.next_timeout()
         )
         return self._due
 
     def timer_delay(self, now: float) -> float:
-        """Return by how many seconds the timer is late; 0 before the first one."""
+        """Return the seconds by which the timer is late; 0 before `due` was first called."""
         return max(0.0, now - self._due) if self._due > -inf else 0.0
 
     # Events
 
     def publish(self, now: float, kind: str, body: bytes) -> None:
-        """Publish a state entry, which replaces the last of its kind. Raises StateEntryError."""
+        """Publish a state entry, replacing the previous one of its kind. Raises StateEntryError."""
         self.entries.publish(now, kind, body)
 
     def on_timer(self, now: float) -> list[Action]:
-        """Do what is due."""
+        """Run all due work."""
         self._detect_pause(now)
         actions: list[Action] = []
         self.detector.end_overdue(now, actions)
@@ -127,12 +128,12 @@
         return actions
 
     def on_datagram(self, now: float, sender: str, message: Message) -> list[Action]:
-        """Take an authenticated message of a member and answer it."""
+        """Process and answer an authenticated message of a member."""
         self._detect_pause(now)
         actions: list[Action] = []
         if sender == self.name:
             return actions
-        self.detector.heard(sender)
+        self.detector.message_received(sender)
         if not isinstance(message, Nack):
             self._apply(now, message.updates, message.entries, sender)
         match message:
@@ -141,33 +142,33 @@
             case PingRequest():
                 self.detector.relay(now, sender, message, actions)
             case Ack():
-                self.detector.acked(now, message.sequence, actions)
+                self.detector.ack_received(now, message.sequence, actions)
             case Nack():
-                self.detector.nacked(sender, message.sequence)
+                self.detector.nack_received(sender, message.sequence)
             case UpdateMessage():
                 pass
         self.due()
         return actions
 
     def state(self, now: float) -> ClusterState:
-        """Return all that this node knows, for an exchange over a stream."""
+        """Return the complete state of this node, for an exchange over a stream."""
         return self.anti_entropy.state(now)
 
     def merge(self, now: float, state: ClusterState, sender: str) -> None:
-        """Take another member's complete state."""
+        """Merge the complete state of another member."""
         self._detect_pause(now)
-        self.detector.heard(sender)
-        self._apply(now, [soften(update, sender) for update in state.updates], state.entries, sender)
+        self.detector.message_received(sender)
+        self._apply(now, [downgrade_dead(update, sender) for update in state.updates], state.entries, sender)
         self.due()
 
     def stream_ping_answered(self, now: float, name: str) -> None:
-        """Take the answer to a StreamPing."""
+        """Process the answer to a StreamPing."""
         self._detect_pause(now)
-        self.detector.answered_by_stream(name)
+        self.detector.stream_answer_received(name)
         self.due()
 
     def leave(self) -> list[Action]:
-        """Announce that this node leaves, to a few members; the others hear of it from them."""
+        """Announce that this node leaves to a few members, which spread the update."""
         self.membership.leaving = True
         self.table.incarnation += 1
         update = replace(self.table.own_update(), state=int(MemberState.LEFT))
@@ -186,13 +187,13 @@
             self.entries.accept(now, entry)
 
     def _detect_pause(self, now: float) -> None:
-        """Find out whether this process was suspended, before anything that came meanwhile is judged."""
-        late = self.timer_delay(now)
-        if late <= self.settings.pause_threshold:
+        """Detect a suspension of this process, before input that arrived meanwhile is processed."""
+        delay = self.timer_delay(now)
+        if delay <= self.settings.pause_threshold:
             return
         self._due = now
         self.pauses += 1
         self.health.adjust(PAUSE_HEALTH_PENALTY)
-        self.membership.extend_suspicions(late)
-        self.detector.restart(now)
-        self.anti_entropy.due = now  # ask a member what has happened meanwhile
+        self.membership.extend_suspicions(delay)
+        self.detector.reset(now)
+        self.anti_entropy.due = now  # exchange states to learn what happened during the pause
--- a/sedgepitch/decisions/gossip/piggyback.py
+++ b/sedgepitch/decisions/gossip/piggyback.py
@@ -1,4 +1,4 @@
-"""Messages leave with as many updates as there is room for."""
+"""Builds datagrams: messages with as many piggybacked updates as fit."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from sedgepitch.decisions.gossip.settings import GossipSettings
 from sedgepitch.decisions.gossip.state_entries import StateEntries
 
-# Upper bounds of what msgpack needs beside the text and body of a message part.
+# Upper bounds of the msgpack overhead beyond the text and body of an update or entry.
 UPDATE_OVERHEAD_BYTES = 32
 ENTRY_OVERHEAD_BYTES = 40
 MAX_BYTES_PER_CHARACTER = 4
 
 
 def encoded_size_bound(part: MembershipUpdate | StateEntry) -> int:
-    """Return the bytes that an update or entry takes at most, whatever its numbers."""
+    """Return an upper bound of the encoded size of an update or entry, for any numbers in it."""
     if isinstance(part, MembershipUpdate):
         characters = len(part.member) + len(part.host) + len(part.accuser)
         return UPDATE_OVERHEAD_BYTES + MAX_BYTES_PER_CHARACTER * characters
@@ -34,12 +34,12 @@
 
 
 class Sender:
-    """Makes datagrams of messages, with pending updates packed into them."""
+    """Turns messages into datagrams, with pending updates packed into them."""
 
     def __init__(
         self, settings: GossipSettings, table: MemberTable, entries: StateEntries, queue: TransmitQueue
     ) -> None:
-        """Send what waits in the queue, as the table and the entries have it."""
+        """Take pending updates from the queue, and their content from the table and the entries."""
         self._settings = settings
         self._table = table
         self._entries = entries
@@ -60,15 +60,15 @@
         actions.append(SendDatagram(to, address, packed))
 
     def gossip(self, now: float, actions: list[Action]) -> None:
-        """Send the pending updates by themselves to a few random members."""
+        """Send pending updates, without another message, to a few random members."""
         self._queue.begin_interval(now)
         for name in self._table.sample(self._settings.gossip_fanout):
             self.send(now, name, UpdateMessage(), actions)
 
     def _pack(self, now: float, to: str) -> tuple[list[MembershipUpdate], list[StateEntry]]:
-        """Choose what rides on a message and count it as sent.
+        """Select the updates to piggyback on a message and count them as sent.
 
-        A suspected receiver is told of the suspicion first, so that it can refute it.
+        A suspected receiver gets the update about its suspicion first, so that it can refute it.
         """
         updates: list[MembershipUpdate] = []
         entries: list[StateEntry] = []
@@ -78,7 +78,7 @@
             updates.append(receiver.update(self._table.name))
             room -= encoded_size_bound(updates[0])
         for member, kind in self._queue.least_sent_first():
-            part = self._part(now, member, kind)
+            part = self._current_part(now, member, kind)
             if part is None:
                 self._queue.discard(member, kind)
                 continue
@@ -93,7 +93,7 @@
             self._queue.count_transmission(member, kind, len(self._table.members))
         return updates, entries
 
-    def _part(self, now: float, member: str, kind: str) -> MembershipUpdate | StateEntry | None:
+    def _current_part(self, now: float, member: str, kind: str) -> MembershipUpdate | StateEntry | None:
         if not kind:
             return self._table.update_about(member)
         return self._entries.encoded(now, member, kind)
--- a/sedgepitch/decisions/gossip/probe_order.py
+++ b/sedgepitch/decisions/gossip/probe_order.py
@@ -8,16 +8,16 @@
 
 
 class ProbeOrder:
-    """The rest of the present round."""
+    """The remaining members of the current round."""
 
     def __init__(self, table: MemberTable, rng: random.Random) -> None:
-        """Begin with an empty round."""
+        """Start with an empty round."""
         self._table = table
         self._rng = rng
         self._round: list[str] = []
 
     def insert(self, name: str) -> None:
-        """Put a new member at a random place of the round."""
+        """Insert a new member at a random position of the round."""
         self._round.insert(self._rng.randint(0, len(self._round)), name)
 
     def next(self) -> str | None:
--- a/sedgepitch/decisions/gossip/replay_protection.py
+++ b/sedgepitch/decisions/gossip/replay_protection.py
@@ -1,8 +1,9 @@
 """Protection against replayed datagrams, without wall clocks and without state on disk.
 
-A sender draws a random session id at its start and numbers its datagrams. A session that is not known is
-challenged to repeat a fresh nonce, which a replayed datagram cannot do. Of a known session each datagram is
-accepted once, within an anti-replay window as IPsec has it (RFC 4303), and only soon after the newest one.
+A sender draws a random session id at its start and numbers its datagrams. The sender of an unknown session is
+challenged to repeat a fresh nonce, which a replayed datagram cannot do. Each datagram of a known session is
+accepted once, within an anti-replay window as in IPsec (RFC 4303); one with a lower counter than the newest
+is accepted only shortly after the newest arrived.
 """
 
 from __future__ import annotations
@@ -11,17 +12,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-WINDOW_SIZE = 64  # datagrams that may overtake one
+WINDOW_SIZE = 64  # a datagram whose counter is this far behind the newest one is dropped
 WINDOW_MASK = (1 << WINDOW_SIZE) - 1
-REORDER_MAX_S = 2.0  # after the newest datagram, in which an overtaken one is accepted
-CHALLENGE_INTERVAL_S = 0.2  # between challenges to one sender
+REORDER_MAX_S = 2.0  # time after the newest datagram in which reordered ones are accepted
+CHALLENGE_INTERVAL_S = 0.2  # minimum time between challenges to one sender
 CHALLENGE_TIMEOUT_S = 2.0
 NONCE_BYTES = 16
 MAX_SENDERS = 1024
 
 
 class Verdict(Enum):
-    """What is to be done with a datagram."""
+    """How to handle a datagram."""
 
     ACCEPT = "accept"
     DROP = "drop"
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class _Session:
-    """The newest counter of a session, when it came, and a bit for each counter behind it that came."""
+    """The newest counter of a session, its arrival time, and a bit mask of the counters received up to it."""
 
     session_id: int
     highest: int
@@ -45,17 +46,17 @@
 
 
 class SenderSessions:
-    """The proven session of each sender. Times are seconds on this node's monotonic clock."""
+    """The verified session of each sender. Times are seconds on this node's monotonic clock."""
 
     def __init__(self, seed: int, max_senders: int = MAX_SENDERS) -> None:
-        """Begin without sessions; `seed` is of the nonces."""
+        """Start without sessions; `seed` seeds the generator of the nonces."""
         self.sessions: dict[str, _Session] = {}
         self.challenges: dict[str, _Challenge] = {}
         self._rng = random.Random(seed)
         self._max_senders = max_senders
 
     def check(self, now: float, sender: str, session_id: int, counter: int) -> Verdict:
-        """Decide on an authenticated datagram, and note an accepted one."""
+        """Return how to handle an authenticated datagram, and record an accepted one."""
         session = self.sessions.get(sender)
         if session is None or session.session_id != session_id:
             return Verdict.CHALLENGE
@@ -73,7 +74,7 @@
         return Verdict.ACCEPT
 
     def challenge(self, now: float, sender: str) -> bytes | None:
-        """Return a nonce for the sender to repeat; None if it was challenged just now."""
+        """Return a nonce for the sender to repeat; None if the last challenge was too recent."""
         pending = self.challenges.get(sender)
         if pending is not None and now - pending.sent_at < CHALLENGE_INTERVAL_S:
             return None
@@ -85,7 +86,7 @@
         return nonce
 
     def verify(self, now: float, sender: str, session_id: int, counter: int, nonce: bytes) -> bool:
-        """Whether this is the nonce asked for, in time; if so its session is established."""
+        """Return whether a nonce answers the challenge in time; if so, establish the session."""
         pending = self.challenges.get(sender)
         if pending is None or pending.nonce != nonce or now - pending.sent_at > CHALLENGE_TIMEOUT_S:
             return False
@@ -94,7 +95,7 @@
         return True
 
     def establish(self, now: float, sender: str, session_id: int, counter: int) -> None:
-        """Accept a proven session from now on; the counter of a known one only grows."""
+        """Accept a verified session from now on; the counter of a known session never decreases."""
         session = self.sessions.pop(sender, None)
         if session is None or session.session_id != session_id:
             session = _Session(session_id, counter, 1, now)
