--- a/tests/test_golden_gossip.py
+++ b/tests/test_golden_gossip.py
@@ -1,8 +1,8 @@
-"""Golden gossip: the same seed gives the same datagrams, frames and decisions as when it was recorded.
+"""Golden gossip: each seed gives the recorded datagrams, frames and decisions.
 
-Two versions of the program gossip in one cluster, so the bytes must not change. `python -m
-tests.test_golden_gossip` prints the digests of the present code, to record them anew where a change of
-behaviour is meant.
+Two versions of the program can gossip in one cluster, so the encoded bytes must not change. `python -m
+tests.test_golden_gossip` prints the digests of the current code, to record them after an intended change of
+behaviour.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 
 
 @cache
-def played(seed: int) -> tuple[str, frozenset[str]]:
-    """Play one seed; returns its digest, and what was recorded at least once."""
+def run_seed(seed: int) -> tuple[str, frozenset[str]]:
+    """Run one seed; return its digest and the kinds of records that occurred."""
     cluster = GoldenCluster(seed)
     return cluster.play(), frozenset(cluster.seen)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_cluster_sends_and_decides_as_recorded(seed):
-    assert played(seed)[0] == json.loads(DIGESTS.read_text())[f"cluster {seed}"]
+def test_cluster_sends_and_decides_as_recorded(seed):
+    assert run_seed(seed)[0] == json.loads(DIGESTS.read_text())[f"cluster {seed}"]
 
 
 @pytest.mark.parametrize("seed", REPLAY_SEEDS)
-def test_replays_are_judged_as_recorded(seed):
+def test_replay_protection_decides_as_recorded(seed):
     assert play_replay_protection(seed) == json.loads(DIGESTS.read_text())[f"replay {seed}"]
 
 
-def test_the_seeds_send_every_kind_of_message_and_see_every_event():
-    seen: set[str] = set()
+def test_seeds_cover_every_kind_of_message_and_record():
+    recorded: set[str] = set()
     for seed in SEEDS:
-        seen |= played(seed)[1]
+        recorded |= run_seed(seed)[1]
     kinds = {f"datagram {tag}" for tag in (PING, PING_REQUEST, ACK, NACK, UPDATES)}
-    assert seen == kinds | {"frame", "sync", "stream ping", "event", "due", "members"}
+    assert recorded == kinds | {"frame", "sync", "stream ping", "event", "due", "members"}
 
 
 if __name__ == "__main__":
-    digests = {f"cluster {seed}": played(seed)[0] for seed in SEEDS}
+    digests = {f"cluster {seed}": run_seed(seed)[0] for seed in SEEDS}
     digests |= {f"replay {seed}": play_replay_protection(seed) for seed in REPLAY_SEEDS}
     print(json.dumps(digests, indent=1))
--- a/tests/test_golden_zones.py
+++ b/tests/test_golden_zones.py
@@ -1,7 +1,7 @@
-"""Golden zone decisions: the same seed gives the same digests, votes, states and weights as when recorded.
+"""Golden zone decisions: each seed gives the recorded digests, votes, states and weights.
 
-`python -m tests.test_golden_zones` prints the digests of the present code, to record them anew where a change
-of behaviour is meant.
+`python -m tests.test_golden_zones` prints the digests of the current code, to record them after an intended
+change of behaviour.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 
 
 @cache
-def played(seed: int) -> tuple[str, frozenset[str]]:
-    """Play one seed; returns its digest, and what was recorded at least once."""
+def run_seed(seed: int) -> tuple[str, frozenset[str]]:
+    """Run one seed; return its digest and the kinds of records that occurred."""
     zones = GoldenZones(seed)
     return zones.play(), frozenset(zones.seen)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_zones_are_judged_as_recorded(seed):
-    assert played(seed)[0] == json.loads(DIGESTS.read_text())[f"zones {seed}"]
+def test_zone_decisions_are_as_recorded(seed):
+    assert run_seed(seed)[0] == json.loads(DIGESTS.read_text())[f"zones {seed}"]
 
 
 @pytest.mark.parametrize("seed", BOUNDS_SEEDS)
-def test_digests_are_cut_and_refused_as_recorded(seed):
+def test_digests_are_truncated_and_rejected_as_recorded(seed):
     assert play_bounds(seed) == json.loads(DIGESTS.read_text())[f"bounds {seed}"]
 
 
-def test_the_seeds_reach_every_state_and_verdict():
-    seen: set[str] = set()
+def test_seeds_reach_every_state_and_verdict():
+    recorded: set[str] = set()
     for seed in SEEDS:
-        seen |= played(seed)[1]
-    assert {"normal", "suspected", "leaving", "left", "returning"} <= seen
-    assert {"verdict 1", "verdict 2", "verdict 3", "verdict 4"} <= seen
+        recorded |= run_seed(seed)[1]
+    assert {"normal", "suspected", "leaving", "left", "returning"} <= recorded
+    assert {"verdict 1", "verdict 2", "verdict 3", "verdict 4"} <= recorded
 
 
 if __name__ == "__main__":
-    digests = {f"zones {seed}": played(seed)[0] for seed in SEEDS}
+    digests = {f"zones {seed}": run_seed(seed)[0] for seed in SEEDS}
     digests |= {f"bounds {seed}": play_bounds(seed) for seed in BOUNDS_SEEDS}
     print(json.dumps(digests, indent=1))
--- a/tests/test_gossip_dissemination.py
+++ b/tests/test_gossip_dissemination.py
@@ -1,4 +1,4 @@
-"""How often updates are sent, in which order, and how many ride on a datagram."""
+"""Dissemination: how often updates are sent, in which order, and how many fit in a datagram."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 SETTINGS = GossipSettings()
 
 
-class Parts:
-    """A table of some members with the queue, the entries and the sender that work on it."""
+class DisseminationParts:
+    """A member table with the queue, state entries and sender that operate on it."""
 
     def __init__(self, members: int) -> None:
         self.table = MemberTable("own", ("127.0.0.1", 1), random.Random(1))
@@ -36,8 +36,8 @@
 
 
 @pytest.mark.parametrize(("members", "times"), [(1, 4), (8, 4), (9, 8), (98, 8), (99, 12)])
-def test_an_update_is_sent_four_times_the_logarithm_of_the_members(members, times):
-    parts = Parts(members)
+def test_update_is_sent_four_times_the_rounded_up_logarithm_of_the_member_count(members, times):
+    parts = DisseminationParts(members)
     parts.queue.add(0.0, "own")
     sent = 0
     while parts.send(UpdateMessage()):
@@ -45,8 +45,8 @@
     assert sent == times and len(parts.queue) == 0
 
 
-def test_the_least_sent_update_comes_first_and_a_new_one_starts_anew():
-    parts = Parts(3)
+def test_least_sent_update_comes_first_and_requeuing_resets_the_count():
+    parts = DisseminationParts(3)
     parts.queue.add(0.0, "m1")
     parts.queue.count_transmission("m1", "", 3)
     parts.queue.add(0.0, "m2")
@@ -55,8 +55,8 @@
     assert parts.queue.least_sent_first() == [("m1", ""), ("m2", "")]
 
 
-def test_a_datagram_has_room_for_a_bounded_number_of_updates():
-    parts = Parts(60)
+def test_updates_in_a_datagram_are_bounded_in_size():
+    parts = DisseminationParts(60)
     for name in parts.table.members:
         parts.queue.add(0.0, name)
     (datagram,) = parts.send(Ack(1))
@@ -65,16 +65,16 @@
     assert sum(sizes) <= SETTINGS.piggyback_bytes < sum(sizes) + max(sizes)
 
 
-def test_a_suspected_receiver_is_told_of_the_suspicion_first():
-    parts = Parts(2)
+def test_suspected_receiver_gets_its_suspicion_first():
+    parts = DisseminationParts(2)
     parts.table.members["m0"].state = MemberState.SUSPECT
     parts.queue.add(0.0, "m1")
     (datagram,) = parts.send(Ack(1))
     assert [update.member for update in datagram.message.updates] == ["m0", "m1"]
 
 
-def test_a_nack_carries_nothing_and_an_update_message_without_updates_is_not_sent():
-    parts = Parts(1)
+def test_nack_carries_no_updates_and_empty_update_message_is_not_sent():
+    parts = DisseminationParts(1)
     parts.queue.add(0.0, "own")
     assert [datagram.message for datagram in parts.send(Nack(7))] == [Nack(7)]
     assert parts.send(Ack(7), to="unknown") == []
@@ -82,15 +82,15 @@
     assert parts.send(UpdateMessage()) == []
 
 
-def test_an_entry_is_sent_with_the_age_that_it_has():
-    parts = Parts(1)
+def test_entry_is_encoded_with_its_current_age():
+    parts = DisseminationParts(1)
     parts.entries.publish(10.0, "zones", b"body")
     entry = parts.entries.encoded(12.5, "own", "zones")
     assert entry is not None and (entry.age, entry.body) == (2.5, b"body")
 
 
-def test_entries_too_many_or_too_large_are_refused():
-    parts = Parts(0)
+def test_too_many_or_too_large_entries_are_rejected():
+    parts = DisseminationParts(0)
     for number in range(SETTINGS.max_entry_kinds):
         parts.entries.publish(0.0, f"kind{number}", b"")
     with pytest.raises(StateEntryError, match="more than 8 kinds"):
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operator commands on zones, given to one of several processes of the program by the command line."""
+"""Operator commands on zones, sent from the command line to one of several processes of the program."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    """Three instances that act on zones together, and the address of each one's status."""
+    """Three gossiping instances with zone failover, and the status address of each."""
     with gossiping_instances(tmp_path, zones={}, driver={"zone": "north"}) as (instances, addresses):
         wait_until(lambda: all(len(zone_status(a)["drivers"]) == 3 for a in addresses.values()))
         yield instances, addresses
 
 
 def zone_status(address: str) -> dict:
-    """Return what an instance knows of zones."""
-    with urllib.request.urlopen(f"http://{address}/zones", timeout=60) as answer:
-        return json.load(answer)
+    """Return the zone status of an instance."""
+    with urllib.request.urlopen(f"http://{address}/zones", timeout=60) as response:
+        return json.load(response)
 
 
 def run_zone_command(tmp_path, *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -48,17 +48,17 @@
     return next(z["state"] for z in zone_status(address)["zones"] if z["zone"] == zone)
 
 
-def test_a_command_reaches_all_names_whom_not_and_is_withdrawn(fleet, tmp_path):
+def test_command_reaches_all_instances_reports_unreached_ones_and_is_withdrawn(fleet, tmp_path):
     instances, addresses = fleet
-    left = run_zone_command(tmp_path, "leave", "south", "--reach", "60")
-    assert left.returncode == 0 and "reached 3" in left.stdout, left.stderr
+    leave = run_zone_command(tmp_path, "leave", "south", "--reach", "60")
+    assert leave.returncode == 0 and "reached 3" in leave.stdout, leave.stderr
     wait_until(lambda: all(state(a) == "left" for a in addresses.values()))
-    seen = run_zone_command(tmp_path, "status")
-    assert re.search(r"south\s+left\s+0%", seen.stdout) and "order 1 by n0: leave south" in seen.stdout
+    status = run_zone_command(tmp_path, "status")
+    assert re.search(r"south\s+left\s+0%", status.stdout) and "order 1 by n0: leave south" in status.stdout
     instances.drivers["n2"].process.send_signal(signal.SIGSTOP)
     try:
-        back = run_zone_command(tmp_path, "return", "south", "--reach", "1")
-        assert back.returncode == 1 and "not known to have reached n2" in back.stderr
+        return_command = run_zone_command(tmp_path, "return", "south", "--reach", "1")
+        assert return_command.returncode == 1 and "not known to have reached n2" in return_command.stderr
         wait_until(lambda: state(addresses["n1"]) == "returning")
     finally:
         instances.drivers["n2"].process.send_signal(signal.SIGCONT)
@@ -66,29 +66,34 @@
     wait_until(lambda: all(state(a) == "normal" for a in addresses.values()))
 
 
-def test_commands_that_are_refused_are_reported_in_one_line(fleet, tmp_path):
+def test_rejected_commands_are_reported_in_one_line(fleet, tmp_path):
     instances, addresses = fleet
-    for arguments, why in ((("leave", "west"), "no member of a zone 'west'"), (("leave", ""), "zone ''")):
-        ran = run_zone_command(tmp_path, *arguments)
-        assert ran.returncode == 1 and why in ran.stderr and "Traceback" not in ran.stderr, ran.stderr
+    for arguments, expected_error in (
+        (("leave", "west"), "no member of a zone 'west'"),
+        (("leave", ""), "zone ''"),
+    ):
+        result = run_zone_command(tmp_path, *arguments)
+        assert (
+            result.returncode == 1 and expected_error in result.stderr and "Traceback" not in result.stderr
+        ), result.stderr
     number = zone_status(addresses["n1"])["number"]
-    order = json.dumps({"zone": "south", "what": "leave", "number": number}).encode()
+    command = json.dumps({"zone": "south", "what": "leave", "number": number}).encode()
     new_key_file(tmp_path / "other")
-    sealed = load_keys(tmp_path / "key").seal(order)
-    foreign = load_keys(tmp_path / "other").seal(order)
+    sealed = load_keys(tmp_path / "key").seal(command)
+    sealed_with_other_key = load_keys(tmp_path / "other").seal(command)
 
     def post(data: bytes) -> int:
         try:
             with urllib.request.urlopen(
                 urllib.request.Request(f"http://{addresses['n1']}/zones", data=data, method="POST"),
                 timeout=60,
-            ) as answer:
-                return answer.status
+            ) as response:
+                return response.status
         except urllib.error.HTTPError as error:
             assert "error" in json.load(error)
             return error.code
 
-    assert [post(foreign), post(b""), post(b"x" * 9000), post(sealed), post(sealed)] == [
+    assert [post(sealed_with_other_key), post(b""), post(b"x" * 9000), post(sealed), post(sealed)] == [
         400,
         400,
         400,
@@ -98,16 +103,20 @@
     assert post(load_keys(tmp_path / "key").seal(b'{"number": [], "zone": 3}')) == 400
 
 
-def test_zones_without_peers_are_refused(tmp_path, calm):
+def test_zones_without_peers_and_invalid_zone_settings_are_rejected(tmp_path, calm):
     import yaml
 
     path = tmp_path / "s.yaml"
     path.write_text(yaml.safe_dump(example() | {"zones": {}}))
-    ran = serve(path)
-    assert ran.returncode == 1 and "there is no part 'peers'" in ran.stderr
+    result = serve(path)
+    assert result.returncode == 1 and "there is no part 'peers'" in result.stderr
     new_key_file(tmp_path / "key")
-    part = {"listen": "127.0.0.1:0", "key_file": str(tmp_path / "key")}
-    for wrong, why in (({"headroom": 0.5}, "headroom"), ({"triers": 0}, "triers"), ({"weight": 1}, "weight")):
-        path.write_text(yaml.safe_dump(example() | {"peers": part, "zones": wrong}))
-        ran = serve(path)
-        assert ran.returncode == 1 and why in ran.stderr and "Traceback" not in ran.stderr
+    peers_settings = {"listen": "127.0.0.1:0", "key_file": str(tmp_path / "key")}
+    for wrong, expected_error in (
+        ({"headroom": 0.5}, "headroom"),
+        ({"triers": 0}, "triers"),
+        ({"weight": 1}, "weight"),
+    ):
+        path.write_text(yaml.safe_dump(example() | {"peers": peers_settings, "zones": wrong}))
+        result = serve(path)
+        assert result.returncode == 1 and expected_error in result.stderr and "Traceback" not in result.stderr
--- a/tests/test_zone_observer.py
+++ b/tests/test_zone_observer.py
@@ -1,4 +1,4 @@
-"""What an instance takes from its router: which endpoints of a zone are unreachable."""
+"""ZoneObserver: the endpoints of a zone that count as unreachable according to the router."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def observer() -> ZoneObserver:
-    """Three endpoints of zone c, all ejected for silence; endpoint 3 has a half-open trial under way."""
+    """Three endpoints of zone c, all ejected as silent; endpoint 3 has a half-open trial in progress."""
     clock = FakeClock(Clock())
     engine = Engine(Router(SETTINGS, 1), PlayedEndpoints(), clock)
     entries = tuple(api.EndpointEntry(n, 0, api.EndpointState.UP, "c", n == 1) for n in (1, 2, 3))
@@ -30,13 +30,13 @@
     return ZoneObserver(engine, clock)
 
 
-# Guards against: half-open trials of a dead zone's endpoints make it look answered to its instances.
-def test_an_endpoint_under_trial_is_unreachable_until_it_answers(observer):
+# Guards against: half-open trials of a dead zone's endpoints make the zone look reachable.
+def test_endpoint_in_half_open_trial_is_unreachable_until_it_answers(observer):
     (row,) = observer.rows(0.0, [])
     assert (row.zone, row.endpoints, row.unreachable) == ("c", 3, 3)
 
 
-def test_in_a_partly_used_zone_a_trial_has_the_benefit_of_the_doubt(observer):
+def test_endpoint_in_half_open_trial_is_not_unreachable_in_a_partly_used_zone(observer):
     observer.observations.attempt_sent(0.0, 3, "c")
     (row,) = observer.rows(0.0, ["c"])
     assert (row.endpoints, row.unreachable) == (1, 0)
