--- a/sedgepitch/decisions/gossip/failure_detection.py
+++ b/sedgepitch/decisions/gossip/failure_detection.py
@@ -25,7 +25,7 @@
 from sedgepitch.decisions.gossip.probe_order import ProbeOrder
 from sedgepitch.decisions.gossip.settings import GossipSettings
 
-SEQUENCE_START_BITS = 24  # sequence numbers start at random, so that a restarted node does not reuse them
+SEQUENCE_START_BITS = 24  # random first sequence number, so that a restarted node does not soon reuse one
 
 
 @dataclass(slots=True)
