--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -74,7 +74,7 @@
         if arrived and not self.reads_paused:
             now = listener.clock.now()
             listener.engine.record_wait(self.transport.read_delay(now), now)
-        if not self.reader.held:
+        if not self.reader.buffered_bytes:
             self.message_since = arrived or listener.clock.now()
             listener.activity.bytes_received(self)
         self.reader.feed(data)
@@ -139,7 +139,7 @@
             return
         listener = self.listener
         now = listener.clock.now()
-        if self.state is ClientState.STARTUP or self.reader.held:
+        if self.state is ClientState.STARTUP or self.reader.buffered_bytes:
             listener.activity.message_incomplete(self, now)
             return
         evicted = listener.activity.became_idle(self, now)
@@ -162,7 +162,7 @@
 
     def finish_statement(self) -> None:
         """A statement has been answered; what was sent ahead is executed in a later turn."""
-        if self.reader.held:
+        if self.reader.buffered_bytes:
             self.state = ClientState.YIELDING
             self.listener.clock.soon(self._end_yield)
         else:
@@ -211,7 +211,7 @@
             return
         if not socket_state.is_quiet(self.transport):
             return
-        if not self.reader.held:
+        if not self.reader.buffered_bytes:
             self.end(CloseReason.SHUTDOWN)
         elif last:
             message = codec.error(SQLSTATE_CANNOT_CONNECT_NOW, "this driver ends", fatal=True)
@@ -270,7 +270,7 @@
             detail=lost.getErrorMessage(),
             request=request.request.payload.id.decode("ascii", "replace") if request is not None else "",
             attempts=request.attempt_count if request is not None else 0,
-            read_bytes=self.reader.held,
+            read_bytes=self.reader.buffered_bytes,
             lasted=self.listener.clock.now() - self.accepted_at,
         )
 
--- a/sedgepitch/protocols/postgresql/codec.py
+++ b/sedgepitch/protocols/postgresql/codec.py
@@ -90,8 +90,8 @@
         self._held += len(data)
 
     @property
-    def held(self) -> int:
-        """How many bytes are buffered."""
+    def buffered_bytes(self) -> int:
+        """Return how many bytes are buffered."""
         return self._held
 
     def _join(self) -> bytes:
--- a/sedgepitch/protocols/postgresql/endpoint_connection.py
+++ b/sedgepitch/protocols/postgresql/endpoint_connection.py
@@ -117,7 +117,7 @@
 
     def usable(self) -> bool:
         """Whether it may carry the next statement."""
-        return not self.broken and not self.reader.held and socket_state.is_quiet(self.transport)
+        return not self.broken and not self.reader.buffered_bytes and socket_state.is_quiet(self.transport)
 
     # Messages
 
@@ -171,7 +171,7 @@
     def _read_ready(self, reply: Reply, raw: bytes, arrived: float) -> None:
         if raw[codec.HEADER_BYTES :] != codec.NO_TRANSACTION or not reply.is_final:
             raise MalformedMessage("ready before its answer")
-        if self.reader.held:  # bytes behind the reply: the reply stands, the connection goes
+        if self.reader.buffered_bytes:  # bytes behind the reply: the reply stands, the connection goes
             self.broken = True
         self._finish(reply, arrived)
         if self.broken:
--- a/sedgepitch/protocols/postgresql/read_ahead.py
+++ b/sedgepitch/protocols/postgresql/read_ahead.py
@@ -30,7 +30,7 @@
 
     def limit(self, connection: ClientConnection) -> None:
         """Stop reading a client that is too far ahead, unless it is one of the few that are read further."""
-        held = connection.reader.held
+        held = connection.reader.buffered_bytes
         if held <= READ_AHEAD_BYTES:
             return
         may_extend = connection in self.extended or len(self.extended) < EXTENDED_CLIENTS_MAX
@@ -43,7 +43,7 @@
 
     def relax(self, connection: ClientConnection) -> None:
         """Read on where at most half of the allowance is still buffered."""
-        if connection.reader.held > READ_AHEAD_BYTES // 2:
+        if connection.reader.buffered_bytes > READ_AHEAD_BYTES // 2:
             return
         self.extended.discard(connection)
         if connection.reads_paused and connection.state is not ClientState.CLOSING:
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -95,7 +95,10 @@
         proxy.answer()
         if wire.producerState == "producing":
             break
-    assert wire.producerState == "producing" and read_ahead.READ_AHEAD_BYTES / 4 < connection.reader.held
+    assert (
+        wire.producerState == "producing"
+        and read_ahead.READ_AHEAD_BYTES / 4 < connection.reader.buffered_bytes
+    )
 
 
 def test_a_request_read_late_whose_client_disconnected_is_not_sent():
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -236,7 +236,9 @@
         if wire.producerState != "producing":
             break
         connection.dataReceived(read(number))
-    assert connection.reader.held < read_ahead.EXTENDED_READ_AHEAD_BYTES + read_ahead.READ_AHEAD_BYTES
+    assert (
+        connection.reader.buffered_bytes < read_ahead.EXTENDED_READ_AHEAD_BYTES + read_ahead.READ_AHEAD_BYTES
+    )
     assert wire.producerState == "paused"
 
 
@@ -247,7 +249,10 @@
         connection.dataReceived(read(index + 1))
     proxy.turn()
     for connection, wire in held:
-        while wire.producerState == "producing" and connection.reader.held < 2 * read_ahead.READ_AHEAD_BYTES:
+        while (
+            wire.producerState == "producing"
+            and connection.reader.buffered_bytes < 2 * read_ahead.READ_AHEAD_BYTES
+        ):
             connection.dataReceived(8 * read(99_999))
     assert [wire.producerState for _, wire in held].count("paused") == 4
     for connection, _ in held:
--- a/tests/test_postgresql_codec.py
+++ b/tests/test_postgresql_codec.py
@@ -45,7 +45,7 @@
             reader.feed(piece)
             got += whole(reader)
     assert [raw for _, raw in got] == messages
-    assert not reader.held
+    assert not reader.buffered_bytes
 
 
 @given(st.binary(max_size=200), st.sampled_from([codec.FROM_CLIENT, codec.FROM_ENDPOINT]))
