--- a/sedgepitch/emulator/postgresql_server.py
+++ b/sedgepitch/emulator/postgresql_server.py
@@ -121,7 +121,7 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             length = struct.unpack("!i", await reader.readexactly(codec.LENGTH_BYTES))[0]
             await reader.readexactly(length - codec.LENGTH_BYTES)
-            writer.write(codec.WELCOME + codec.parameter("server_role", self._role()) + codec.READY)
+            writer.write(codec.STARTUP_RESPONSE + codec.parameter("server_role", self._role()) + codec.READY)
             while await self._serve_one(reader, writer):
                 pass
         self._writers.discard(writer)
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -130,7 +130,7 @@
                 continue
             codec.startup_parameters(body)
             self.state = ClientState.READY
-            self.transport.write(codec.WELCOME + codec.key_data(self.number) + codec.READY)
+            self.transport.write(codec.STARTUP_RESPONSE + codec.key_data(self.number) + codec.READY)
             return
 
     def _note_activity(self) -> None:
--- a/sedgepitch/protocols/postgresql/codec.py
+++ b/sedgepitch/protocols/postgresql/codec.py
@@ -206,7 +206,7 @@
 AUTHENTICATION_OK = _INT.pack(0)
 READY = message(READY_FOR_QUERY, NO_TRANSACTION)
 EMPTY = message(EMPTY_QUERY_RESPONSE, b"") + READY
-WELCOME = (
+STARTUP_RESPONSE = (
     message(AUTHENTICATION, AUTHENTICATION_OK)
     + parameter("server_version", "16.0 (sedgepitch)")
     + parameter("server_encoding", "UTF8")
--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -145,7 +145,7 @@
     def _greeting(self) -> bytes:
         if self.random.random() < 0.04:
             return self.random.choice(BAD_GREETINGS)
-        return codec.WELCOME + codec.parameter("server_role", "reader") + codec.READY
+        return codec.STARTUP_RESPONSE + codec.parameter("server_role", "reader") + codec.READY
 
     def _notes(self) -> bytes:
         position = round((self.clock.now() + WALL - self.random.random() * 0.2) * 1000.0)
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -99,7 +99,7 @@
         stream = held.makefile("rb")
         length = struct.unpack("!i", stream.read(4))[0]
         stream.read(length - 4)
-        held.sendall(codec.WELCOME + codec.parameter("server_role", self.role) + codec.READY)
+        held.sendall(codec.STARTUP_RESPONSE + codec.parameter("server_role", self.role) + codec.READY)
         while head := stream.read(5):
             length = struct.unpack("!i", head[1:])[0]
             statement = stream.read(length - 4)[:-1].decode()
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -23,7 +23,7 @@
 from tests.support.postgresql_harness import ROW, WALL, PostgresqlProxy, Wire, read
 from tests.test_postgresql_codec import NAMED
 
-GREETING = codec.WELCOME + codec.parameter("server_role", "reader") + codec.READY
+GREETING = codec.STARTUP_RESPONSE + codec.parameter("server_role", "reader") + codec.READY
 NOTES = codec.parameter("server_role", "writer") + codec.parameter("commit_clock", "1001000500")
 
 
