--- a/sedgepitch/discovery/__init__.py
+++ b/sedgepitch/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of the endpoint list: the platform's discovery, and the control socket of an emulated fleet."""
+"""Sources of the endpoint list: the platform's discovery and the control socket of an emulated fleet."""
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -1,7 +1,7 @@
-"""Follows the platform's discovery: opens and closes watch connections, and passes on each list version.
+"""Client of the platform's discovery service: manages watch connections and forwards each list version.
 
-Which streams are held is decided by `decisions/discovery/watch_streams.py`; what a version means by
-`decisions/discovery/list_versions.py`.
+`decisions/discovery/watch_streams.py` decides which streams to keep open, and
+`decisions/discovery/list_versions.py` interprets the versions.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     """The watch streams of one proxy instance.
 
     `unix_offset` is Unix time minus the monotonic clock, in seconds. `held_revision` returns the revision
-    from which changes are requested. `on_version` gets each version, `on_lost` the reason of each lost or
-    silent stream.
+    after which changes are requested. `on_version` is called with each version, `on_lost` with the reason
+    when a stream is lost or silent.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.on_version = on_version
         self.on_lost = on_lost
         self.streams: WatchStreams[WatchConnection] = WatchStreams()
-        self.needs_complete_list = False  # after a malformed object, until a complete list has come
+        self.needs_complete_list = False  # set by a malformed object, until a complete list has arrived
         self.stopped = False
         self._timer: Any = None
 
@@ -54,7 +54,7 @@
         self._check(self.clock.now())
 
     def move(self, address: Address) -> None:
-        """Follow discovery at another address; the active stream stays until one there has sent something."""
+        """Switch to another address; the active stream stays open until a stream from there has sent data."""
         if self.stopped:
             return
         self.address = address
@@ -62,20 +62,20 @@
         self._check(self.clock.now())
 
     def stop(self) -> None:
-        """Close all streams for good."""
+        """Close all streams permanently."""
         self.stopped = True
         if self._timer is not None:
             self._timer.cancel()
         self._close(self.streams.all())
 
-    # What watch connections report (WatchObserver)
+    # Reports of the watch connections (WatchObserver)
 
     def response_started(self, watch: WatchConnection) -> None:
-        """Record that the source accepted a watch."""
+        """Record that discovery accepted a watch."""
         self.streams.response_started(watch, self.clock.now())
 
     def object_received(self, watch: WatchConnection, data: bytes) -> None:
-        """Parse one object and pass it on. Raises MalformedListError."""
+        """Parse one object and forward its version. Raises MalformedListError."""
         if self.stopped or not self.streams.holds(watch):
             return
         try:
@@ -89,31 +89,31 @@
         self.on_version(version)
 
     def heartbeat(self, watch: WatchConnection) -> None:
-        """Record that a stream lives, and close those that it replaces."""
+        """Record a heartbeat of a stream and close the streams that it replaces."""
         self._close(self.streams.heartbeat(watch, self.clock.now()))
         if not self.stopped:
             self._schedule_check()
 
     def partial_object(self, watch: WatchConnection, begun: bool) -> None:
-        """Record that part of an object came."""
+        """Record that part of an object arrived."""
         now = self.clock.now()
         if begun:
             watch.object_began_at = now
         self.streams.partial_object(watch, watch.object_began_at, now)
 
     def malformed(self) -> None:
-        """Request the complete list next time, since a change may have been missed."""
+        """Request the complete list with the next watch, since a change may have been missed."""
         self.needs_complete_list = True
 
     def lost(self, watch: WatchConnection, reason: str) -> None:
-        """Record the loss of a stream that was held."""
+        """Record the loss of a stream that is still in use."""
         if self.stopped or not self.streams.holds(watch):
             return
         self.streams.lost(watch, self.clock.now())
         self.on_lost(reason)
         self._schedule_check()
 
-    # When to open the next stream
+    # Scheduling of the next stream
 
     def _close(self, watches: list[WatchConnection]) -> None:
         for watch in watches:
@@ -128,15 +128,15 @@
             self._timer = self.clock.call_later(max(0.0, open_at - self.clock.now()), self._timer_expired)
 
     def _timer_expired(self) -> None:
-        """Read what has arrived before the silence up to now is judged."""
+        """Process received data before checking for silence up to now."""
         self.clock.after_reading(self._check, self.clock.now())
 
-    def _check(self, judged_at: float) -> None:
-        """Open a stream if one was due at `judged_at`, and schedule the next check."""
+    def _check(self, evaluated_at: float) -> None:
+        """Open a stream if one was due at `evaluated_at`, and schedule the next check."""
         if self.stopped:
             return
         now = self.clock.now()
-        if self.streams.should_open(judged_at):
+        if self.streams.should_open(evaluated_at):
             if self.streams.open_at == NEVER:
                 self.on_lost("discovery is silent")
             revision = 0 if self.needs_complete_list else self.held_revision()
--- a/sedgepitch/discovery/control_socket.py
+++ b/sedgepitch/discovery/control_socket.py
@@ -1,11 +1,11 @@
-"""Follows the endpoint list on the control socket of an emulated fleet: JSON lines over TCP.
+"""Client of the control socket of an emulated fleet, a source of the endpoint list: JSON lines over TCP.
 
-The first line holds the complete list, later ones changes:
+The first line holds the complete list, later lines hold changes:
 
     {"event": "list", "complete": true, "members": [{"id", "group", "state", "zone", "primary", "size", "age",
     "address"}, ...]}
 
-`age` is the time since the endpoint started, in seconds, absent where that was long ago.
+`age` is the time since the endpoint started, in seconds; it is absent if the endpoint started long ago.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlSocketList:
-    """One line of the control socket: the complete list or changes, and the addresses that it states."""
+    """One line of the control socket: the complete list or changes, with the addresses that it contains."""
 
     entries: tuple[EndpointEntry, ...]
     complete: bool
@@ -40,7 +40,7 @@
 
 
 def read_list(line: bytes, now: float) -> ControlSocketList:
-    """Read one line; `now` is in monotonic seconds. Raises MalformedListError."""
+    """Parse one line; `now` is in monotonic seconds. Raises MalformedListError."""
     try:
         raw = json.loads(line)
         entries = tuple(_read_entry(entry, now) for entry in raw["members"])
@@ -84,7 +84,7 @@
         self.sendLine(json.dumps({"op": "watch", "driver": self.client.name}).encode())  # type: ignore[no-untyped-call]
 
     def lineReceived(self, line: bytes) -> None:
-        """Pass on one list; close the connection if it is malformed."""
+        """Forward one list; close the connection if it is malformed."""
         try:
             self.client.on_list(read_list(line, self.client.clock.now()))
         except MalformedListError as error:
@@ -92,14 +92,14 @@
             self.transport.loseConnection()
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Report the loss; the list held stays in force."""
+        """Report the loss; the last list remains in use."""
         self.client.on_lost()
 
 
 class ControlSocketClient(ClientFactory):
-    """A source of the endpoint list. `subscribe` is the router's request for changes, which it repeats.
+    """A source of the endpoint list. The router calls `subscribe` repeatedly to request changes.
 
-    `on_list` gets each line, `on_lost` each loss of the connection or failure to connect.
+    `on_list` is called with each line, `on_lost` when the connection is lost or cannot be established.
     """
 
     noisy = False
@@ -124,7 +124,7 @@
         self.connector: Any = None
 
     def subscribe(self) -> None:
-        """Connect and request changes from now on, unless that is under way."""
+        """Connect and request changes, unless already connecting or connected."""
         if self.connector is None or self.connector.state == "disconnected":
             self.connector = self.reactor.connectTCP(*self.address, self, timeout=CONNECT_TIMEOUT_S)
 
@@ -133,7 +133,7 @@
         return _Subscription(self)
 
     def clientConnectionFailed(self, _connector: object, _reason: Failure) -> None:
-        """Report that no connection came about."""
+        """Report that the connection could not be established."""
         self.on_lost()
 
     def stop(self) -> None:
--- a/sedgepitch/discovery/errors.py
+++ b/sedgepitch/discovery/errors.py
@@ -6,4 +6,4 @@
 
 
 class MalformedListError(DiscoveryError):
-    """A source sent what is no endpoint list; the message names the place."""
+    """A source sent data that is not a valid endpoint list; the message names the position in the data."""
--- a/sedgepitch/discovery/json_stream.py
+++ b/sedgepitch/discovery/json_stream.py
@@ -1,6 +1,7 @@
-"""Splits a byte stream into JSON objects, whatever the white space and wherever the pieces break.
+"""Splits a byte stream into JSON objects, for any white space and any division into chunks.
 
-Incremental parsers build values as they go; here one object has a size limit, and one error for its text.
+Incremental JSON parsers build values while reading; splitting first allows a size limit per object and yields
+a single error for an invalid one.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class JsonObjectSplitter:
-    """Finds the end of each object by its braces, quotes and backslashes; looks at each byte once."""
+    """Finds the end of each object from braces, quotes and backslashes; examines each byte once."""
 
     _INSIDE = re.compile(rb'["{}]')
     _STRING = re.compile(rb'["\\\\]')
@@ -22,19 +23,20 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._depth = 0  # of braces
+        self._depth = 0  # nesting depth of braces
         self._in_string = False
-        self._escaped = False  # the next byte is
+        self._escaped = False  # whether the next byte follows a backslash in a string
 
     @property
     def incomplete(self) -> bool:
-        """Whether part of an object has been fed."""
+        """Return whether the last object fed is incomplete."""
         return self._depth > 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take bytes; yield the objects that they complete.
+        """Append received bytes; yield the objects that they complete.
 
-        Raises MalformedListError for anything between objects and for one of more than MAX_OBJECT_BYTES.
+        Raises MalformedListError for anything but white space between objects, and for an object of more than
+        MAX_OBJECT_BYTES.
         """
         start = position = 0
         while position < len(data):
@@ -54,7 +56,7 @@
                 if found is None:
                     break
                 position = found.end()
-                self._take(found.group())
+                self._track(found.group())
                 if not self._depth:
                     self._append(data[start:position])
                     yield self._take_buffer()
@@ -66,7 +68,7 @@
             raise MalformedListError("discovery: not JSON objects")
         self._depth = 1
 
-    def _take(self, byte: bytes) -> None:
+    def _track(self, byte: bytes) -> None:
         if byte == b'"':
             self._in_string = not self._in_string
         elif byte == b"\\":
--- a/sedgepitch/discovery/list_format.py
+++ b/sedgepitch/discovery/list_format.py
@@ -1,6 +1,7 @@
-"""The platform's JSON form of the endpoint list, translated into the types of the discovery decisions.
+"""Parses the platform's JSON format of the endpoint list into the types of `decisions/discovery`.
 
-The field names of the wire (`members`, `host_port`, `locality`, `cell`, `phase`, `access`) appear here only.
+Only this module uses the field names of that format (`members`, `host_port`, `locality`, `cell`, `phase`,
+`access`).
 """
 
 from __future__ import annotations
@@ -45,9 +46,9 @@
 
 
 def read_address(value: str, where: str, min_port: int = 1) -> Address:
-    """Read `host:port`, where host is an IPv4 address: there is no DNS.
+    """Parse `host:port`, where host is an IPv4 address; host names are not resolved.
 
-    Raises MalformedListError, which names `where`, for anything else and for a port below `min_port`.
+    Raises MalformedListError, which names `where`, for any other text and for a port below `min_port`.
     """
     host, colon, port = value.rpartition(":")
     valid = colon and _is_ipv4(host) and port.isdigit() and len(port) <= MAX_PORT_DIGITS
@@ -57,10 +58,10 @@
 
 
 def read_version(raw: object, unix_offset: float, where: str = "discovery") -> ListVersion:
-    """Read one object of the source.
+    """Parse one object sent by discovery.
 
     `unix_offset` is Unix time minus the proxy's monotonic clock, in seconds. Raises MalformedListError, which
-    names the place within `where`.
+    names the position within `where`.
     """
     if not isinstance(raw, dict):
         raise MalformedListError(f"{where}: not an object")
--- a/sedgepitch/discovery/watch_connection.py
+++ b/sedgepitch/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One watch stream on a socket, from connecting to its end."""
+"""One watch stream over a TCP connection, from connecting to its end."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 from sedgepitch.net.connecting import connect
 from sedgepitch.net.twisted_types import Reactor
 
-CONNECT_TIMEOUT_S = 1.0  # the source runs on this machine
+CONNECT_TIMEOUT_S = 1.0  # discovery runs on the same machine
 MAX_REASON_CHARS = 200
 
 
 class WatchObserver(Protocol):
-    """What a watch connection reports to its owner; nothing more once it has been closed."""
+    """Receives the reports of a watch connection, until the connection is closed."""
 
     def response_started(self, watch: WatchConnection) -> None:
-        """The source accepted the watch."""
+        """Handle the acceptance of the watch by discovery."""
 
     def object_received(self, watch: WatchConnection, data: bytes) -> None:
-        """One complete object arrived. Raises MalformedListError if it is no endpoint list."""
+        """Handle a complete object. Raises MalformedListError if it is not an endpoint list."""
 
     def heartbeat(self, watch: WatchConnection) -> None:
-        """Data arrived, and no object is incomplete."""
+        """Handle received data that leaves no object incomplete."""
 
     def partial_object(self, watch: WatchConnection, begun: bool) -> None:
-        """Part of an object arrived, which began in this data (`begun`) or earlier."""
+        """Handle part of an object that began in this data (`begun`) or earlier."""
 
     def malformed(self) -> None:
-        """The source sent what is no endpoint list, so what it meant to say is unknown."""
+        """Handle data that is not an endpoint list; a change may have been lost with it."""
 
     def lost(self, watch: WatchConnection, reason: str) -> None:
-        """The watch ended, and not by `close`."""
+        """Handle the end of the watch, unless `close` caused it."""
 
 
 class WatchConnection(protocol.ClientFactory, protocol.Protocol):
-    """One connection to discovery; it is its own factory, since a factory here makes one connection."""
+    """One connection to discovery; also its own factory, as each factory here builds a single connection."""
 
     transport: Any
     noisy = False
@@ -57,22 +57,22 @@
     def __init__(self, observer: WatchObserver, address: Address, revision: int) -> None:
         self.observer = observer
         self.address = address
-        self.revision = revision  # changes after it are requested; 0 requests the complete list
+        self.revision = revision  # changes after this revision are requested; 0 requests the complete list
         self.exchange = WatchExchange()
-        self.object_began_at = 0.0  # monotonic seconds; kept for the owner
+        self.object_began_at = 0.0  # monotonic seconds; set and read by the observer
         self.connector: Any = None
         self.closed = False
 
     def open(self, reactor: Reactor) -> None:
-        """Begin to connect; the outcome is reported later, never from within this call."""
+        """Start to connect; the outcome is always reported after this call has returned."""
         self.connector = connect(reactor, *self.address, self, CONNECT_TIMEOUT_S)
 
     def buildProtocol(self, _addr: object) -> WatchConnection:
-        """Return itself, as Twisted's factories return their protocol."""
+        """Return itself: the connection is its own factory."""
         return self
 
     def clientConnectionFailed(self, _connector: object, reason: Failure) -> None:
-        """Report that no connection came about."""
+        """Report that the connection could not be established."""
         self._lost(reason.getErrorMessage())
 
     def connectionMade(self) -> None:
@@ -84,7 +84,7 @@
         self.transport.write(self.exchange.request(self.address, self.revision))
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of the response and report what they say."""
+        """Parse bytes of the response and report the resulting events."""
         if self.closed:
             return
         try:
@@ -112,7 +112,7 @@
                 self._lost(reason)
 
     def close(self) -> None:
-        """Close the connection, or stop connecting; nothing is reported from here on."""
+        """Close the connection or stop connecting; nothing is reported afterwards."""
         self.closed = True
         if self.transport is not None:
             self.transport.abortConnection()
@@ -125,5 +125,5 @@
             self.observer.lost(self, reason)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        """Report the end, if the other side caused it."""
+        """Report the loss, unless `close` caused it."""
         self._lost(reason.getErrorMessage())
--- a/sedgepitch/discovery/watch_exchange.py
+++ b/sedgepitch/discovery/watch_exchange.py
@@ -1,6 +1,6 @@
-"""The HTTP/1.1 exchange of one watch stream, without I/O: bytes in, typed events out.
+"""The HTTP/1.1 exchange of one watch stream, without I/O: turns received bytes into typed events.
 
-h11 parses HTTP; the body is a sequence of JSON objects with empty lines between them as heartbeats.
+h11 parses HTTP; the body is a sequence of JSON objects, with empty lines between them as heartbeats.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The source accepted the watch."""
+    """Discovery accepted the watch."""
 
 
 @dataclass(slots=True, frozen=True)
 class ObjectReceived:
-    """One complete object of the body, not parsed."""
+    """One complete JSON object of the body, not parsed yet."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """Body data ended with no object incomplete."""
+    """A chunk of the body left no object incomplete."""
 
 
 @dataclass(slots=True, frozen=True)
 class PartialObject:
-    """Body data ended within an object, which began in it (`begun`) or earlier."""
+    """A chunk of the body ended within an object that began in the chunk (`begun`) or earlier."""
 
     begun: bool
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEnded:
-    """The source refused or ended the watch."""
+    """Discovery rejected or ended the watch."""
 
     reason: str
 
@@ -51,14 +51,14 @@
 
 
 class WatchExchange:
-    """One request for a watch and its response."""
+    """One watch request and its response."""
 
     def __init__(self) -> None:
         self._http = h11.Connection(h11.CLIENT)
         self._objects = JsonObjectSplitter()
 
     def request(self, address: Address, revision: int) -> bytes:
-        """Return the bytes of the request for all changes after `revision`; 0 asks for the complete list."""
+        """Return the request for all changes after `revision`; 0 requests the complete list."""
         host, port = address
         target = f"/catalog/members?stream=1&index={revision}"
         request = h11.Request(method="GET", target=target, headers=[("Host", f"{host}:{port}")])
@@ -66,7 +66,7 @@
         return head + (self._http.send(h11.EndOfMessage()) or b"")
 
     def receive(self, data: bytes) -> Iterator[WatchEvent]:
-        """Take bytes; yield what they say, up to WatchEnded.
+        """Parse received bytes; yield the resulting events, with WatchEnded as the last.
 
         Raises h11.RemoteProtocolError if they are not HTTP/1.1, and MalformedListError if the body is not a
         sequence of JSON objects.
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -229,7 +229,7 @@
     def _free_descriptor(self, lasting: bool) -> None:
         """Close an idle connection for a client in the backlog, an endpoint's before a client's.
 
-        A client's is closed only if the shortage has lasted: its next request may be on its way.
+        A client's is closed only if the shortage has duration: its next request may be on its way.
         """
         if not self.upstream.close_longest_idle() and lasting:
             self.clients.free_descriptor()
@@ -254,8 +254,8 @@
             detail=report.detail,
             request=report.request or "none",
             attempts=report.attempts,
-            unread_bytes=report.read_bytes,
-            duration_s=round(report.lasted, 3),
+            unread_bytes=report.unexecuted_bytes,
+            duration_s=round(report.duration, 3),
         )
 
     def _log_closes(self) -> None:
--- a/sedgepitch/protocols/common/__init__.py
+++ b/sedgepitch/protocols/common/__init__.py
@@ -1,1 +1,1 @@
-"""What the protocols share: flow control, connection numbers and times of arrival on Twisted's transports."""
+"""Code shared by the protocols: back-pressure, connection numbering and arrival times of received bytes."""
--- a/sedgepitch/protocols/common/callbacks.py
+++ b/sedgepitch/protocols/common/callbacks.py
@@ -1,4 +1,4 @@
-"""The default of optional callbacks."""
+"""Default for optional callbacks."""
 
 
 def ignore(*_arguments: object, **_fields: object) -> None:
--- a/sedgepitch/protocols/common/client_side.py
+++ b/sedgepitch/protocols/common/client_side.py
@@ -1,4 +1,4 @@
-"""Common parts of the client sides: back-pressure from the transport, and numbered connections."""
+"""Shared code for client connections: back-pressure from the transport and connection numbering."""
 
 from __future__ import annotations
 
@@ -10,55 +10,55 @@
 
 
 class WriteBlockable(Protocol):
-    """A client connection that stops executing commands while its responses are not read."""
+    """A client connection that stops executing commands while the client does not read responses."""
 
     def on_write_blocked(self) -> None:
-        """The transport's send buffer is full."""
+        """Handle a full send buffer of the transport."""
 
     def on_write_drained(self) -> None:
-        """The transport has sent all that was buffered."""
+        """Handle an empty send buffer of the transport."""
 
 
 @implementer(IPushProducer)
 class WritePressure:
-    """The producer that a client's transport pauses while the client does not read its responses."""
+    """Push producer that forwards back-pressure of the transport to its client connection."""
 
     __slots__ = ("_connection",)
 
     def __init__(self, connection: WriteBlockable) -> None:
-        """Tell this connection."""
+        """Forward to this connection."""
         self._connection = connection
 
     def pauseProducing(self) -> None:
-        """The transport's send buffer is full."""
+        """Forward that the send buffer is full."""
         self._connection.on_write_blocked()
 
     def resumeProducing(self) -> None:
-        """The transport's send buffer is empty again."""
+        """Forward that the send buffer is empty again."""
         self._connection.on_write_drained()
 
     def stopProducing(self) -> None:
-        """The connection ends; `connectionLost` does what is to be done."""
+        """Do nothing: `connectionLost` cleans up."""
 
 
 class ConnectionCounter(Protocol):
-    """What all connections of one listener share, as far as the factory needs it."""
+    """The state of a listener that the factory needs."""
 
     accepted: int
 
 
 class NumberingFactory(Factory):
-    """Makes a `connection_type(listener, number)` for each accepted connection, numbered from 1."""
+    """Builds a `connection_type(listener, number)` for each accepted connection, numbered from 1."""
 
     noisy = False
     connection_type: ClassVar[Any]
 
     def __init__(self, listener: ConnectionCounter) -> None:
-        """Make connections for this listener."""
+        """Build connections for this listener."""
         self.listener = listener
 
     def buildProtocol(self, _addr: object) -> IProtocol:
-        """Return the protocol object of the next connection."""
+        """Return the protocol object of a new connection."""
         self.listener.accepted += 1
         connection: IProtocol = self.connection_type(self.listener, self.listener.accepted)
         return connection
--- a/sedgepitch/protocols/postgresql/__init__.py
+++ b/sedgepitch/protocols/postgresql/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: version 3 of PostgreSQL's wire, simple queries only, both ends."""
+"""Version 3 of the PostgreSQL wire protocol, simple queries only: client side and upstream side."""
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -1,9 +1,10 @@
-"""One client connection of the PostgreSQL protocol: reading, start-up, flow control and closing.
+"""One PostgreSQL client connection: reading, start-up, flow control and closing.
 
-A client executes one statement at a time. What it sends ahead is buffered up to a bound, after which its
-socket is not read. Whoever sends nothing, or an incomplete message, is closed by the time since it connected
-or since that message began. Bytes that are no message end their connection with an error; a statement that
-is not served gets an error. Neither touches another client, and nothing of it goes to an endpoint.
+Statements of a connection are executed one at a time. Pipelined input is buffered up to a limit, beyond which
+the socket is no longer read. A client that sends nothing, or an incomplete message, is closed after a timeout
+that counts from the accept or from the first byte of that message. Malformed messages close the connection
+with an error; unsupported statements get an error response. Neither affects other clients or reaches an
+endpoint.
 """
 
 from __future__ import annotations
@@ -23,19 +24,19 @@
 from sedgepitch.protocols.postgresql.close_reasons import CloseReason, CloseReport, reason_of_loss
 from sedgepitch.protocols.postgresql.codec import MalformedMessage, Reader
 
-DRAIN_BYTES_MAX = 256 * 1024  # read and dropped behind an error, so that the error arrives
+DRAIN_BYTES_MAX = 256 * 1024  # read and discarded after an error, so that the error arrives
 DRAIN_TIME_MAX_S = 0.5
 SQLSTATE_PROTOCOL_VIOLATION = "08P01"
 SQLSTATE_CANNOT_CONNECT_NOW = "57P03"
 
 
 class ClientConnection(Protocol):
-    """One client. `number` counts the listener's connections from the start of the process."""
+    """One client connection; `number` is its sequence number on the listener since the process started."""
 
     transport: Any
 
     def __init__(self, listener: ClientListener, number: int) -> None:
-        """Begin before the startup message."""
+        """Start in the STARTUP state, waiting for the startup message."""
         self.listener = listener
         self.number = number
         self.state = ClientState.STARTUP
@@ -43,15 +44,15 @@
         self.request: PendingRequest | None = None
         self.write_blocked = False
         self.reads_paused = False
-        self.dropped_bytes = 0  # that came while CLOSING
-        self.message_since = 0.0  # when the first byte of what is buffered arrived
+        self.discarded_bytes = 0  # received in state CLOSING
+        self.message_started_at = 0.0  # arrival time of the first buffered byte
         self.accepted_at = listener.clock.now()
-        self.close_reason: CloseReason | None = None  # the first that this side had
+        self.close_reason: CloseReason | None = None  # the first reason recorded by the proxy
 
     # Reading
 
     def connectionMade(self) -> None:
-        """Count the connection, and close one where there is no descriptor for it."""
+        """Register the connection; if no descriptor is left for it, evict one."""
         listener = self.listener
         listener.connections.add(self)
         now = listener.clock.now()
@@ -65,32 +66,32 @@
         listener.activity.accepted(self, now)
 
     def dataReceived(self, data: bytes) -> None:
-        """Buffer bytes, and execute what is complete unless a statement is in flight."""
+        """Buffer the bytes and execute complete statements unless one is in flight."""
         listener = self.listener
         if self.state is ClientState.CLOSING:
-            self._drop(data)
+            self._discard_input(data)
             return
         arrived = arrival_time(self.transport)
         if arrived and not self.reads_paused:
             now = listener.clock.now()
             listener.engine.record_wait(self.transport.read_delay(now), now)
         if not self.reader.buffered_bytes:
-            self.message_since = arrived or listener.clock.now()
+            self.message_started_at = arrived or listener.clock.now()
             listener.activity.bytes_received(self)
         self.reader.feed(data)
         self.advance()
         if self.state in BUSY_STATES and not self.reads_paused:
             listener.read_ahead.limit(self)
 
-    def _drop(self, data: bytes) -> None:
-        self.dropped_bytes += len(data)
-        if self.dropped_bytes > DRAIN_BYTES_MAX:
+    def _discard_input(self, data: bytes) -> None:
+        self.discarded_bytes += len(data)
+        if self.discarded_bytes > DRAIN_BYTES_MAX:
             self.abort(CloseReason.FLOODED)
 
     # Messages
 
     def advance(self) -> None:
-        """Execute the next buffered message, one a turn: a client that sends hundreds delays no other."""
+        """Execute one buffered message per event loop turn, so that pipelining delays no other client."""
         if self.write_blocked or self.state not in READING_STATES:
             return
         try:
@@ -134,7 +135,7 @@
             return
 
     def _note_activity(self) -> None:
-        """Tell the listener whether this client is in the middle of a message or idle."""
+        """Record whether this client is idle or has sent an incomplete message."""
         if self.state not in READING_STATES:
             return
         listener = self.listener
@@ -144,12 +145,12 @@
             return
         evicted = listener.activity.became_idle(self, now)
         if evicted is not None and socket_state.is_quiet(evicted.transport):
-            evicted.end(CloseReason.REST_LIMIT)
+            evicted.end(CloseReason.IDLE_LIMIT)
 
     # Statements
 
     def begin_request(self) -> None:
-        """A statement becomes a pending request."""
+        """Enter EXECUTING: the statement has become a pending request."""
         self.state = ClientState.EXECUTING
         self.listener.activity.request_started(self)
 
@@ -161,7 +162,7 @@
             self.listener.clock.soon(self._advance_if_open)
 
     def finish_statement(self) -> None:
-        """A statement has been answered; what was sent ahead is executed in a later turn."""
+        """Leave EXECUTING after a response; pipelined statements are executed in a later event loop turn."""
         if self.reader.buffered_bytes:
             self.state = ClientState.YIELDING
             self.listener.clock.soon(self._end_yield)
@@ -172,7 +173,7 @@
         if self.state is not ClientState.YIELDING:
             return
         self.state = ClientState.READY
-        self.message_since = self.listener.clock.now()  # waiting behind earlier statements does not count
+        self.message_started_at = self.listener.clock.now()  # queueing behind earlier statements not counted
         self._advance_if_open()
 
     def _advance_if_open(self) -> None:
@@ -182,12 +183,12 @@
     # Back-pressure
 
     def on_write_blocked(self) -> None:
-        """The client does not read its responses."""
+        """Stop executing statements: the client does not read its responses."""
         self.write_blocked = True
         self.listener.activity.write_paused(self, self.listener.clock.now())
 
     def on_write_drained(self) -> None:
-        """The client has been sent all responses."""
+        """Resume execution: all buffered responses have been sent."""
         self.write_blocked = False
         self.listener.activity.write_resumed(self)
         self.advance()
@@ -195,17 +196,17 @@
     # Closing
 
     def time_out(self) -> None:
-        """Close a client that sent nothing or an incomplete message, or did not read, for too long."""
+        """Close a client that timed out: idle at start-up, incomplete message, or responses not read."""
         if self.write_blocked or self.state is ClientState.CLOSING:
-            self.abort(CloseReason.NOT_TAKEN)
+            self.abort(CloseReason.RESPONSE_NOT_READ)
         else:
             message = codec.error(SQLSTATE_PROTOCOL_VIOLATION, "nothing whole came in time", fatal=True)
             self.end(CloseReason.TOO_SLOW, message)
 
     def close_if_idle(self, last: bool) -> None:
-        """Close for a shutdown, unless something is in flight here or lies unread.
+        """Close for a shutdown unless a request is in flight or the socket has unread bytes.
 
-        `last` closes also where an incomplete message is buffered, which nobody will wait for.
+        With `last`, also close if an incomplete message is buffered, as its rest will not be awaited.
         """
         if self.state in BUSY_STATES or self.state is ClientState.CLOSING:
             return
@@ -218,7 +219,7 @@
             self.end(CloseReason.SHUTDOWN, message)
 
     def end(self, reason: CloseReason, last_message: bytes = b"") -> None:
-        """Send the last message, read on for a little so that it arrives, and close."""
+        """Send the last message, discard input for up to DRAIN_TIME_MAX_S so that it arrives, and close."""
         listener = self.listener
         self._note_close_reason(reason)
         self.state = ClientState.CLOSING
@@ -233,7 +234,7 @@
         listener.clock.call_later(DRAIN_TIME_MAX_S, self._abort_if_open)
 
     def abandon(self) -> None:
-        """Cancel the request of a client found disconnected before the end of its stream was read."""
+        """Cancel the request of a client that disconnected before all of its input was read, and abort."""
         self._cancel_request()
         self.state = ClientState.CLOSING
         self.reader = Reader({})
@@ -253,7 +254,7 @@
             self.close_reason = reason
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The connection has ended, by either side."""
+        """Release everything held for the connection, whichever side closed it."""
         listener = self.listener
         listener.closes.closed(self._close_report(reason))
         listener.connections.discard(self)
@@ -262,16 +263,16 @@
         listener.descriptors.client_closed()
         self._cancel_request()
 
-    def _close_report(self, lost: Failure) -> CloseReport:
+    def _close_report(self, failure: Failure) -> CloseReport:
         request = self.request
         return CloseReport(
             number=self.number,
-            reason=self.close_reason or reason_of_loss(lost),
-            detail=lost.getErrorMessage(),
+            reason=self.close_reason or reason_of_loss(failure),
+            detail=failure.getErrorMessage(),
             request=request.request.payload.id.decode("ascii", "replace") if request is not None else "",
             attempts=request.attempt_count if request is not None else 0,
-            read_bytes=self.reader.buffered_bytes,
-            lasted=self.listener.clock.now() - self.accepted_at,
+            unexecuted_bytes=self.reader.buffered_bytes,
+            duration=self.listener.clock.now() - self.accepted_at,
         )
 
     def _cancel_request(self) -> None:
@@ -282,6 +283,6 @@
 
 
 class ClientFactory(NumberingFactory):
-    """Makes the connection objects of a `ClientListener`."""
+    """Builds the `ClientConnection` objects of a `ClientListener`."""
 
     connection_type = ClientConnection
--- a/sedgepitch/protocols/postgresql/client_listener.py
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -1,4 +1,4 @@
-"""What all PostgreSQL client connections of one listener share: limits, timeouts, eviction and shutdown."""
+"""State shared by the PostgreSQL client connections of a listener: limits, timeouts, eviction, shutdown."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from sedgepitch.protocols.postgresql.client import ClientConnection
 
-CHECK_INTERVAL_S = 0.1  # between checks for slow clients and for those that disconnected unread
+CHECK_INTERVAL_S = 0.1  # between checks for timed-out clients and for disconnects on paused sockets
 
 
 class ClientListener:
@@ -37,7 +37,7 @@
         unix_offset: float,
         descriptors: DescriptorBudget,
     ) -> None:
-        """Begin without connections, and check them periodically from now on."""
+        """Start without connections and schedule the periodic check."""
         self.engine = engine
         self.clock = clock
         self.classes = classes
@@ -54,10 +54,10 @@
         self.accepted = 0
         self.bad_messages = 0
         self.bad_statements = 0
-        self.disconnects_found_unread = 0  # clients found gone while their socket was left unread
-        self.disconnects_found_late = 0  # clients found gone when their statement was taken up
-        self.close_idle_from = NEVER  # from then on connections without a request are closed
-        self.answer_by = NEVER  # by then every request has had its response, and the process ends
+        self.disconnects_found_unread = 0  # clients found disconnected while their socket was paused
+        self.disconnects_found_late = 0  # clients found disconnected when their statement was about to run
+        self.close_idle_from = NEVER  # connections without a request are closed from this time on
+        self.answer_by = NEVER  # every request has its response by this time, when the process ends
         self.stall = LoopStall(CHECK_INTERVAL_S, clock.now())
         clock.call_later(CHECK_INTERVAL_S, self._check_due)
 
@@ -79,32 +79,33 @@
 
     # Eviction
 
-    def evict_for(self, newcomer: ClientConnection, now: float) -> ClientConnection:
-        """Return the connection to close for a newcomer: never one whose request lies unread.
+    def evict_for(self, new_connection: ClientConnection, now: float) -> ClientConnection:
+        """Return the connection to close so that `new_connection` gets a descriptor.
 
-        That request would be lost with its connection. Where all others are busy, the newcomer goes.
+        Connections with unread bytes are skipped, since closing them would lose a request. If every other
+        connection is busy, the new one itself is returned.
         """
         while (evicted := self.activity.evict(now)) is not None:
             if socket_state.is_quiet(evicted.transport):
                 return evicted
-        return newcomer
+        return new_connection
 
     def free_descriptor(self) -> None:
-        """Close the connection that can best be spared; none that is busy or whose request lies unread."""
+        """Close the best candidate for eviction, if any is neither busy nor has unread bytes."""
         while (evicted := self.activity.evict(self.clock.now())) is not None:
             if socket_state.is_quiet(evicted.transport):
-                evicted.end(CloseReason.EVICTED)  # in order: its next request may be on its way
+                evicted.end(CloseReason.EVICTED)  # not aborted, as its next request may be in transit
                 return
 
     # Graceful shutdown
 
     def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
-        """Cut the time of every request taken from now on to the shutdown schedule."""
+        """Limit the deadlines of all requests submitted from now on to the shutdown schedule."""
         self.close_idle_from = schedule.close_idle_from
         self.answer_by = schedule.drain_deadline
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have nothing in flight, once the shutdown schedule says so."""
+        """Close connections without requests in flight once `close_idle_from` has passed."""
         now = self.clock.now()
         if now >= self.close_idle_from:
             for connection in list(self.connections):
--- a/sedgepitch/protocols/postgresql/client_state.py
+++ b/sedgepitch/protocols/postgresql/client_state.py
@@ -1,14 +1,14 @@
-"""The states of a client connection of the PostgreSQL protocol.
-
-=========  ===============================================  ==============================================
-state      means                                            next
-=========  ===============================================  ==============================================
-STARTUP    the startup message has not come                 READY
-READY      waits for a statement, or for the rest of one    EXECUTING, YIELDING
-EXECUTING  a request is pending                             READY, YIELDING when answered
-YIELDING   the next statement, already here, has its turn   READY in the next turn of the event loop
-CLOSING    an error or the end was sent; input is dropped   none; reached from every state
-=========  ===============================================  ==============================================
+"""The states of a PostgreSQL client connection.
+
+=========  ======================================================  ========================================
+state      meaning                                                 next states
+=========  ======================================================  ========================================
+STARTUP    waiting for the startup message                         READY
+READY      waiting for a statement or for the rest of one          EXECUTING, YIELDING
+EXECUTING  a request is pending                                    READY, YIELDING after the response
+YIELDING   a pipelined statement is buffered and waits its turn    READY in the next turn of the event loop
+CLOSING    the last message was sent; input is discarded           none; reachable from every state
+=========  ======================================================  ========================================
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ClientState(Enum):
-    """Where a connection stands; see the table above."""
+    """State of a connection; see the table above."""
 
     STARTUP = "startup"
     READY = "ready"
--- a/sedgepitch/protocols/postgresql/close_reasons.py
+++ b/sedgepitch/protocols/postgresql/close_reasons.py
@@ -1,4 +1,4 @@
-"""Why a client connection was closed: the reasons, a counter for each, and the report of an unusual close."""
+"""Reasons for closing client connections, with a counter for each and a report of unusual closes."""
 
 from __future__ import annotations
 
@@ -15,66 +15,66 @@
 
 
 class CloseReason(Enum):
-    """Who closed a client connection, and why."""
+    """Why a client connection was closed; the values are written to the log."""
 
-    PEER_CLOSED = "peer_closed"  # the client ended its connection in order
-    PEER_RESET = "peer_reset"  # the client reset its connection
-    CONNECTION_FAILED = "connection_failed"  # a read or the socket reported any other error
-    LEFT_UNREAD = "left_unread"  # the client was found disconnected behind bytes that were not read yet
+    PEER_CLOSED = "peer_closed"  # orderly close by the client
+    PEER_RESET = "peer_reset"  # connection reset by the client
+    CONNECTION_FAILED = "connection_failed"  # any other error of a read or of the socket
+    LEFT_UNREAD = "left_unread"  # the client disconnected while bytes that it had sent were still unread
     TERMINATED = "terminated"  # the client sent Terminate or a cancel request
     BAD_MESSAGE = "bad_message"
-    EVICTED = "evicted"  # no descriptor was free for a newcomer
-    REST_LIMIT = "rest_limit"  # too many idle clients
-    TOO_SLOW = "too_slow"  # nothing, or half of a message, for too long
-    NOT_TAKEN = "not_taken"  # the client did not read its answer
-    FLOODED = "flooded"  # too much came behind an error
+    EVICTED = "evicted"  # closed to free a descriptor for a new connection
+    IDLE_LIMIT = "rest_limit"  # too many idle clients
+    TOO_SLOW = "too_slow"  # sent nothing, or an incomplete message, until the timeout
+    RESPONSE_NOT_READ = "not_taken"  # the client did not read its response until the timeout
+    FLOODED = "flooded"  # sent too much input after an error
     SHUTDOWN = "shutdown"
-    FAULT = "fault"  # an exception in this program
+    INTERNAL_ERROR = "fault"  # an exception in the proxy
 
 
-# What clients do themselves is counted, never logged one by one.
+# Closes caused by the client: counted, but not logged individually.
 CLOSED_BY_CLIENT = frozenset({CloseReason.PEER_CLOSED, CloseReason.PEER_RESET, CloseReason.LEFT_UNREAD})
-# Routine closes are logged only where a request or unread bytes were left behind.
-ROUTINE_REASONS = frozenset({CloseReason.TERMINATED, CloseReason.REST_LIMIT, CloseReason.SHUTDOWN})
+# Routine closes: logged only if a request or unexecuted bytes were left.
+ROUTINE_REASONS = frozenset({CloseReason.TERMINATED, CloseReason.IDLE_LIMIT, CloseReason.SHUTDOWN})
 
 
 @dataclass(frozen=True, slots=True)
 class CloseReport:
-    """One closed client connection, as it is logged."""
+    """One closed client connection, as logged."""
 
-    number: int  # of the connection, counted from the start of the process
+    number: int  # sequence number of the connection since the process started
     reason: CloseReason
-    detail: str  # the error's text, where there was one
-    request: str  # id of the request that had no answer yet, or ""
-    attempts: int  # of that request
-    read_bytes: int  # read from the client and not executed yet
-    lasted: float  # s since the connection was accepted
+    detail: str  # text of the error, if any
+    request: str  # id of the request that was still pending, or ""
+    attempts: int  # attempts of that request
+    unexecuted_bytes: int  # read from the client and not executed yet
+    duration: float  # s since the connection was accepted
 
 
-def reason_of_loss(lost: Failure) -> CloseReason:
-    """Return why a connection ended that this program did not close by intent."""
-    error = lost.value
+def reason_of_loss(failure: Failure) -> CloseReason:
+    """Return the reason for the loss of a connection that the proxy did not close itself."""
+    error = failure.value
     if isinstance(error, ConnectionDone):
         return CloseReason.PEER_CLOSED
     if isinstance(error, (transport.ReadFailed, transport.SocketFailed)):
         was_reset = error.errno in (errno.ECONNRESET, errno.EPIPE)
         return CloseReason.PEER_RESET if was_reset else CloseReason.CONNECTION_FAILED
-    if isinstance(error, ConnectionLost):  # what Twisted's transport reports for a failed write
+    if isinstance(error, ConnectionLost):  # reported by Twisted's transport for a failed write
         return CloseReason.PEER_RESET
-    return CloseReason.FAULT
+    return CloseReason.INTERNAL_ERROR
 
 
 class CloseLog:
-    """Counts closes by reason, and reports those that an operator should see to `report`."""
+    """Counts closes by reason and passes unusual ones to `report`."""
 
     def __init__(self, report: Callable[[CloseReport], None] | None = None) -> None:
-        """Begin with no closes counted."""
+        """Start with all counts at zero."""
         self.counts: Counter[CloseReason] = Counter()
-        self.with_request = 0  # connections that ended while a request on them had no answer
+        self.with_request = 0  # connections closed while their request was pending
         self.report = report
 
     def closed(self, report: CloseReport) -> None:
-        """Note one closed connection."""
+        """Count a closed connection and report it if it is unusual."""
         self.counts[report.reason] += 1
         if report.request:
             self.with_request += 1
@@ -85,9 +85,9 @@
     def _is_unusual(report: CloseReport) -> bool:
         if report.reason in CLOSED_BY_CLIENT:
             return False
-        return bool(report.request or report.read_bytes) or report.reason not in ROUTINE_REASONS
+        return bool(report.request or report.unexecuted_bytes) or report.reason not in ROUTINE_REASONS
 
     def summary(self) -> str:
-        """Return the counts as `reason:count`, joined by commas; "none" where there are none."""
-        found = [f"{reason.value}:{count}" for reason, count in self.counts.items()]
-        return ",".join(sorted(found)) or "none"
+        """Return the counts as `reason:count`, joined by commas; "none" if there are none."""
+        counts = [f"{reason.value}:{count}" for reason, count in self.counts.items()]
+        return ",".join(sorted(counts)) or "none"
--- a/sedgepitch/protocols/postgresql/codec.py
+++ b/sedgepitch/protocols/postgresql/codec.py
@@ -1,8 +1,8 @@
-"""Messages of PostgreSQL's protocol 3, sans I/O: bytes in any pieces to whole messages, and writers.
+"""Codec for version 3 of the PostgreSQL wire protocol, without I/O: an incremental parser and writers.
 
-A length is checked on the header, before any of the body is buffered, so that what a peer can make this
-process hold is bounded by the bounds stated here, whatever it announces. Lengths count themselves.
-Source: the chapters "Message Flow" and "Message Formats" of PostgreSQL's public documentation.
+The length field is checked as soon as the header has arrived, before the body is buffered, so the bounds
+below limit the memory that a peer can occupy, whatever length it announces. A length includes its own four
+bytes. Source: the chapters "Message Flow" and "Message Formats" of PostgreSQL's public documentation.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from sedgepitch.errors import SedgepitchError
 
-VALUE_BYTES_MAX = 64 * 1024  # of a value that a client writes
-ROW_BYTES_MAX = 1024 * 1024  # of a value that an endpoint answers with, which may exceed a written one's
-STATEMENT_BYTES_MAX = 2 * VALUE_BYTES_MAX + 4096  # a value is written as two digits a byte
-STARTUP_BYTES_MAX = 10_000  # PostgreSQL's own bound
+VALUE_BYTES_MAX = 64 * 1024  # of a value written by a client
+ROW_BYTES_MAX = 1024 * 1024  # of a value returned by an endpoint, which may exceed VALUE_BYTES_MAX
+STATEMENT_BYTES_MAX = 2 * VALUE_BYTES_MAX + 4096  # a value is written as two hexadecimal digits per byte
+STARTUP_BYTES_MAX = 10_000  # the limit of PostgreSQL itself
 HEADER_BYTES = 5  # type and length
-LENGTH_BYTES = 4  # a length counts itself
+LENGTH_BYTES = 4  # included in the length itself
 STARTUP_HEADER_BYTES = 8  # length and code
 PROTOCOL_VERSION = 3
 SSL_REQUEST = 80877103
@@ -39,7 +39,7 @@
 ROW_DESCRIPTION = b"T"
 TERMINATE = b"X"
 
-# What each side may receive: type -> bytes at most, the length's own four counted.
+# Message types accepted from each side, with the maximum length in bytes (length field included).
 FROM_CLIENT = {QUERY: STATEMENT_BYTES_MAX, TERMINATE: LENGTH_BYTES}
 FROM_ENDPOINT = {
     AUTHENTICATION: 64,
@@ -63,30 +63,30 @@
 
 
 class MalformedMessage(SedgepitchError, ValueError):
-    """Bytes that are no message of this protocol; it cannot be told where the next message would begin."""
+    """The bytes are not a valid message; the start of the next message cannot be determined either."""
 
 
 class Reader:
-    """Cuts a stream into messages; `bounds` gives the types that may come and the bytes of each at most."""
+    """Splits a byte stream into messages; `bounds` maps each accepted type to its maximum length in bytes."""
 
-    __slots__ = ("_at", "_buffer", "_held", "_more", "_want", "bounds")
+    __slots__ = ("_buffer", "_held", "_more", "_offset", "_want", "bounds")
 
     def __init__(self, bounds: Mapping[bytes, int]) -> None:
-        """Begin with an empty buffer."""
+        """Start with an empty buffer."""
         self.bounds = bounds
         self._buffer = b""
-        self._at = 0  # where the first message not yet returned begins in the buffer
-        self._more = bytearray()  # what came since the buffer was made
-        self._held = 0  # bytes not yet returned
-        self._want = HEADER_BYTES  # bytes without which no message can be complete
+        self._offset = 0  # offset in the buffer of the first message not yet returned
+        self._more = bytearray()  # received since the buffer was last joined
+        self._held = 0  # bytes received and not yet returned
+        self._want = HEADER_BYTES  # minimum number of bytes for the next message to be complete
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; they are joined only when a message may be complete, whatever pieces they come in."""
+        """Append received bytes; they are joined only once a message may be complete, to avoid copies."""
         if self._held:
             self._more += data
         else:
             self._buffer = data
-            self._at = 0
+            self._offset = 0
         self._held += len(data)
 
     @property
@@ -96,28 +96,28 @@
 
     def _join(self) -> bytes:
         if self._more:
-            self._buffer = self._buffer[self._at :] + bytes(self._more)
-            self._at = 0
+            self._buffer = self._buffer[self._offset :] + bytes(self._more)
+            self._offset = 0
             self._more.clear()
         return self._buffer
 
-    def _taken(self, end: int) -> None:
-        """All before `end` has been returned; what is behind is not copied for each message."""
-        self._held -= end - self._at
-        self._at = end
+    def _consume(self, end: int) -> None:
+        """Mark the buffer up to `end` as returned, without copying the rest for each message."""
+        self._held -= end - self._offset
+        self._offset = end
         if not self._held:
             self._buffer = b""
-            self._at = 0
+            self._offset = 0
 
     def next(self) -> tuple[bytes, bytes] | None:
         """Return the next complete message as type and raw bytes, header included, or None.
 
-        Raises MalformedMessage on a type that is not served here, or a length out of its bounds.
+        Raises MalformedMessage for a type that is not accepted or a length out of bounds.
         """
         if self._held < self._want:
             return None
         data = self._join()
-        start = self._at
+        start = self._offset
         kind, length = _HEADER.unpack_from(data, start)
         length_max = self.bounds.get(kind)
         if length_max is None:
@@ -129,15 +129,15 @@
             return None
         self._want = HEADER_BYTES
         end = start + length + 1
-        self._taken(end)
+        self._consume(end)
         return kind, data[start:end]
 
     def startup(self) -> tuple[int, bytes] | None:
-        """Return the first message of a connection as its code and body, None while it is not complete."""
+        """Return the code and body of the first message of a connection, or None until it is complete."""
         if self._held < STARTUP_HEADER_BYTES:
             return None
         data = self._join()
-        start = self._at
+        start = self._offset
         length, code = _TWO_INTS.unpack_from(data, start)
         if not STARTUP_HEADER_BYTES <= length <= STARTUP_BYTES_MAX:
             raise MalformedMessage(f"a startup message of {length} bytes")
@@ -145,7 +145,7 @@
             raise MalformedMessage(f"protocol {code >> 16}.{code & 0xFFFF} is not spoken here")
         if self._held < length:
             return None
-        self._taken(start + length)
+        self._consume(start + length)
         return code, data[start + STARTUP_HEADER_BYTES : start + length]
 
 
@@ -155,19 +155,19 @@
 
 
 def text(raw: bytes) -> str:
-    """Decode bytes that may not be UTF-8."""
+    """Decode UTF-8, replacing invalid bytes."""
     return raw.decode("utf-8", "replace")
 
 
 def strings(body: bytes) -> list[bytes]:
-    """Split a body of strings that each end in a zero byte; raises MalformedMessage."""
+    """Split a body into its zero-terminated strings; raises MalformedMessage."""
     if body and body[-1]:
         raise MalformedMessage("a string without its end")
     return body.split(b"\0")[:-1]
 
 
 def startup_parameters(body: bytes) -> dict[str, str]:
-    """Read a startup message's parameters; raises MalformedMessage."""
+    """Parse the parameters of a startup message; raises MalformedMessage."""
     parts = strings(body)
     if not parts or parts[-1] or len(parts) % 2 != 1:
         raise MalformedMessage("startup parameters that do not come in pairs")
@@ -185,7 +185,7 @@
 
 
 def query(statement: bytes) -> bytes:
-    """Build a simple query."""
+    """Build a simple Query message."""
     return _HEADER.pack(QUERY, len(statement) + LENGTH_BYTES + 1) + statement + b"\0"
 
 
@@ -195,14 +195,14 @@
 
 
 def read_parameter(raw: bytes) -> tuple[bytes, bytes]:
-    """Read a ParameterStatus; raises MalformedMessage."""
+    """Parse a ParameterStatus into name and value; raises MalformedMessage."""
     match strings(raw[HEADER_BYTES:]):
         case [name, value]:
             return name, value
     raise MalformedMessage("a parameter that is no pair")
 
 
-NO_TRANSACTION = b"I"  # the one transaction status here: idle
+NO_TRANSACTION = b"I"  # the only transaction status supported: idle, outside a transaction
 AUTHENTICATION_OK = _INT.pack(0)
 READY = message(READY_FOR_QUERY, NO_TRANSACTION)
 EMPTY = message(EMPTY_QUERY_RESPONSE, b"") + READY
@@ -218,12 +218,12 @@
 
 
 def key_data(number: int) -> bytes:
-    """Build the BackendKeyData of a connection; cancel requests are not served."""
+    """Build the BackendKeyData of a connection; its secret is 0, as cancel requests are not supported."""
     return message(BACKEND_KEY_DATA, _TWO_INTS.pack(number & INT32_MAX, 0))
 
 
 def error(code: str, what: str, detail: str = "", fatal: bool = False) -> bytes:
-    """Build an ErrorResponse; `code` is its SQLSTATE."""
+    """Build an ErrorResponse; `code` is the SQLSTATE."""
     severity = "FATAL" if fatal else "ERROR"
     fields = [("S", severity), ("V", severity), ("C", code), ("M", what.replace("\0", "?"))]
     if detail:
@@ -234,7 +234,7 @@
 
 
 def read_error(raw: bytes) -> dict[str, str]:
-    """Read an ErrorResponse's fields by their letters; raises MalformedMessage."""
+    """Parse an ErrorResponse into its fields, keyed by field letter; raises MalformedMessage."""
     body = raw[HEADER_BYTES:]
     if body[-2:] != b"\0\0":
         raise MalformedMessage("an error without its end")
@@ -242,13 +242,13 @@
 
 
 def row_description(column: str = "payload") -> bytes:
-    """Build the description of one binary column of bytes."""
+    """Build the RowDescription of one bytea column in binary format."""
     fields = _COLUMN_FIELDS.pack(*_BYTEA_COLUMN)
     return message(ROW_DESCRIPTION, _ONE_COLUMN + column.encode() + b"\0" + fields)
 
 
 def data_row(value: bytes) -> bytes:
-    """Build a row of one column."""
+    """Build a DataRow of one column."""
     return message(DATA_ROW, _ONE_COLUMN + _INT.pack(len(value)) + value)
 
 
@@ -257,8 +257,8 @@
     return message(COMMAND_COMPLETE, tag.encode() + b"\0")
 
 
-def columns(raw: bytes) -> int:
-    """Return the number of columns that a RowDescription describes, -1 where it is malformed."""
+def column_count(raw: bytes) -> int:
+    """Return the number of columns of a RowDescription, or -1 if it is malformed."""
     body = raw[HEADER_BYTES:]
     if len(body) < len(_ONE_COLUMN):
         return -1
@@ -274,7 +274,7 @@
 
 
 def one_value(raw: bytes) -> bytes | None:
-    """Return the value of a DataRow of one column, None where it is anything else."""
+    """Return the value of a DataRow with exactly one non-null column, or None for any other message."""
     count_end = HEADER_BYTES + len(_ONE_COLUMN)
     value_start = count_end + _INT.size
     if len(raw) < value_start or raw[HEADER_BYTES:count_end] != _ONE_COLUMN:
--- a/sedgepitch/protocols/postgresql/endpoint_connection.py
+++ b/sedgepitch/protocols/postgresql/endpoint_connection.py
@@ -1,6 +1,6 @@
-"""One connection to an endpoint: start-up, then one statement at a time and its reply.
+"""One connection to an endpoint: start-up, then one statement at a time with its reply.
 
-Bytes behind a good reply do not spoil the reply, but the connection is not used again.
+A complete reply that is followed by unexpected bytes is still used, but the connection is closed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from sedgepitch.protocols.postgresql.reply import Reply
 
 STARTUP_MESSAGES_MAX = 64
-UNSOLICITED_KINDS = (codec.PARAMETER_STATUS, codec.NOTICE)  # may come between statements
+UNSOLICITED_KINDS = (codec.PARAMETER_STATUS, codec.NOTICE)  # allowed between statements
 STARTUP_KINDS = (
     codec.AUTHENTICATION,
     codec.PARAMETER_STATUS,
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SessionNames:
-    """The names given at start-up, and the endpoint's names for the two roles."""
+    """User and database sent at start-up, and the values that the endpoint reports as its role."""
 
     user: str = "web"
     database: str = "orders"
@@ -41,45 +41,45 @@
 
 
 class Payload(Protocol):
-    """What an endpoint is asked."""
+    """A statement to send to an endpoint."""
 
     def text(self, now: float) -> bytes:
-        """Return the statement as sent at `now`, in seconds of the clock."""
+        """Return the text to send at `now`, in seconds of the clock."""
 
 
 class HealthCheckQuery:
-    """A payload that asks for an endpoint's load report."""
+    """A payload that requests the load report of an endpoint."""
 
     __slots__ = ()
 
-    def text(self, now: float) -> bytes:  # noqa: ARG002  # of Payload
-        """Return the statement."""
+    def text(self, now: float) -> bytes:  # noqa: ARG002  # required by Payload
+        """Return the text of the statement."""
         return b"SHOW usage"
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionCallbacks:
-    """Whom a connection tells: `ready` or `failed` once, and `lost` once after `ready`."""
+    """Callbacks of a connection: `ready` or `failed` is called once, and `lost` once after `ready`."""
 
     ready: Callable[[EndpointConnection], None]
     failed: Callable[[str], None]
     lost: Callable[[str], None]
-    bytes_arrived: Callable[[float], None]  # gets the time of arrival in monotonic s, 0 where unknown
+    bytes_arrived: Callable[[float], None]  # receives the arrival time in monotonic s, 0 if unknown
 
 
 class EndpointConnection(TwistedProtocol):
-    """One connection to an endpoint, one statement at a time. `now` gives the clock's time in seconds."""
+    """One connection to an endpoint. `now` returns the time of the clock in seconds."""
 
     transport: Any
 
     def __init__(self, names: SessionNames, now: Callable[[], float], callbacks: ConnectionCallbacks) -> None:
-        """Prepare a connection; the transport starts it up."""
+        """Prepare the connection; start-up begins in `connectionMade`."""
         self.names = names
         self.now = now
         self.callbacks = callbacks
         self.reader = Reader(codec.FROM_ENDPOINT)
-        self.started = False  # the start-up is complete
-        self.broken = False  # nothing that still comes is read
+        self.started = False  # start-up is complete
+        self.broken = False  # closing; further input is ignored
         self.on_reply: Callable[[Reply], None] | None = None
         self.reply: Reply | None = None
         self.startup_messages = 0
@@ -94,10 +94,10 @@
             self.trace("connected")
         self.transport.write(codec.startup(self.names.user, self.names.database))
 
-    # What the connection pool asks
+    # Interface for the connection pool
 
     def start(self, payload: Payload, done: Callable[[Reply], None]) -> None:
-        """Send one statement; `done` gets its reply."""
+        """Send a statement; `done` is called with its reply."""
         self.on_reply = done
         self.reply = Reply()
         self.uses += 1
@@ -106,23 +106,23 @@
             self.trace("written", payload=payload, uses=self.uses, unsent=self.unsent())
 
     def close(self) -> None:
-        """End the connection at once, which is also how an attempt is cancelled."""
+        """Abort the connection; this is also how an attempt is cancelled."""
         self.close_reason = self.close_reason or "closed here"
         self.broken = True
         self.transport.abortConnection()
 
     def unsent(self) -> int:
-        """Return how many bytes wait for the socket to take them."""
+        """Return the number of written bytes that the socket has not accepted yet."""
         return unsent_bytes(self.transport)
 
     def usable(self) -> bool:
-        """Whether it may carry the next statement."""
+        """Return whether the connection can carry another statement."""
         return not self.broken and not self.reader.buffered_bytes and socket_state.is_quiet(self.transport)
 
     # Messages
 
     def dataReceived(self, data: bytes) -> None:
-        """Read what is complete."""
+        """Process the complete messages in the input."""
         if self.broken:
             return
         arrived = arrival_time(self.transport)
@@ -141,7 +141,7 @@
         reply = self.reply
         if reply is None:
             if kind not in UNSOLICITED_KINDS:
-                self._break(f"a message {kind!r} that nobody asked for")
+                self._abort(f"a message {kind!r} that nobody asked for")
             return
         if kind == codec.PARAMETER_STATUS:
             reply.add_parameter(raw)
@@ -150,7 +150,7 @@
         elif kind == codec.ERROR_RESPONSE:
             if reply.add_error(raw):
                 self._finish(reply, arrived)
-                self._break("closed by the member with an error")
+                self._abort("closed by the member with an error")
         elif kind == codec.NOTICE:
             reply.count_notice("notices")
         else:
@@ -159,11 +159,11 @@
     def _read_startup(self, kind: bytes, raw: bytes) -> None:
         self.startup_messages += 1
         if kind == codec.AUTHENTICATION and raw[codec.HEADER_BYTES :] != codec.AUTHENTICATION_OK:
-            self._break("a member that wants a password")
+            self._abort("a member that wants a password")
         elif kind == codec.ERROR_RESPONSE:
-            self._break("turned away: " + codec.read_error(raw).get("C", "?"))
+            self._abort("turned away: " + codec.read_error(raw).get("C", "?"))
         elif kind not in STARTUP_KINDS or self.startup_messages > STARTUP_MESSAGES_MAX:
-            self._break(f"a greeting with {kind!r}")
+            self._abort(f"a greeting with {kind!r}")
         elif kind == codec.READY_FOR_QUERY:
             self.started = True
             self.callbacks.ready(self)
@@ -171,14 +171,14 @@
     def _read_ready(self, reply: Reply, raw: bytes, arrived: float) -> None:
         if raw[codec.HEADER_BYTES :] != codec.NO_TRANSACTION or not reply.is_final:
             raise MalformedMessage("ready before its answer")
-        if self.reader.buffered_bytes:  # bytes behind the reply: the reply stands, the connection goes
+        if self.reader.buffered_bytes:  # unexpected bytes: the reply is used, the connection closed
             self.broken = True
         self._finish(reply, arrived)
         if self.broken:
-            self._break("bytes behind an answer")
+            self._abort("bytes behind an answer")
 
     def _finish(self, reply: Reply, arrived: float) -> None:
-        """Hand the reply over. A connection that goes is marked broken first, so it is not used again."""
+        """Deliver the reply. Callers set `broken` first on a connection that must not be reused."""
         reply.finish(arrived)
         self.reply = None
         on_reply, self.on_reply = self.on_reply, None
@@ -188,24 +188,24 @@
             on_reply(reply)
 
     def _malformed(self, why: str, arrived: float) -> None:
-        """End the connection on bytes that cannot be read; a reply whose row is complete still counts."""
+        """Close the connection after malformed input; a reply whose row is complete is still delivered."""
         self.broken = True
         reply = self.reply
         if reply is not None:
             if not reply.has_row:
                 reply.malformed = why
             self._finish(reply, arrived)
-        self._break(why)
+        self._abort(why)
 
     # Closing
 
-    def _break(self, why: str) -> None:
+    def _abort(self, why: str) -> None:
         self.close_reason = self.close_reason or why
         self.broken = True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The connection has ended; an error or a row that was complete still counts."""
+        """Report the loss, after delivering a reply that already holds an error or a complete row."""
         why = self.close_reason or reason.getErrorMessage()
         if self.trace is not None:
             self.trace("ended", why=why, uses=self.uses, busy=self.reply is not None)
--- a/sedgepitch/protocols/postgresql/outcomes.py
+++ b/sedgepitch/protocols/postgresql/outcomes.py
@@ -1,15 +1,15 @@
-"""From an endpoint's reply to the outcome of an attempt and the evidence that it carries.
-
-=====================================  ============  ======================================================
-the endpoint's reply                   outcome       reason
-=====================================  ============  ======================================================
-a complete row                         OK            served
-25006 read_only_sql_transaction        NOT_ELIGIBLE  no primary: the statement had no effect
-72000 snapshot_too_old                 NOT_ELIGIBLE  the replica is too far behind: no effect
-53300 too_many_connections             OVERLOADED    the endpoint sheds load: no effect
-any other SQLSTATE                     ERROR         the statement may have run
-malformed                              ERROR         the statement may have run
-=====================================  ============  ======================================================
+"""Maps the reply of an endpoint to the outcome of an attempt, with the endpoint's role and position.
+
+===============================  ============  ==========================================================
+reply of the endpoint            outcome       reason
+===============================  ============  ==========================================================
+a complete row                   OK            served
+25006 read_only_sql_transaction  NOT_ELIGIBLE  no primary: the statement had no effect
+72000 snapshot_too_old           NOT_ELIGIBLE  the replica is too far behind: the statement had no effect
+53300 too_many_connections       OVERLOADED    the endpoint sheds load: the statement had no effect
+any other SQLSTATE               ERROR         the statement may have run
+malformed                        ERROR         the statement may have run
+===============================  ============  ==========================================================
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 def malformed_outcome(reply: Reply) -> AttemptOutcome:
-    """Return the outcome of an attempt whose reply could not be read."""
+    """Return the outcome of an attempt with a malformed reply."""
     why = f"spoilt answer: {reply.malformed}"
     return AttemptOutcome(AttemptResult.ERROR, why=why, received_at=reply.arrived)
 
 
 def outcome_of(reply: Reply, names: SessionNames, unix_offset: float) -> AttemptOutcome:
-    """Return the outcome of a reply that could be read, with the endpoint's role and position.
+    """Return the outcome of a well-formed reply, with the role and position of the endpoint.
 
     `unix_offset` is Unix time minus the clock's time, in seconds.
     """
--- a/sedgepitch/protocols/postgresql/read_ahead.py
+++ b/sedgepitch/protocols/postgresql/read_ahead.py
@@ -1,7 +1,7 @@
-"""How much clients may send ahead of the statement in flight before their sockets are left unread.
+"""Limits the input buffered per client while a statement is in flight; beyond it the socket is not read.
 
-The end of a client's stream stands behind all that it sent, and does not arrive while the system's buffers
-are full of that. So a few clients are read further, to see whether they are still there.
+The end of a client's stream is queued behind all data that it has sent, so a disconnect is not seen while the
+kernel's buffers are full. A few clients therefore get a larger limit, so that their disconnects are noticed.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 if TYPE_CHECKING:
     from sedgepitch.protocols.postgresql.client import ClientConnection
 
-READ_AHEAD_BYTES = 64 * 1024  # for any client
-EXTENDED_READ_AHEAD_BYTES = 512 * 1024  # for a few
+READ_AHEAD_BYTES = 64 * 1024  # per client
+EXTENDED_READ_AHEAD_BYTES = 512 * 1024  # per client with an extended limit, EXTENDED_CLIENTS_MAX at most
 EXTENDED_CLIENTS_MAX = 16
 
 
 class ReadAhead:
-    """Read-ahead of all connections of one listener; sets `reads_paused` of each connection."""
+    """Read-ahead state of the connections of one listener; sets their `reads_paused`."""
 
     __slots__ = ("extended", "paused")
 
     def __init__(self) -> None:
-        """Begin with no client ahead."""
-        self.extended: set[ClientConnection] = set()  # read beyond READ_AHEAD_BYTES
-        self.paused: set[ClientConnection] = set()  # sockets left unread
+        """Start with no client above the limit."""
+        self.extended: set[ClientConnection] = set()  # allowed more than READ_AHEAD_BYTES
+        self.paused: set[ClientConnection] = set()  # not being read
 
     def limit(self, connection: ClientConnection) -> None:
-        """Stop reading a client that is too far ahead, unless it is one of the few that are read further."""
-        held = connection.reader.buffered_bytes
-        if held <= READ_AHEAD_BYTES:
+        """Pause reading from a client above its limit; up to EXTENDED_CLIENTS_MAX get the larger one."""
+        buffered = connection.reader.buffered_bytes
+        if buffered <= READ_AHEAD_BYTES:
             return
         may_extend = connection in self.extended or len(self.extended) < EXTENDED_CLIENTS_MAX
-        if held <= EXTENDED_READ_AHEAD_BYTES and may_extend:
+        if buffered <= EXTENDED_READ_AHEAD_BYTES and may_extend:
             self.extended.add(connection)
             return
         connection.reads_paused = True
@@ -42,7 +42,7 @@
         connection.transport.pauseProducing()
 
     def relax(self, connection: ClientConnection) -> None:
-        """Read on where at most half of the allowance is still buffered."""
+        """Resume reading once at most half of READ_AHEAD_BYTES is buffered."""
         if connection.reader.buffered_bytes > READ_AHEAD_BYTES // 2:
             return
         self.extended.discard(connection)
@@ -50,12 +50,12 @@
             self.resume(connection)
 
     def resume(self, connection: ClientConnection) -> None:
-        """Read the socket again."""
+        """Resume reading from the socket."""
         connection.reads_paused = False
         self.paused.discard(connection)
         connection.transport.resumeProducing()
 
     def forget(self, connection: ClientConnection) -> None:
-        """The connection has ended."""
+        """Drop the state of a closed connection."""
         self.paused.discard(connection)
         self.extended.discard(connection)
--- a/sedgepitch/protocols/postgresql/reply.py
+++ b/sedgepitch/protocols/postgresql/reply.py
@@ -1,7 +1,8 @@
-"""What an endpoint answers to one statement, collected message by message.
+"""The reply of an endpoint to one statement, assembled message by message.
 
-A reply counts once it has been read whole and has the right shape: a description of one column, one row of
-one value, its completion. Anything else is malformed: the attempt may have run, and its connection is closed.
+A reply is valid once it is complete: a RowDescription of one column, a DataRow with one value and a
+CommandComplete, or an ErrorResponse. Anything else is malformed: the attempt may have run, and its connection
+is closed.
 """
 
 from __future__ import annotations
@@ -13,45 +14,45 @@
 from sedgepitch.protocols.postgresql.codec import MalformedMessage
 
 ROW_MESSAGES = (codec.ROW_DESCRIPTION, codec.DATA_ROW, codec.COMMAND_COMPLETE)  # in this order
-NOTICES_MAX = 8  # notices and parameters in one reply
+NOTICES_MAX = 8  # Notice and ParameterStatus messages in one reply, together
 SQLSTATE_LENGTH = 5
 LOAD_REPORT_BYTES_MAX = 1024
 FATAL_SEVERITIES = ("FATAL", "PANIC")
 
 
-@dataclass(slots=True, eq=False)  # made for each attempt
+@dataclass(slots=True, eq=False)  # one per attempt: kept small
 class Reply:
-    """The reply to one statement. `value` is set at the end: the raw messages to forward to the client."""
+    """The reply to one statement. `finish` sets `value`, the raw messages to forward to the client."""
 
     value: bytes = b""
     row: bytes | None = None
-    error_code: str = ""  # an error's SQLSTATE
-    malformed: str = ""  # why it could not be read
-    arrived: float = 0.0  # monotonic s, 0 where that is not known
-    role: bytes = b""  # the endpoint's own reports: its role,
-    position: bytes = b""  # Unix ms of the last commit it has, in digits,
-    load_report: bytes = b""  # and its load
-    messages: list[bytes] = field(default_factory=list)  # of the row, raw
+    error_code: str = ""  # SQLSTATE of the error, if any
+    malformed: str = ""  # why the reply is malformed, if it is
+    arrived: float = 0.0  # monotonic s, 0 if unknown
+    role: bytes = b""  # as reported by the endpoint
+    position: bytes = b""  # Unix ms of the endpoint's last commit, in decimal digits
+    load_report: bytes = b""  # as reported by the endpoint, not parsed
+    messages: list[bytes] = field(default_factory=list)  # raw messages of the row so far
     notices: int = 0
 
     @property
     def has_row(self) -> bool:
-        """Whether the row is complete."""
+        """Return whether the row is complete."""
         return len(self.messages) == len(ROW_MESSAGES)
 
     @property
     def is_final(self) -> bool:
-        """Whether the row is complete or an error stands in its place."""
+        """Return whether the reply holds a complete row or an error."""
         return bool(self.error_code) or self.has_row
 
     def count_notice(self, what: str) -> None:
-        """Count a message that may come at any place; raises MalformedMessage above the bound."""
+        """Count a message that is allowed anywhere; raises MalformedMessage above NOTICES_MAX."""
         self.notices += 1
         if self.notices > NOTICES_MAX:
             raise MalformedMessage(f"{what} without end")
 
     def add_parameter(self, raw: bytes) -> None:
-        """Take a ParameterStatus, which carries the endpoint's reports of itself."""
+        """Process a ParameterStatus; it carries the role, position or load report of the endpoint."""
         self.count_notice("parameters")
         name, value = codec.read_parameter(raw)
         if name == b"server_role":
@@ -62,7 +63,7 @@
             self.load_report = value
 
     def add_error(self, raw: bytes) -> bool:
-        """Take an ErrorResponse; returns whether the endpoint closes the connection behind it."""
+        """Process an ErrorResponse; return whether the endpoint closes the connection after it."""
         fields = codec.read_error(raw)
         if self.error_code or len(fields.get("C", "")) != SQLSTATE_LENGTH:
             raise MalformedMessage("an error that does not read")
@@ -70,12 +71,12 @@
         return fields.get("V", fields.get("S")) in FATAL_SEVERITIES
 
     def add_row_message(self, kind: bytes, raw: bytes) -> None:
-        """Take the next message of the row; raises MalformedMessage where it is another one."""
+        """Process the next message of the row; raises MalformedMessage for an unexpected one."""
         expected = b"" if self.has_row else ROW_MESSAGES[len(self.messages)]
         if self.error_code or kind != expected:
             raise MalformedMessage(f"message {kind!r} out of order")
         if kind == codec.ROW_DESCRIPTION:
-            if codec.columns(raw) != 1:
+            if codec.column_count(raw) != 1:
                 raise MalformedMessage("not one column")
         elif kind == codec.DATA_ROW:
             self.row = codec.one_value(raw)
@@ -86,14 +87,14 @@
         self.messages.append(raw)
 
     def finish(self, arrived: float) -> None:
-        """Nothing more is read for this reply; `arrived` is when its last bytes came."""
+        """Complete the reply; `arrived` is the arrival time of its last bytes."""
         self.arrived = arrived
         if not self.error_code and not self.malformed:
             self.value = b"".join(self.messages)
 
 
 def read_load_report(raw: bytes) -> dict[str, float]:
-    """Read a load report, `inflight=7,util=0.61`; what does not read is left out."""
+    """Parse a load report such as `inflight=7,util=0.61`; malformed fields are skipped."""
     fields: dict[str, float] = {}
     if len(raw) > LOAD_REPORT_BYTES_MAX:
         return fields
--- a/sedgepitch/protocols/postgresql/statement_handler.py
+++ b/sedgepitch/protocols/postgresql/statement_handler.py
@@ -1,6 +1,6 @@
-"""From a client's statement to a request of the engine, and from the engine's response to messages.
+"""Translates statements of clients into engine requests, and engine responses into messages.
 
-The time left of a request runs from the arrival of its bytes, and ends no later than a shutdown allows.
+The deadline of a request counts from the arrival of its bytes and is limited by the shutdown schedule.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
     from sedgepitch.protocols.postgresql.client import ClientConnection
     from sedgepitch.protocols.postgresql.client_listener import ClientListener
 
-ANSWER_MARGIN_S = 0.015  # before the client's time is up its response is decided; more than a tick
-DISCONNECT_CHECK_AFTER_S = 0.05  # of waiting unread, after which a client is checked for a disconnect
-REQUIRED_AGE_MIN_S = 1e-6  # of a session's last write; 0 would mean that there was none
-BLANK = b" \t\r\n;"
+ANSWER_MARGIN_S = 0.015  # before the client's deadline the response is decided; more than a timer tick
+DISCONNECT_CHECK_AFTER_S = 0.05  # a statement read later than this is checked for a disconnect
+REQUIRED_AGE_MIN_S = 1e-6  # minimum age of a session's last write; 0 means that there was none
+EMPTY_STATEMENT_CHARS = b" \t\r\n;"
 SQLSTATE_REJECTED = "53300"  # too_many_connections: nothing ran, the client may retry
 SQLSTATE_FAILED = "58000"  # system_error: the statement may have run
 SQLSTATE_DUPLICATE_ID = "42710"  # duplicate_object
-SESSION_FRESHNESS = (Freshness.WRITE, Freshness.SESSION)  # whose requests name their session
+SESSION_FRESHNESS = (Freshness.WRITE, Freshness.SESSION)  # classes whose requests name their session
 
 
 class StatementHandler:
-    """Executes the statements of all connections of one listener."""
+    """Executes the statements of the connections of one listener."""
 
     __slots__ = ("_listener",)
 
     def __init__(self, listener: ClientListener) -> None:
-        """Execute the statements of this listener's connections."""
+        """Bind the handler to its listener."""
         self._listener = listener
 
     def execute(self, connection: ClientConnection, text: bytes) -> None:
-        """Execute one statement; what is not served is answered with an error and reaches no endpoint."""
-        if not text or not text.strip(BLANK):
+        """Execute one statement; an unsupported one gets an error response and reaches no endpoint."""
+        if not text or not text.strip(EMPTY_STATEMENT_CHARS):
             connection.transport.write(codec.EMPTY)
             connection.finish_statement()
             return
@@ -56,7 +56,7 @@
         self._submit(connection, statement)
 
     def _is_id_free(self, request_id: bytes) -> bool:
-        """Whether no request of this id is open; that of a client gone before any attempt is given up."""
+        """Return whether the id is free; abandon a request with it whose client left before any attempt."""
         owner = self._listener.open_request_ids.get(request_id)
         if owner is None:
             return True
@@ -72,8 +72,8 @@
     def _submit(self, connection: ClientConnection, statement: Statement) -> None:
         listener = self._listener
         now = listener.clock.now()
-        arrived = min(now, connection.message_since) if connection.message_since else now
-        if self._has_left(connection, now - arrived):
+        arrived = min(now, connection.message_started_at) if connection.message_started_at else now
+        if self._has_disconnected(connection, now - arrived):
             listener.disconnects_found_late += 1
             connection.abandon()
             return
@@ -91,8 +91,8 @@
             connection.request = pending
 
     @staticmethod
-    def _has_left(connection: ClientConnection, waited: float) -> bool:
-        """Whether the client of a statement read late has left; asking costs a system call."""
+    def _has_disconnected(connection: ClientConnection, waited: float) -> bool:
+        """Return whether the client of a late statement has disconnected; the check costs a system call."""
         if waited <= DISCONNECT_CHECK_AFTER_S and not connection.reads_paused:
             return False
         return socket_state.peer_has_closed(connection.transport)
@@ -100,7 +100,7 @@
     def _client_request(
         self, connection: ClientConnection, statement: Statement, now: float, arrived: float
     ) -> ClientRequest:
-        """Return the engine's request; sets the statement's deadline."""
+        """Return the engine request for a statement and set the statement's deadline."""
         listener = self._listener
         freshness = statement.cls.freshness
         time_left = min(statement.time_left, listener.answer_by - arrived)
--- a/sedgepitch/protocols/postgresql/statements.py
+++ b/sedgepitch/protocols/postgresql/statements.py
@@ -1,17 +1,17 @@
-"""The two statements that are served and the comment that they carry, matched as a whole and strictly.
+"""Parses the two supported statements and the comment that they carry, matching the whole text strictly.
 
-What does not match here never goes to an endpoint. Of what is forwarded, only `d`, the time left, is changed.
+A statement that does not match is never sent to an endpoint. Forwarding rewrites only `d`, the time left.
 
 ========  ==========================================================================================
-comment   means
+field     meaning
 ========  ==========================================================================================
-id        the request's id, unique among the open ones
-c         its class
+id        id of the request, unique among open requests
+c         request class
 d         time left in ms
-k         idempotency key, for keyed classes and no other
-r         0 or 1: whether this is a retry
-cluster   number of its replica group, 0 where it is not given
-after     the session's last commit in Unix ms, which a read of a session class must see
+k         idempotency key; required for keyed classes, not allowed for others
+r         0 or 1: whether the request is a retry
+cluster   number of the replica group, 0 if not given
+after     last commit of the session in Unix ms, which a read of a session class must see
 ========  ==========================================================================================
 """
 
@@ -25,7 +25,7 @@
 from sedgepitch.protocols.postgresql.codec import MS_PER_S
 from sedgepitch.routing.messages import Freshness, Idempotency, RequestClass
 
-TIME_LEFT_MAX_MS = 3_600_000.0  # more is a client's mistake
+TIME_LEFT_MAX_MS = 3_600_000.0  # larger values are rejected as client errors
 GROUP_MAX = 2**31
 SQLSTATE_SYNTAX_ERROR = "42601"
 SQLSTATE_UNDEFINED_OBJECT = "42704"
@@ -43,36 +43,36 @@
 
 
 class StatementError(ClientError, ValueError):
-    """A statement that is not served; the text says why, `code` is its SQLSTATE."""
+    """The statement is not supported; the text gives the reason, `code` the SQLSTATE."""
 
     def __init__(self, why: str, code: str = SQLSTATE_SYNTAX_ERROR) -> None:
-        """State why, with the SQLSTATE that the client gets."""
+        """Store the reason and the SQLSTATE for the client."""
         super().__init__(why)
         self.code = code
 
 
-@dataclass(slots=True, eq=False)  # made for each request
+@dataclass(slots=True, eq=False)  # one per request: kept small
 class Statement:
-    """One request. `head` and `tail` stand around the digits of `d`."""
+    """One parsed statement. `head` and `tail` are the text before and after the digits of `d`."""
 
     id: bytes
     cls: RequestClass
     writes: bool
     time_left: float  # s
-    session: str  # the row's key, by which a session's requests are kept together
+    session: str  # key of the row; identifies the session of the request
     group: int
-    after: int  # Unix ms, 0 where the session has written nothing
+    after: int  # Unix ms, 0 if the session has not written anything
     head: bytes
     tail: bytes
-    deadline: float = 0.0  # by the clock, in s; set when the statement is taken up
+    deadline: float = 0.0  # time of the clock in s; set when the request is submitted
 
     def text(self, now: float) -> bytes:
-        """Return the statement as an endpoint gets it, `d` being the time left at `now`."""
+        """Return the text to send to an endpoint, with `d` set to the time left at `now` (1 ms at least)."""
         return b"%b%d%b" % (self.head, max(1, round((self.deadline - now) * MS_PER_S)), self.tail)
 
 
 def read(statement: bytes, classes: Mapping[str, RequestClass]) -> Statement:
-    """Read one statement; raises StatementError."""
+    """Parse one statement; raises StatementError."""
     match = _STATEMENT.fullmatch(statement)
     if match is None:
         raise StatementError("neither of the two statements that are served here")
@@ -136,9 +136,9 @@
 
 
 def _time_left_at(statement: bytes, time_left: bytes, comment_start: int) -> int:
-    """Return where the digits of `d` begin."""
+    """Return the offset of the digits of `d`."""
     field = b"d=" + time_left
     at = statement.index(field, comment_start)
-    while statement[at - 1] not in b" ,":  # the end of another name, as in `id=`
+    while statement[at - 1] not in b" ,":  # matched the end of another name, such as `id=`
         at = statement.index(field, at + 1)
     return at + len(b"d=")
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream side of the PostgreSQL protocol: the endpoints' connection pools and health checks."""
+"""Upstream side of the PostgreSQL protocol: connection pools and health checks of the endpoints."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from sedgepitch.settings import translate_load_report
 
 IDLE_CHECK_INTERVAL_S = 1.0
-CONNECT_GRACE_S = 1.0  # added to the pool's own bound, so that the pool gives up first
+CONNECT_GRACE_S = 1.0  # added to the connect timeout of the pool, so that the pool times out first
 
 
 @dataclass(slots=True)
 class EndpointPool:
-    """One endpoint: its address and its connections."""
+    """The address and the connection pool of one endpoint."""
 
     id: int
     address: tuple[str, int]
     pool: ConnectionPool
-    gone_since: float = NEVER  # when the endpoint left the list
+    gone_since: float = NEVER  # when the endpoint was removed from the endpoint list
 
 
 class PostgresUpstream:
-    """All endpoints: the engine's `Upstream` for this protocol.
+    """The engine's `Upstream` for the PostgreSQL protocol, with the pools of all endpoints.
 
-    `unix_offset` is Unix time minus the clock's time, in seconds; positions are converted by it here alone.
+    `unix_offset` is Unix time minus the clock's time, in seconds; positions are converted only here.
     `health_check_timeout` is in seconds.
     """
 
@@ -54,7 +54,7 @@
         health_check_timeout: float,
         names: SessionNames | None = None,
     ) -> None:
-        """Begin without endpoints; `update_endpoints` makes their pools."""
+        """Start without endpoints; `update_endpoints` creates their pools."""
         self.reactor = reactor
         self.clock = clock
         self.limits = limits
@@ -66,16 +66,16 @@
         self.pools: dict[int, EndpointPool] = {}
         self.on_bytes_arrived: Callable[[float], None] = ignore
         self.on_forgotten: Callable[[int], None] = ignore
-        self.trace: Callable[[int], Callable[..., None]] | None = None  # gives a connection's own trace
+        self.trace: Callable[[int], Callable[..., None]] | None = None  # returns a connection's trace
         self.log_event: Callable[..., None] = ignore
         self.malformed_responses = 0
         self.unreadable_load_reports = 0
         self.clock.call_later(IDLE_CHECK_INTERVAL_S, self._close_unused)
 
-    # The engine's side
+    # Interface for the engine
 
     def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:
-        """Take the endpoint list: new endpoints, new addresses, and those that are gone."""
+        """Apply an endpoint list: create pools, change addresses and mark removed endpoints."""
         now = self.clock.now()
         for entry in entries:
             address = self.addresses.get(entry.endpoint)
@@ -99,14 +99,14 @@
             endpoint_pool.pool = self._make_pool(endpoint, address)
 
     def send(self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float) -> AttemptHandle:
-        """Send a statement; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
+        """Send a statement; the attempt ends as not sent if `send_by` (time of the clock) passes first."""
         pool = self.pools[endpoint].pool
         if self._descriptors_short():
             self.close_longest_idle()
         return pool.send(payload, on_end, send_by)
 
     def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
-        """Ask an endpoint for its load report."""
+        """Request the load report of an endpoint."""
         endpoint_pool = self.pools.get(endpoint)
         if endpoint_pool is None:
             self.clock.soon(on_end, AttemptOutcome(AttemptResult.NOT_SENT, why="not listed any more"))
@@ -114,7 +114,7 @@
             endpoint_pool.pool.send_with_timeout(HealthCheckQuery(), on_end, self.health_check_timeout)
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the connections to an endpoint that are not in use."""
+        """Close the idle connections to an endpoint."""
         endpoint_pool = self.pools.get(endpoint)
         if endpoint_pool is not None:
             endpoint_pool.pool.close_idle()
@@ -130,9 +130,9 @@
         return bool(getattr(self.descriptors, "endpoints_nearly_exhausted", False))
 
     def close_longest_idle(self) -> bool:
-        """Free a descriptor: close the connection that has been idle longest, of whatever endpoint.
+        """Free a descriptor by closing the longest idle connection among all endpoints.
 
-        Returns False where none is idle.
+        Returns False if no connection is idle.
         """
         idle = [endpoint_pool for endpoint_pool in self.pools.values() if endpoint_pool.pool.idle]
         if not idle:
@@ -142,7 +142,7 @@
         return True
 
     def _close_unused(self) -> None:
-        """Close connections idle for too long, and forget endpoints that are gone and have none left."""
+        """Close expired idle connections; remove endpoints that left the list and have no connections."""
         now = self.clock.now()
         for endpoint_pool in list(self.pools.values()):
             endpoint_pool.pool.close_expired()
@@ -173,23 +173,23 @@
     def _open_connection(
         self, endpoint: int, address: tuple[str, int], callbacks: ConnectionCallbacks
     ) -> Callable[[], None]:
-        """Begin to connect; what is returned gives it up."""
+        """Start to connect; return a function that cancels it."""
         connection = EndpointConnection(self.names, self.clock.now, callbacks)
         if self.trace is not None:
             connection.trace = self.trace(endpoint)
         opening = OutgoingConnection(lambda: connection, callbacks.failed, self.limits.connect_timeout)
         opening.open(self.reactor, address, self.limits.connect_timeout + CONNECT_GRACE_S)
 
-        def give_up() -> None:
+        def cancel() -> None:
             if connection.transport is None:
                 opening.cancel()
-            else:  # connected, but its start-up is not complete and must not count any more
+            else:  # connected, but start-up is incomplete: close, so that it is not reported as ready
                 connection.close()
 
-        return give_up
+        return cancel
 
     def outcome(self, endpoint: int, payload: Payload, reply: Reply) -> AttemptOutcome:
-        """Return the outcome of an attempt, with the endpoint's load report where the reply has one."""
+        """Return the outcome of an attempt, with the load report of the endpoint if the reply has one."""
         if reply.malformed:
             self.malformed_responses += 1
             self.log_event("endpoint.malformed_response", endpoint=endpoint, reason=reply.malformed)
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -13,8 +13,8 @@
 from tests.support.postgresql_harness import PostgresqlProxy, read
 
 
-def report(reason: CloseReason, request: str = "", read_bytes: int = 0) -> CloseReport:
-    return CloseReport(1, reason, "", request, 0, read_bytes, 1.0)
+def report(reason: CloseReason, request: str = "", unexecuted_bytes: int = 0) -> CloseReport:
+    return CloseReport(1, reason, "", request, 0, unexecuted_bytes, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -24,10 +24,10 @@
         (report(CloseReason.PEER_RESET, request="1"), False),
         (report(CloseReason.SHUTDOWN), False),
         (report(CloseReason.SHUTDOWN, request="1"), True),
-        (report(CloseReason.REST_LIMIT, read_bytes=3), True),
+        (report(CloseReason.IDLE_LIMIT, unexecuted_bytes=3), True),
         (report(CloseReason.EVICTED), True),
         (report(CloseReason.CONNECTION_FAILED), True),
-        (report(CloseReason.FAULT), True),
+        (report(CloseReason.INTERNAL_ERROR), True),
     ],
 )
 def test_only_unusual_closes_are_reported_and_all_are_counted(closed, reported):
@@ -47,7 +47,7 @@
         (ReadFailed(errno.ECONNRESET), CloseReason.PEER_RESET),
         (ReadFailed(errno.ENOMEM), CloseReason.CONNECTION_FAILED),
         (SocketFailed(errno.ETIMEDOUT), CloseReason.CONNECTION_FAILED),
-        (ValueError("a fault"), CloseReason.FAULT),
+        (ValueError("a fault"), CloseReason.INTERNAL_ERROR),
     ],
 )
 def test_a_connection_that_ends_is_reported_with_its_request_and_its_cause(problem, reason):
--- a/tests/test_postgresql_codec.py
+++ b/tests/test_postgresql_codec.py
@@ -101,8 +101,8 @@
     two = codec.message(b"D", b"\0\2" + 2 * (struct.pack("!i", 1) + b"x"))
     lying = codec.message(b"D", b"\0\1" + struct.pack("!i", 3_000_000_000 - 2**32) + b"x")
     assert codec.one_value(two) is codec.one_value(lying) is None
-    assert codec.columns(codec.row_description()) == 1
-    assert codec.columns(codec.message(b"T", b"\0\1payload")) == -1
+    assert codec.column_count(codec.row_description()) == 1
+    assert codec.column_count(codec.message(b"T", b"\0\1payload")) == -1
 
 
 def test_the_two_statements_are_read():
