--- a/sedgepitch/node/__init__.py
+++ b/sedgepitch/node/__init__.py
@@ -1,1 +1,1 @@
-"""The program that runs on the platform: `python -m sedgepitch.node`. Few imports: memory is limited."""
+"""The proxy program for the platform, `python -m sedgepitch.node`; imports are few to save memory."""
--- a/sedgepitch/node/__main__.py
+++ b/sedgepitch/node/__main__.py
@@ -1,6 +1,6 @@
-"""Runs one proxy instance in the foreground, as the platform starts it.
+"""Runs one proxy instance in the foreground; the platform starts this module.
 
-Exit codes: 0 after a shutdown, 1 if the port cannot be bound, 2 if the configuration cannot be used.
+Exit codes: 0 after a shutdown, 1 if the port cannot be bound, 2 if the configuration is invalid.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from sedgepitch.node.signals import SignalQueue
 
-SIGNALS = SignalQueue() if __name__ == "__main__" else None  # before what takes long to load
+SIGNALS = SignalQueue() if __name__ == "__main__" else None  # before the slow imports below
 
 import contextlib  # noqa: E402
 import gc  # noqa: E402
@@ -24,12 +24,12 @@
 EXIT_OK = 0
 EXIT_CANNOT_LISTEN = 1
 EXIT_BAD_CONFIG = 2
-# What lives at the start is frozen, so a full collection has little to look through.
+# Objects that exist after start-up are frozen, so a full collection has few objects to examine.
 GC_THRESHOLDS = (5_000, 10, 5)
 
 
 def install_reactor() -> Reactor:
-    """Install the asyncio reactor, on uvloop if that is there, and return it."""
+    """Install the asyncio reactor, on uvloop if available, and return it."""
     import asyncio
 
     from twisted.internet import asyncioreactor
@@ -49,7 +49,7 @@
 
 
 def main(signals: SignalQueue) -> int:
-    """Serve until SIGTERM or SIGINT; return the exit code."""
+    """Run until SIGTERM or SIGINT; return the exit code."""
     environment = dict(os.environ)
     tracing = bool(environment.get(TRACE_VARIABLE))
     log = StructuredLog(environment.get("RELAY_NAME", "driver"), tracing=tracing)
@@ -86,13 +86,13 @@
     return exit_code
 
 
-def leave(exit_code: int) -> NoReturn:
-    """End the process at once: on a busy machine the interpreter's teardown may outlast the kill."""
-    with contextlib.suppress(OSError, ValueError):  # nobody may be reading any more
+def exit_now(exit_code: int) -> NoReturn:
+    """Exit without interpreter teardown, which on a busy machine may last until the platform kills it."""
+    with contextlib.suppress(OSError, ValueError):  # the reader of standard error may have gone
         sys.stderr.flush()
     os._exit(exit_code)
 
 
 if __name__ == "__main__":
     assert SIGNALS is not None
-    leave(main(SIGNALS))
+    exit_now(main(SIGNALS))
--- a/sedgepitch/node/accept_failure_log.py
+++ b/sedgepitch/node/accept_failure_log.py
@@ -1,4 +1,4 @@
-"""Logs failed accepts: each is counted, and one line is written per interval."""
+"""Counts failed accepts and logs at most one line per interval."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class AcceptFailureLog:
-    """Counts and logs failed accepts, and accepted connections that could not be set up at once."""
+    """Counts and logs failed accepts and accepted connections whose setup failed at first."""
 
     def __init__(self, clock: Clock, log_event: Callable[..., None]) -> None:
         self._clock = clock
         self._log_event = log_event
         self._logged_at = -math.inf
-        self.count = 0  # since the start
+        self.count = 0  # since the process started
 
     def report(self, problem: AcceptProblem) -> None:
         """Count a problem, and log it unless one was logged within LOG_INTERVAL_S."""
--- a/sedgepitch/node/config.py
+++ b/sedgepitch/node/config.py
@@ -15,19 +15,19 @@
 from sedgepitch.settings import InvalidInputError, read_number, translate_settings
 
 MAX_FILE_CHARS = 16 * 1024 * 1024
-# Used if the settings state none, or 0.
+# Defaults for settings that are missing or 0.
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 DEFAULT_IDLE_CLOSE_S = 60.0
 SEED_BASE = 16
 
 
 class NodeConfigError(ConfigurationError):
-    """The configuration cannot be used; the message names the place."""
+    """The configuration is invalid; the message names the position in it."""
 
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """One configuration. A limit of 0 means that none is stated."""
+    """One configuration. A limit of 0 means that none is configured."""
 
     name: str
     listen: Address
@@ -36,14 +36,14 @@
     cores: float
     memory: float  # MB
     sockets: int
-    cached_list: ListVersion | None  # the endpoint list as this instance last had it; may be out of date
+    cached_list: ListVersion | None  # the last endpoint list of this instance; may be outdated
     settings: messages.Settings
     connect_within: float  # s
     idle_for: float  # s after which endpoints close idle connections
 
 
 def parse(text: str, environment: Mapping[str, str], unix_offset: float) -> NodeConfig:
-    """Parse a configuration; environment variables stand in for what the file lacks.
+    """Parse a configuration; environment variables replace missing keys.
 
     `unix_offset` is Unix time minus the monotonic clock, in seconds. Raises NodeConfigError.
     """
@@ -81,7 +81,7 @@
 
 
 def load(environment: Mapping[str, str], unix_offset: float) -> NodeConfig:
-    """Read the file that RELAY_CONFIG names. Raises NodeConfigError; see `parse` for the parameters."""
+    """Load the file named by RELAY_CONFIG. Raises NodeConfigError; see `parse` for the parameters."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise NodeConfigError("RELAY_CONFIG: missing")
--- a/sedgepitch/node/endpoint_snapshot.py
+++ b/sedgepitch/node/endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""What the router holds of each endpoint, beside what the connection pool shows of it, for the log."""
+"""Log snapshot of each endpoint: the state held by the router and the connection pool."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointSnapshot:
-    """The state of one endpoint at one moment."""
+    """State of one endpoint at one time."""
 
     name: str
     state: str  # in the endpoint list
     primary: bool
-    ejection: str  # why it gets no traffic, or "healthy"
-    in_flight: int  # attempts, as the router counts them
+    ejection: str  # reason for the ejection, or "healthy"
+    in_flight: int  # attempts, as counted by the router
     connections: int  # in the pool
-    idle_connections: int  # of these
+    idle_connections: int  # part of `connections`
     connection_failures: int  # consecutive
-    ejected_for_s: float  # from now
+    ejected_for_s: float  # remaining time
     concurrency_limit: float
     latency_ratio: float  # mean latency over the objective
     reported_load: float
     position_age_s: float
 
     def __str__(self) -> str:
-        """Return the fields as one word, for a log line."""
+        """Return the fields as one word without spaces, for a log line."""
         return (
             f"{self.name}:{self.state}/{'primary' if self.primary else 'replica'}/{self.ejection}"
             f"/in_flight={self.in_flight}/connections={self.connections}/idle={self.idle_connections}"
@@ -43,13 +43,13 @@
 def snapshot_endpoints(
     router: Router, versions: EndpointListVersions, upstream: PostgresUpstream, now: float
 ) -> list[EndpointSnapshot]:
-    """Return the listed endpoints as they stand at `now` (monotonic seconds)."""
-    found = []
+    """Return snapshots of the endpoints in the endpoint list at `now` (monotonic seconds)."""
+    snapshots = []
     for endpoint in router.endpoints.values():
         if endpoint.id not in versions.present:
             continue
         endpoint_pool = upstream.pools.get(endpoint.id)
-        found.append(
+        snapshots.append(
             EndpointSnapshot(
                 name=versions.names.get(endpoint.id, str(endpoint.id)),
                 state=endpoint.state.value,
@@ -66,4 +66,4 @@
                 position_age_s=min(MAX_LAG_SHOWN_S, now - endpoint.position),
             )
         )
-    return found
+    return snapshots
--- a/sedgepitch/node/graceful_shutdown.py
+++ b/sedgepitch/node/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Carries out a graceful shutdown by its schedule: see decisions/connections/shutdown_schedule.py."""
+"""Executes a graceful shutdown according to decisions/connections/shutdown_schedule.py."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GracefulShutdown:
-    """One shutdown. `port` is the open listener, if there is one; `on_drained` is called once at the end."""
+    """One shutdown. `port` is the open listener, if any; `on_drained` is called once, at the end."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._on_drained = on_drained
 
     def begin(self) -> None:
-        """Cut all deadlines to the schedule, and follow it from now on."""
+        """Limit all deadlines to the schedule and start the periodic check."""
         self._clients.begin_shutdown(self._schedule)
         self._engine.answer_all_by(self._schedule.drain_deadline)
         self._check()
@@ -55,7 +55,7 @@
             self._clock.call_later(CHECK_INTERVAL_S, self._check)
 
     def _close_port(self, now: float) -> None:
-        """Accept the backlog and close the port; a shortage defers that until other connections close."""
+        """Accept the backlog and close the port; retried on a shortage of descriptors or memory."""
         if self._port is None:
             return
         if self._port.accept_all() or now >= self._schedule.close_idle_from:
--- a/sedgepitch/node/port_binding.py
+++ b/sedgepitch/node/port_binding.py
@@ -1,8 +1,8 @@
-"""Binds the port for clients, and retries for a while if the system refuses it.
+"""Binds the client port, retrying for BIND_TIMEOUT_S if binding fails.
 
-A port may be refused at start for reasons that pass: the previous process of this name has not exited yet
-(EADDRINUSE), its address is not up (EADDRNOTAVAIL), descriptors or memory are short. Exiting at the first
-refusal would turn a passing shortage into a proxy that did not start.
+Binding may fail at start for transient reasons: the previous process of this name has not exited yet
+(EADDRINUSE), its address is not up (EADDRNOTAVAIL), or descriptors or memory are short. Exiting at the first
+failure would turn a transient shortage into a proxy that does not start.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sedgepitch.net.shortage import LOCAL_SHORTAGE
 
 RETRY_INTERVAL_S = 0.1
-BIND_TIMEOUT_S = 10.0  # the platform counts a start as failed after 30 s
+BIND_TIMEOUT_S = 10.0  # the platform treats a start as failed after 30 s
 RETRYABLE = LOCAL_SHORTAGE | {errno.EADDRINUSE, errno.ENETDOWN}
 
 
@@ -42,7 +42,7 @@
         self._timer: Any = None
 
     def attempt(self) -> None:
-        """Try to bind the port; the next attempt follows by itself."""
+        """Try to bind the port; schedules the next attempt after a retryable failure."""
         self._timer = None
         try:
             port = self._open_port()
@@ -52,7 +52,7 @@
             self._on_bound(port)
 
     def cancel(self) -> None:
-        """Make no further attempt."""
+        """Cancel further attempts."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy instance on the platform: client side, engine, router, endpoints and discovery, put together."""
+"""Assembles one proxy instance: client side, engine, router, upstream and discovery."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 from sedgepitch.routing.router import Router
 from sedgepitch.tracebacks import describe, innermost_place
 
-HANDOVER_LIMIT_S = 0.04  # from a decision that ages to its send; the rules on sockets allow 50 ms
+HANDOVER_LIMIT_S = 0.04  # from a time-sensitive decision to its send; the platform's socket rules allow 50 ms
 IDLE_CLOSE_SHARE = 0.8  # of the time after which endpoints close idle connections
 LISTEN_BACKLOG = 512
 ACCEPTS_PER_TURN = 16
 STATISTICS_INTERVAL_S = 5.0
 MS_PER_S = 1000.0
-TRACE_STATISTICS_INTERVAL_S = 0.5  # while the trace is switched on
-# Fields of NodeConfig that a reload does not change; the log names them.
+TRACE_STATISTICS_INTERVAL_S = 0.5  # while tracing is on
+# Fields of NodeConfig that a reload ignores; changes to them are logged.
 FIXED_FIELDS = ("name", "listen", "cores", "memory", "sockets", "settings", "connect_within", "idle_for")
 
 
 class Proxy:
     """One proxy instance on a reactor.
 
-    `unix_offset` is Unix time minus the monotonic clock, in seconds, fixed once.
+    `unix_offset` is Unix time minus the monotonic clock, in seconds, measured once at start.
     """
 
     def __init__(self, reactor: Reactor, config: NodeConfig, log: StructuredLog, unix_offset: float) -> None:
@@ -79,7 +79,7 @@
         self.accept_failures = AcceptFailureLog(self.clock, log.log_event)
         self.port: Listener | None = None
         self.port_binding: PortBinding | None = None
-        self._discovery_problem = ""  # the last one logged
+        self._discovery_problem = ""  # last reason logged, to log a repeated one only once
 
     def _make_upstream(self, unix_offset: float) -> PostgresUpstream:
         limits = PoolLimits(
@@ -111,7 +111,7 @@
         return TracedRouter(self.config.settings, self.config.seed, trace)
 
     def start(self, on_bind_failed: Callable[[], None]) -> None:
-        """Use the cached endpoint list, follow discovery, and bind the port.
+        """Apply the cached endpoint list, start discovery and bind the port.
 
         `on_bind_failed` is called if the port cannot be bound.
         """
@@ -169,7 +169,7 @@
             self.engine.feed(messages.EndpointListFailed())
 
     def _watch_requested(self) -> None:
-        """The router requests changes of the list; here they are followed all the time."""
+        """Ignore the router's request for a watch: `DiscoveryClient` keeps one open permanently."""
 
     def _endpoint_forgotten(self, endpoint: int) -> None:
         self.engine.draining_since.pop(endpoint, None)
@@ -178,7 +178,7 @@
     # Reload and shutdown
 
     def reload(self, config: NodeConfig) -> None:
-        """Follow discovery at its new address, from the revision held; log what else would need a restart."""
+        """Switch discovery to its new address; log the changed fields that need a restart."""
         current = self.config
         ignored = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(current, name)]
         self.config = dataclasses.replace(current, discovery=config.discovery)
@@ -189,9 +189,10 @@
             self.log.log_event("reload.ignored", fields=",".join(ignored), reason="they take a restart")
 
     def stop(self, on_stopped: Callable[[], None]) -> None:
-        """Shut down gracefully; `on_stopped` is called once no request is pending.
+        """Shut down gracefully; `on_stopped` is called once the schedule allows the process to exit.
 
-        The platform counts from when it sent the signal, which may have been at any time of a suspension.
+        The platform's kill timeout starts when it sends the signal, which may be at any time while the process
+        is suspended. The schedule therefore counts from the start of a suspension.
         """
         longest_deadline = max(c.deadline for c in self.config.settings.classes)
         now = self.clock.now()
@@ -227,9 +228,9 @@
             self.engine.record_wait(now - arrived_at, now)
 
     def _free_descriptor(self, lasting: bool) -> None:
-        """Close an idle connection for a client in the backlog, an endpoint's before a client's.
+        """Free a descriptor for the backlog by closing an idle connection, one to an endpoint if there is one.
 
-        A client's is closed only if the shortage has duration: its next request may be on its way.
+        A client connection is closed only if the shortage is `lasting`: its next request may be in transit.
         """
         if not self.upstream.close_longest_idle() and lasting:
             self.clients.free_descriptor()
@@ -237,7 +238,7 @@
     # Log
 
     def statistics(self) -> RuntimeStatistics:
-        """Return the runtime statistics as they stand."""
+        """Return the current runtime statistics."""
         return collect_statistics(
             self.engine, self.clients, self.upstream, self.descriptors, self.clock.now()
         )
--- a/sedgepitch/node/runtime_statistics.py
+++ b/sedgepitch/node/runtime_statistics.py
@@ -1,4 +1,4 @@
-"""Runtime statistics of one proxy instance, as its log shows them every few seconds."""
+"""Runtime statistics of one proxy instance, logged every few seconds."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 @dataclass(slots=True, frozen=True)
 class RuntimeStatistics:
-    """Counts are since the start, unless they are of what is open now."""
+    """Counts since the process started, except for current values, marked `now`."""
 
     requests_completed: int
     requests_pending: int  # now
     requests_tracked: int  # now: pending, or answered with attempts still in flight
     client_connections: int  # now
     connections_accepted: int
-    idle: int  # client connections now, as are the next two
+    idle: int  # now: client connections by state, as are the next two
     awaiting_first_byte: int
     receiving: int
     endpoint_connections: int  # now
-    descriptors_refused: int  # endpoint connections that the descriptor budget did not grant
-    protocol_errors: int  # messages and statements of clients that could not be read
-    timed_out: int  # client connections, as is the next one
+    descriptors_refused: int  # endpoint connections refused by the descriptor budget
+    protocol_errors: int  # malformed messages and unsupported statements of clients
+    timed_out: int  # client connections closed, as is the next one
     evicted: int
-    malformed_responses: int  # of endpoints
+    malformed_responses: int  # from endpoints
     unreadable_load_reports: int
-    deadline_margin_ms: float  # now: how much earlier deadlines are taken for the event loop's lag
+    deadline_margin_ms: float  # now: how much deadlines are brought forward for event loop lag
     max_lag_ms: float
-    rejected_for_load: int  # of this process
+    rejected_for_load: int  # by this process
     rejected_for_lag: int
-    answered_early: int  # when the event loop became late
-    overdue: int  # answered by the last guard; above 0 is a defect
-    callback_errors: int  # above 0 is a defect
-    cpu_s: float  # processor time of the process
+    answered_early: int  # because of event loop lag
+    overdue: int  # answered by the engine's last guard; above 0 indicates a defect
+    callback_errors: int  # above 0 indicates a defect
+    cpu_s: float  # CPU time of the process
 
     def log_fields(self) -> dict[str, object]:
-        """Return the fields for a log event, in order."""
+        """Return the fields for a log event, in order of declaration."""
         return asdict(self)
 
 
@@ -53,7 +53,7 @@
     descriptors: DescriptorBudget,
     now: float,
 ) -> RuntimeStatistics:
-    """Read the statistics as they stand at `now` (monotonic seconds)."""
+    """Collect the statistics at `now` (monotonic seconds)."""
     requests = engine.request_table
     connections = clients.activity
     lag = engine.event_loop_lag
--- a/sedgepitch/node/signal_actions.py
+++ b/sedgepitch/node/signal_actions.py
@@ -1,4 +1,4 @@
-"""What the platform's program does on a signal: reload the configuration, or shut down."""
+"""Actions of the program on signals: reload the configuration or shut down."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from sedgepitch.node.config import NodeConfig, NodeConfigError
 from sedgepitch.node.proxy import Proxy
 
-RELOAD_RETRY_S = 0.1  # a file that is being written is read again
+RELOAD_RETRY_S = 0.1  # an invalid file may still be being written
 MAX_RELOAD_ATTEMPTS = 20
 
 
 class SignalActions:
-    """Acts on signals in the reactor's thread. `read_config` raises NodeConfigError."""
+    """Handles signals in the reactor thread. `read_config` raises NodeConfigError."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._reload_number = 0
 
     def handle(self, number: int) -> None:
-        """SIGHUP reloads the configuration, any other signal shuts down; a second one changes nothing."""
+        """Reload on SIGHUP; shut down on any other signal, ignoring repeated ones."""
         if number == signal.SIGHUP:
             self._reload_number += 1
             self._reload(self._reload_number, attempt=1)
@@ -40,9 +40,9 @@
             self._proxy.stop(self._reactor.stop)
 
     def _reload(self, reload_number: int, attempt: int) -> None:
-        """Read the file; one that cannot be used is read again a little later."""
+        """Reload the configuration file, retrying after RELOAD_RETRY_S while it is invalid."""
         if reload_number != self._reload_number:
-            return  # a later SIGHUP has taken over
+            return  # superseded by a later SIGHUP
         try:
             self._proxy.reload(self._read_config())
         except NodeConfigError as error:
--- a/sedgepitch/node/signals.py
+++ b/sedgepitch/node/signals.py
@@ -1,7 +1,7 @@
-"""Handles signals from the first line of the program on: queued until somebody can act on them.
+"""Installs signal handlers as the first step of the program and queues signals until a receiver is set.
 
-Imported before anything heavy. A signal that arrives while the program is loading, or between the reactor's
-last turn and the exit, has its default effect otherwise, and for SIGHUP that ends the process.
+Imported before the slow modules. Otherwise a signal that arrives during loading, or between the last turn of
+the reactor and the exit, would have its default effect, and that of SIGHUP is to end the process.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class SignalQueue:
-    """The signals received, in order. The receiver runs in the signal handler: it may only pass them on."""
+    """Received signals, in order. The receiver is called in the signal handler and may only forward them."""
 
     def __init__(self) -> None:
         self._queued: list[int] = []
@@ -30,7 +30,7 @@
             self._receiver(number)
 
     def deliver_to(self, receiver: Callable[[int], object]) -> None:
-        """Deliver what is queued, and from now on each signal at once."""
+        """Deliver the queued signals, and each later signal immediately."""
         self._receiver = receiver
         queued, self._queued = self._queued, []
         for number in queued:
@@ -38,10 +38,10 @@
 
     @property
     def shutdown_requested(self) -> bool:
-        """Whether a queued signal requests the shutdown."""
+        """Return whether a queued signal requests a shutdown."""
         return any(number in SHUTDOWN for number in self._queued)
 
     def ignore_all(self) -> None:
-        """Ignore all further signals, also while the interpreter exits."""
+        """Ignore all further signals, including during the exit of the interpreter."""
         for number in HANDLED:
             signal.signal(number, signal.SIG_IGN)
--- a/sedgepitch/node/structured_log.py
+++ b/sedgepitch/node/structured_log.py
@@ -1,4 +1,4 @@
-"""The log of the platform's program: one event per line on standard error, with a limit per second."""
+"""The program's log: one event per line on standard error, with a limit of lines per second."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 MAX_LINES_PER_SECOND = 20
 NEVER_DROPPED = frozenset({"listening", "stopping", "stopped"})
-TRACE_VARIABLE = "SEDGEPITCH_TRACE"  # environment variable that switches the trace on
+TRACE_VARIABLE = "SEDGEPITCH_TRACE"  # environment variable that enables tracing
 
 
 class LineLimiter:
-    """Limits lines per second, and reports how many were dropped when the next second begins."""
+    """Limits lines per second; reports the number of dropped lines with the first line of a later second."""
 
     def __init__(self, name: str, sink: TextIO, max_lines_per_second: int) -> None:
         self.name = name
@@ -24,7 +24,7 @@
         self._dropped = 0
 
     def admit(self) -> bool:
-        """Count a line; return whether it may be written."""
+        """Count a line; return whether it is within the limit."""
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
@@ -40,7 +40,7 @@
 
 
 class StructuredLog:
-    """Writes events as `time name: event key=value ...`; `tracing` says whether the trace is switched on."""
+    """Writes events as `time name: event key=value ...`; `tracing` is whether tracing is enabled."""
 
     def __init__(self, name: str, sink: TextIO | None = None, tracing: bool = False) -> None:
         self.name = name
@@ -49,9 +49,9 @@
         self._limiter = LineLimiter(name, self.sink, MAX_LINES_PER_SECOND)
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Write one event; a sink that cannot be written to is ignored.
+        """Write one event; write errors are ignored.
 
-        Events of the process's own life are written however much is said in their second.
+        The events in NEVER_DROPPED, which mark start and stop of the process, are written despite the limit.
         """
         if not self._limiter.admit() and event not in NEVER_DROPPED:
             return
--- a/sedgepitch/node/trace.py
+++ b/sedgepitch/node/trace.py
@@ -1,6 +1,6 @@
-"""The trace: the router's events and actions and the life of each endpoint connection, as JSON lines.
+"""Trace of router events, router actions and endpoint connections, as JSON lines.
 
-Switched on by SEDGEPITCH_TRACE, for analysis; off in service. Limited to MAX_LINES_PER_SECOND.
+Enabled by SEDGEPITCH_TRACE for analysis; disabled in production. Limited to MAX_LINES_PER_SECOND.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def message_fields(message: object) -> dict[str, object]:
-    """Return the fields of a message of the router, as JSON can hold them."""
+    """Return the fields of a router event or action as JSON-serializable values."""
     assert dataclasses.is_dataclass(message)
     return {field.name: _to_json(getattr(message, field.name)) for field in dataclasses.fields(message)}
 
@@ -42,7 +42,7 @@
 
 
 class TraceWriter:
-    """Writes the lines of the trace."""
+    """Writes trace lines."""
 
     def __init__(self, name: str, sink: TextIO | None = None) -> None:
         self.name = name
@@ -51,7 +51,7 @@
         self._connections = 0
 
     def connection(self, endpoint: int) -> Callable[..., None]:
-        """Return a function that records what happens on one more connection to an endpoint."""
+        """Return a function that traces the events of a new connection to an endpoint."""
         self._connections += 1
         number = self._connections
 
@@ -64,7 +64,7 @@
         return record
 
     def write(self, kind: str, **fields: object) -> None:
-        """Write one line; a sink that cannot be written to is ignored."""
+        """Write one line; write errors are ignored."""
         if not self._limiter.admit():
             return
         line = {"trace": kind, "driver": self.name, "at": round(time.monotonic(), TIME_DIGITS), **fields}
@@ -73,14 +73,14 @@
 
 
 class TracedRouter(Router):
-    """The router with its events and actions recorded; timers are left out."""
+    """A router that traces its events and actions, except for timers."""
 
     def __init__(self, settings: messages.Settings, seed: int, trace: TraceWriter) -> None:
         super().__init__(settings, seed)
         self.trace = trace
 
     def handle(self, now: float, events: Iterable[messages.Event]) -> list[messages.Action]:
-        """Decide as the router does, and record both sides."""
+        """Handle the events like `Router`, and trace events and actions."""
         handled = list(events)
         for event in handled:
             if not isinstance(event, messages.TimerExpired):
--- a/sedgepitch/node/twisted_log.py
+++ b/sedgepitch/node/twisted_log.py
@@ -1,7 +1,7 @@
 """Forwards Twisted's own log events to the log of this process.
 
-Twisted reports what it handles itself (an exception in a transport callback, a failed `accept`) to its log
-publisher alone. Without an observer those events only fill a buffer.
+Twisted reports errors that it handles itself (an exception in a transport callback, a failed `accept`) to its
+log publisher only. Without an observer those events are buffered and never written.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from sedgepitch.tracebacks import innermost_place
 
 MAX_TEXT_CHARS = 300
-# Twisted reports failed accepts at level info, beside the start and stop of each factory and port.
+# Twisted reports failed accepts at level info, like the start and stop of each factory and port.
 ACCEPT_NAMESPACE = "twisted.internet.tcp"
 ACCEPT_MARKERS = ("accept", "EMFILE")
 
 
 def is_relevant(event: LogEvent) -> bool:
-    """Whether an event is a warning or worse, or reports a failed accept."""
+    """Return whether an event is at least a warning or reports a failed accept."""
     level = event.get("log_level")
     if level is not None and level >= LogLevel.warn:
         return True
@@ -36,13 +36,13 @@
 
 @implementer(ILogObserver)
 class TwistedLogForwarder:
-    """Logs each relevant event of Twisted's as one line of limited length."""
+    """Logs each relevant Twisted event as one line of limited length."""
 
     def __init__(self, log_event: Callable[..., None]) -> None:
         self._log_event = log_event
 
     def __call__(self, event: LogEvent) -> None:
-        """Observe one event."""
+        """Log one event if it is relevant."""
         if not is_relevant(event):
             return
         failure = event.get("log_failure")
@@ -60,6 +60,6 @@
 
 
 def forward_twisted_log(log_event: Callable[..., None]) -> None:
-    """Begin to forward Twisted's log events; to be called once in a process."""
+    """Start to forward Twisted's log events; call once per process."""
     observer: Any = TwistedLogForwarder(log_event)
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
