--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -191,8 +191,8 @@
     def stop(self, on_stopped: Callable[[], None]) -> None:
         """Shut down gracefully; `on_stopped` is called once the schedule allows the process to exit.
 
-        The platform's kill timeout starts when it sends the signal, which may be at any time while the process
-        is suspended. The schedule therefore counts from the start of a suspension.
+        The platform's kill timeout starts when it sends the signal, possibly while the process is suspended.
+        The schedule therefore counts from the last time the event loop ran before a suspension.
         """
         longest_deadline = max(c.deadline for c in self.config.settings.classes)
         now = self.clock.now()
@@ -228,9 +228,9 @@
             self.engine.record_wait(now - arrived_at, now)
 
     def _free_descriptor(self, lasting: bool) -> None:
-        """Free a descriptor for the backlog by closing an idle connection, one to an endpoint if there is one.
+        """Free a descriptor for the backlog by closing an idle connection, preferably one to an endpoint.
 
-        A client connection is closed only if the shortage is `lasting`: its next request may be in transit.
+        Client connections are closed only if the shortage is `lasting`: a request may be in transit.
         """
         if not self.upstream.close_longest_idle() and lasting:
             self.clients.free_descriptor()
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""Why client connections were closed: counted by reason, reported where an operator should see it."""
+"""Close reasons of client connections: all are counted, unusual ones are reported."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     ],
 )
 def test_only_unusual_closes_are_reported_and_all_are_counted(closed, reported):
-    found = []
-    log = CloseLog(found.append)
+    reports = []
+    log = CloseLog(reports.append)
     log.closed(closed)
-    assert found == ([closed] if reported else [])
+    assert reports == ([closed] if reported else [])
     assert log.counts == {closed.reason: 1} and log.with_request == bool(closed.request)
     assert log.summary() == f"{closed.reason.value}:1"
 
 
 @pytest.mark.parametrize(
-    ("problem", "reason"),
+    ("error", "reason"),
     [
         (ConnectionDone(), CloseReason.PEER_CLOSED),
         (ConnectionLost(), CloseReason.PEER_RESET),
@@ -50,14 +50,14 @@
         (ValueError("a fault"), CloseReason.INTERNAL_ERROR),
     ],
 )
-def test_a_connection_that_ends_is_reported_with_its_request_and_its_cause(problem, reason):
+def test_a_lost_connection_is_counted_by_cause_and_reported_with_its_request(error, reason):
     proxy = PostgresqlProxy()
-    found = []
-    proxy.listener.closes.report = found.append
+    reports = []
+    proxy.listener.closes.report = reports.append
     connection, _ = proxy.client()
     connection.dataReceived(read(1, d="60000"))
     proxy.turn()
-    connection.connectionLost(Failure(problem))
+    connection.connectionLost(Failure(error))
     assert proxy.listener.closes.counts == {reason: 1} and proxy.listener.closes.with_request == 1
-    for line in found:
-        assert line.request and line.attempts == 1 and str(problem) in line.detail
+    for entry in reports:
+        assert entry.request and entry.attempts == 1 and str(error) in entry.detail
--- a/tests/test_golden_protocols.py
+++ b/tests/test_golden_protocols.py
@@ -1,7 +1,7 @@
-"""Golden traffic of both protocols: the same seed gives the same bytes as when the digests were recorded.
+"""Golden traffic of both protocols: each seed produces the bytes whose digest was recorded.
 
-`python -m tests.test_golden_protocols` prints the digests of the present code, to record them anew where a
-change of behaviour is meant.
+`python -m tests.test_golden_protocols` prints the digests of the current code, to update the recorded ones
+after an intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("protocol", PLAYS)
-def test_the_protocol_writes_what_was_recorded(protocol, seed):
+def test_the_traffic_matches_the_recorded_digest(protocol, seed):
     assert PLAYS[protocol](seed).run() == recorded()[protocol][str(seed)]
 
 
--- a/tests/test_postgresql_codec.py
+++ b/tests/test_postgresql_codec.py
@@ -1,4 +1,4 @@
-"""The platform's protocol without sockets: messages, statements, and what is no such thing."""
+"""The PostgreSQL codec and statement parser, without sockets: valid and malformed input."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 )
 
 
-def whole(reader: Reader) -> list[tuple[bytes, bytes]]:
-    found = []
-    while (one := reader.next()) is not None:
-        found.append(one)
-    return found
+def complete_messages(reader: Reader) -> list[tuple[bytes, bytes]]:
+    complete = []
+    while (message := reader.next()) is not None:
+        complete.append(message)
+    return complete
 
 
 @given(
@@ -37,48 +37,48 @@
     ),
     st.lists(st.integers(1, 40), max_size=30),
 )
-def test_messages_are_the_same_in_whatever_pieces_they_come(messages, cuts):
-    stream, reader, got = b"".join(messages), Reader(codec.FROM_ENDPOINT), []
+def test_messages_do_not_depend_on_how_the_stream_is_divided(messages, cuts):
+    stream, reader, received = b"".join(messages), Reader(codec.FROM_ENDPOINT), []
     for size in [*cuts, len(stream) + 1]:
         piece, stream = stream[:size], stream[size:]
         if piece:
             reader.feed(piece)
-            got += whole(reader)
-    assert [raw for _, raw in got] == messages
+            received += complete_messages(reader)
+    assert [raw for _, raw in received] == messages
     assert not reader.buffered_bytes
 
 
 @given(st.binary(max_size=200), st.sampled_from([codec.FROM_CLIENT, codec.FROM_ENDPOINT]))
-def test_any_bytes_are_messages_or_one_error(data, bounds):
+def test_arbitrary_bytes_are_messages_or_one_error(data, bounds):
     reader = Reader(bounds)
     reader.feed(data)
     try:
-        whole(reader)
+        complete_messages(reader)
     except MalformedMessage as error:
         assert "\n" not in str(error)
 
 
 @given(st.binary(max_size=80))
-def test_any_first_bytes_are_a_startup_or_one_error(data):
+def test_arbitrary_first_bytes_are_a_startup_message_or_one_error(data):
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(data)
     try:
-        found = reader.startup()
-        if found is not None and found[0] not in (codec.SSL_REQUEST, codec.GSS_REQUEST, codec.CANCEL_REQUEST):
-            codec.startup_parameters(found[1])
+        first = reader.startup()
+        if first is not None and first[0] not in (codec.SSL_REQUEST, codec.GSS_REQUEST, codec.CANCEL_REQUEST):
+            codec.startup_parameters(first[1])
     except MalformedMessage:
         pass
 
 
 @pytest.mark.parametrize("length", [-1, 0, 3, codec.STATEMENT_BYTES_MAX + 1, 60_000_000, 2**31 - 1, -(2**31)])
-def test_a_length_is_checked_on_the_header(length):
+def test_an_invalid_length_is_rejected_from_the_header_alone(length):
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(struct.pack("!ci", b"Q", length))
     with pytest.raises(MalformedMessage):
         reader.next()
 
 
-def test_a_startup_is_read_and_one_of_another_protocol_is_not():
+def test_a_startup_message_is_parsed_and_another_protocol_version_is_rejected():
     reader = Reader(codec.FROM_CLIENT)
     reader.feed(codec.startup("web", "orders") + codec.query(b""))
     code, body = reader.startup()
@@ -91,21 +91,21 @@
         reader.startup()
 
 
-def test_an_error_carries_its_fields():
+def test_an_error_response_has_its_fields():
     fields = codec.read_error(codec.error("53300", "no room", "250"))
     assert (fields["C"], fields["D"], fields["S"]) == ("53300", "250", "ERROR")
 
 
-def test_rows_of_one_value_only():
+def test_only_rows_of_one_value_are_accepted():
     assert codec.one_value(codec.data_row(b"abc")) == b"abc"
-    two = codec.message(b"D", b"\0\2" + 2 * (struct.pack("!i", 1) + b"x"))
-    lying = codec.message(b"D", b"\0\1" + struct.pack("!i", 3_000_000_000 - 2**32) + b"x")
-    assert codec.one_value(two) is codec.one_value(lying) is None
+    two_columns = codec.message(b"D", b"\0\2" + 2 * (struct.pack("!i", 1) + b"x"))
+    negative_length = codec.message(b"D", b"\0\1" + struct.pack("!i", 3_000_000_000 - 2**32) + b"x")
+    assert codec.one_value(two_columns) is codec.one_value(negative_length) is None
     assert codec.column_count(codec.row_description()) == 1
     assert codec.column_count(codec.message(b"T", b"\0\1payload")) == -1
 
 
-def test_the_two_statements_are_read():
+def test_the_two_supported_statements_are_parsed():
     read = statements.read(READ, NAMED)
     assert (read.id, read.cls.name, read.writes, read.group) == (b"9b1f", "session", False, 2)
     assert (read.session, read.after, read.time_left) == ("7f3a", 1767225600123, 0.48)
@@ -113,12 +113,12 @@
     assert (write.writes, write.time_left) == (True, 0.4805)
 
 
-def test_only_the_time_left_is_rewritten():
+def test_forwarding_rewrites_only_the_time_left():
     for raw, d in ((READ, b"d=480"), (WRITE, b"d=480.5")):
         statement = statements.read(raw, NAMED)
         statement.deadline = 10.1234
         assert statement.text(10.0) == raw.replace(d, b"d=123")
-        assert statement.text(11.0) == raw.replace(d, b"d=1"), "never a time that is over"
+        assert statement.text(11.0) == raw.replace(d, b"d=1"), "at least 1 ms"
 
 
 BAD = [
@@ -150,14 +150,14 @@
 
 
 @pytest.mark.parametrize("raw", BAD)
-def test_anything_else_is_one_clear_error(raw):
+def test_an_unsupported_statement_raises_a_one_line_error(raw):
     with pytest.raises(StatementError) as error:
         statements.read(raw, NAMED)
     assert str(error.value) and "\n" not in str(error.value)
 
 
 @given(st.binary(max_size=120), st.integers(0, 150))
-def test_damage_in_a_statement_is_an_error_or_still_the_statement(noise, at):
+def test_a_damaged_statement_is_rejected_or_forwarded_unchanged(noise, at):
     raw = READ[:at] + noise + READ[at:]
     try:
         statement = statements.read(raw, NAMED)
--- a/tests/test_postgresql_upstream.py
+++ b/tests/test_postgresql_upstream.py
@@ -1,4 +1,4 @@
-"""The upstream side of the platform's protocol: outcomes by the platform's table, and malformed answers."""
+"""The upstream side of the PostgreSQL protocol: outcomes of replies and malformed replies."""
 
 from __future__ import annotations
 
@@ -23,53 +23,53 @@
 from tests.support.postgresql_harness import ROW, WALL, PostgresqlProxy, Wire, read
 from tests.test_postgresql_codec import NAMED
 
-GREETING = codec.STARTUP_RESPONSE + codec.parameter("server_role", "reader") + codec.READY
-NOTES = codec.parameter("server_role", "writer") + codec.parameter("commit_clock", "1001000500")
+STARTUP_REPLY = codec.STARTUP_RESPONSE + codec.parameter("server_role", "reader") + codec.READY
+POSITION_REPORT = codec.parameter("server_role", "writer") + codec.parameter("commit_clock", "1001000500")
 
 
-class Played:
-    """One connection to a member, and what came of the exchange on it."""
+class Exchange:
+    """One endpoint connection with a statement in flight, and the recorded callbacks."""
 
     def __init__(self, payload=None) -> None:
         proxy = PostgresqlProxy()
         self.clock = proxy.clock
         limits = PoolLimits(discard_timeout=0.0)
-        self.endpoints = PostgresUpstream(None, proxy.clock, limits, DescriptorBudget(0), WALL, 0.25)
-        self.ready, self.ended, self.replies = [], [], []
-        self.wire = Wire()
+        self.upstream = PostgresUpstream(None, proxy.clock, limits, DescriptorBudget(0), WALL, 0.25)
+        self.ready, self.lost, self.replies = [], [], []
+        self.transport = Wire()
         callbacks = ConnectionCallbacks(
-            self.ready.append, self.ended.append, self.ended.append, lambda arrived: None
+            self.ready.append, self.lost.append, self.lost.append, lambda arrived: None
         )
         self.connection = EndpointConnection(SessionNames(), proxy.clock.now, callbacks)
-        self.connection.makeConnection(self.wire)
-        self.connection.dataReceived(GREETING)
-        self.wire.clear()
+        self.connection.makeConnection(self.transport)
+        self.connection.dataReceived(STARTUP_REPLY)
+        self.transport.clear()
         self.payload = payload or statements.read(read(1)[5:-1], NAMED)
-        self.payload_until(0.5)
+        self.set_deadline(0.5)
         self.connection.start(self.payload, self.replies.append)
 
-    def payload_until(self, seconds: float) -> None:
+    def set_deadline(self, seconds: float) -> None:
         if not isinstance(self.payload, HealthCheckQuery):
             self.payload.deadline = self.clock.now() + seconds
 
-    def end(self):
-        """The outcome, which must be the only one."""
+    def outcome(self):
+        """Return the outcome of the only reply."""
         (reply,) = self.replies
-        return self.endpoints.outcome(1, self.payload, reply)
+        return self.upstream.outcome(1, self.payload, reply)
 
 
-def test_a_statement_is_written_whole_and_its_row_served():
-    played = Played()
-    assert played.ready and played.wire.value() == read(1, d="500")
-    played.connection.dataReceived(
-        ROW + NOTES + codec.parameter("usage", "queue=7,x0=1001000.4,x1=1") + codec.READY
+def test_a_statement_is_sent_completely_and_its_row_is_the_reply():
+    exchange = Exchange()
+    assert exchange.ready and exchange.transport.value() == read(1, d="500")
+    exchange.connection.dataReceived(
+        ROW + POSITION_REPORT + codec.parameter("usage", "queue=7,x0=1001000.4,x1=1") + codec.READY
     )
-    end = played.end()
-    assert (end.result, end.reply, end.primary) == (AttemptResult.OK, ROW, True)
-    assert end.position == pytest.approx(1000.5)
-    assert (end.report.load, end.report.primary) == (7.0, True)
-    assert end.report.position == pytest.approx(1000.4)
-    assert played.connection.usable()
+    outcome = exchange.outcome()
+    assert (outcome.result, outcome.reply, outcome.primary) == (AttemptResult.OK, ROW, True)
+    assert outcome.position == pytest.approx(1000.5)
+    assert (outcome.report.load, outcome.report.primary) == (7.0, True)
+    assert outcome.report.position == pytest.approx(1000.4)
+    assert exchange.connection.usable()
 
 
 @pytest.mark.parametrize(
@@ -82,26 +82,26 @@
         ("08P01", AttemptResult.ERROR),
     ],
 )
-def test_errors_are_the_outcomes_of_the_platforms_table(code, result):
-    played = Played()
-    played.connection.dataReceived(codec.error(code, "no") + NOTES + codec.READY)
-    end = played.end()
-    assert end.result is result and end.reply is None and end.primary is True
-    assert played.connection.usable()
+def test_each_sqlstate_maps_to_its_outcome(code, result):
+    exchange = Exchange()
+    exchange.connection.dataReceived(codec.error(code, "no") + POSITION_REPORT + codec.READY)
+    outcome = exchange.outcome()
+    assert outcome.result is result and outcome.reply is None and outcome.primary is True
+    assert exchange.connection.usable()
 
 
-def test_a_fatal_error_needs_nothing_behind_it():
-    played = Played()
-    played.connection.dataReceived(codec.error("53300", "no", fatal=True))
-    assert played.end().result is AttemptResult.OVERLOADED
-    assert not played.connection.usable()
+def test_a_fatal_error_is_complete_without_ready_for_query():
+    exchange = Exchange()
+    exchange.connection.dataReceived(codec.error("53300", "no", fatal=True))
+    assert exchange.outcome().result is AttemptResult.OVERLOADED
+    assert not exchange.connection.usable()
 
 
-def test_a_connection_that_ends_under_a_statement_tells_no_reply():
-    played = Played()
-    played.connection.dataReceived(ROW[:-3])
-    played.connection.connectionLost()
-    assert not played.replies and played.ended
+def test_a_connection_lost_before_a_complete_reply_delivers_none():
+    exchange = Exchange()
+    exchange.connection.dataReceived(ROW[:-3])
+    exchange.connection.connectionLost()
+    assert not exchange.replies and exchange.lost
 
 
 MALFORMED = [
@@ -122,72 +122,72 @@
 
 
 @pytest.mark.parametrize("data", MALFORMED)
-def test_a_malformed_answer_is_an_attempt_that_may_have_run_on_a_connection_not_used_again(data):
-    played = Played()
-    played.connection.dataReceived(data)
-    end = played.end()
-    assert end.result is AttemptResult.ERROR and end.reply is None and "spoilt" in end.why
-    assert played.wire.aborted and not played.connection.usable()
+def test_a_malformed_reply_is_an_error_and_its_connection_is_closed(data):
+    exchange = Exchange()
+    exchange.connection.dataReceived(data)
+    outcome = exchange.outcome()
+    assert outcome.result is AttemptResult.ERROR and outcome.reply is None and "spoilt" in outcome.why
+    assert exchange.transport.aborted and not exchange.connection.usable()
 
 
-@pytest.mark.parametrize("dirt", [b"noise", ROW + codec.READY, codec.READY, b"\xff"])
-def test_a_good_answer_with_dirt_behind_is_served_and_its_connection_not_used_again(dirt):
+@pytest.mark.parametrize("extra", [b"noise", ROW + codec.READY, codec.READY, b"\xff"])
+def test_a_valid_reply_followed_by_extra_bytes_is_used_and_its_connection_is_closed(extra):
     for together in (True, False):
-        played = Played()
-        played.connection.dataReceived(ROW + NOTES + codec.READY + (dirt if together else b""))
+        exchange = Exchange()
+        exchange.connection.dataReceived(ROW + POSITION_REPORT + codec.READY + (extra if together else b""))
         if not together:
-            played.connection.dataReceived(dirt)
-        assert played.end().reply == ROW
-        assert not played.connection.usable()
+            exchange.connection.dataReceived(extra)
+        assert exchange.outcome().reply == ROW
+        assert not exchange.connection.usable()
 
 
-def test_a_row_that_was_whole_when_the_connection_ended_is_served():
-    played = Played()
-    played.connection.dataReceived(ROW)
-    played.connection.connectionLost()
-    assert played.end().reply == ROW
+def test_a_row_that_is_complete_when_the_connection_is_lost_is_used():
+    exchange = Exchange()
+    exchange.connection.dataReceived(ROW)
+    exchange.connection.connectionLost()
+    assert exchange.outcome().reply == ROW
 
 
 @given(st.binary(max_size=300), st.integers(0, 200))
-def test_whatever_comes_is_one_outcome_and_only_a_whole_row_is_served(noise, keep):
-    played = Played()
-    good = ROW + NOTES + codec.READY
-    played.connection.dataReceived(good[:keep] + noise)
-    assert len(played.replies) <= 1
-    if played.replies and (end := played.end()).reply is not None:
+def test_arbitrary_input_gives_at_most_one_outcome_and_only_complete_rows(random_bytes, kept_bytes):
+    exchange = Exchange()
+    valid = ROW + POSITION_REPORT + codec.READY
+    exchange.connection.dataReceived(valid[:kept_bytes] + random_bytes)
+    assert len(exchange.replies) <= 1
+    if exchange.replies and (outcome := exchange.outcome()).reply is not None:
         assert (
-            codec.one_value(end.reply[len(codec.row_description()) : -len(codec.complete("SELECT 1"))])
+            codec.one_value(outcome.reply[len(codec.row_description()) : -len(codec.complete("SELECT 1"))])
             is not None
         )
 
 
-def test_a_report_that_does_not_read_costs_the_report_only():
+def test_an_unreadable_load_report_does_not_affect_the_reply():
     for usage in ("", "junk", "queue=nan,x0=,=5", "queue=" + "9" * 400, "\xff\xfe"):
-        played = Played()
-        played.connection.dataReceived(ROW + codec.parameter("usage", usage) + codec.READY)
-        end = played.end()
-        assert end.result is AttemptResult.OK and (end.report is None or end.report.load is None)
+        exchange = Exchange()
+        exchange.connection.dataReceived(ROW + codec.parameter("usage", usage) + codec.READY)
+        outcome = exchange.outcome()
+        assert outcome.result is AttemptResult.OK and (outcome.report is None or outcome.report.load is None)
     assert read_load_report(b"inflight=7,util=0.61") == {"inflight": 7.0, "util": 0.61}
 
 
-def test_a_health_check_reads_the_row_as_a_report():
-    played = Played(HealthCheckQuery())
+def test_a_health_check_parses_the_row_as_a_load_report():
+    exchange = Exchange(HealthCheckQuery())
     row = codec.row_description() + codec.data_row(b"queue=3,x0=1001000.25,x1=0") + codec.complete("SHOW")
-    played.connection.dataReceived(row + codec.READY)
-    end = played.end()
-    assert end.result is AttemptResult.OK and end.reply is None
-    assert end.report.position == pytest.approx(1000.25) and end.report.primary is False
+    exchange.connection.dataReceived(row + codec.READY)
+    outcome = exchange.outcome()
+    assert outcome.result is AttemptResult.OK and outcome.reply is None
+    assert outcome.report.position == pytest.approx(1000.25) and outcome.report.primary is False
 
 
-def test_a_large_row_in_pieces_is_served_whole_and_one_beyond_the_bound_is_malformed():
+def test_a_large_row_in_pieces_is_reassembled_and_one_above_the_limit_is_malformed():
     row = codec.row_description() + codec.data_row(b"v" * 400_000) + codec.complete("SELECT 1")
-    played = Played()
+    exchange = Exchange()
     for at in range(0, len(row), 50_000):
-        played.connection.dataReceived(row[at : at + 50_000])
-    played.connection.dataReceived(codec.READY)
-    assert played.end().reply == row
-    played = Played()
-    played.connection.dataReceived(
+        exchange.connection.dataReceived(row[at : at + 50_000])
+    exchange.connection.dataReceived(codec.READY)
+    assert exchange.outcome().reply == row
+    exchange = Exchange()
+    exchange.connection.dataReceived(
         codec.row_description() + struct.pack("!ci", b"D", codec.ROW_BYTES_MAX + 17)
     )
-    assert played.end().result is AttemptResult.ERROR
+    assert exchange.outcome().result is AttemptResult.ERROR
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of a running proxy: what the router decided agrees with what crossed the sockets."""
+"""The trace of a running proxy: the attempts of the router match the traffic on its connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 REQUESTS = 20
 
 
-def test_the_trace_shows_each_attempt_on_both_sides(tmp_path):
+def test_router_and_connections_trace_the_same_attempts(tmp_path):
     platform = Platform(tmp_path)
     platform.environment = {"SEDGEPITCH_TRACE": "1"}
     platform.configure()
@@ -21,8 +21,8 @@
         for number in range(1, REQUESTS + 1):
             assert client.query(read_statement(number))[0] == "value"
         platform.wait_for("endpoint_states endpoints=s-")
-        end = time.monotonic() + TIMEOUT_S
-        while time.monotonic() < end:  # a hedged request may still be in flight
+        give_up_at = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < give_up_at:  # a hedged request may still be in flight
             endpoints = compare(read_trace(platform.log.read_text().splitlines())).values()
             if all(endpoint.router_count == len(endpoint.busy_connections) == 0 for endpoint in endpoints):
                 break
--- a/tests/test_twisted_log.py
+++ b/tests/test_twisted_log.py
@@ -1,4 +1,4 @@
-"""What Twisted logs itself reaches the log of the process, bounded to one line an event."""
+"""Twisted's own log events are forwarded to the log of the process, one limited line per event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return forwarder, lines
 
 
-def test_a_failure_is_one_line_with_its_place(forwarded):
+def test_a_failure_is_logged_on_one_line_with_its_place(forwarded):
     forwarder, lines = forwarded
     try:
         raise ValueError("two\nlines " + "x" * 1000)
@@ -42,7 +42,7 @@
     assert lines == [("twisted", {"level": "info", "text": "Could not accept new connection (ENFILE)"})]
 
 
-def test_other_information_is_not_forwarded(forwarded):
+def test_other_events_at_level_info_or_debug_are_not_forwarded(forwarded):
     forwarder, lines = forwarded
     forwarder({"log_level": LogLevel.info, "log_namespace": "twisted.internet.tcp", "log_format": "starting"})
     forwarder({"log_level": LogLevel.debug, "log_namespace": "other", "log_format": "EMFILE"})
