--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -53,7 +53,7 @@
         """Open the first watch stream."""
         self._check(self.clock.now())
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Switch to another address; the active stream stays open until a stream from there has sent data."""
         if self.stopped:
             return
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -97,7 +97,7 @@
             health_check_timeout=self.config.connect_within,
         )
         upstream.on_bytes_arrived = self._bytes_arrived
-        upstream.on_forgotten = self._endpoint_forgotten
+        upstream.on_endpoint_removed = self._endpoint_removed
         upstream.log_event = self.log.log_event
         return upstream
 
@@ -171,7 +171,7 @@
     def _watch_requested(self) -> None:
         """Ignore the router's request for a watch: `DiscoveryClient` keeps one open permanently."""
 
-    def _endpoint_forgotten(self, endpoint: int) -> None:
+    def _endpoint_removed(self, endpoint: int) -> None:
         self.engine.draining_since.pop(endpoint, None)
         self.list_versions.forget(endpoint)
 
@@ -182,7 +182,7 @@
         current = self.config
         ignored = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(current, name)]
         self.config = dataclasses.replace(current, discovery=config.discovery)
-        self.discovery.move(config.discovery)
+        self.discovery.set_address(config.discovery)
         host, port = config.discovery
         self.log.log_event("reloaded", discovery=f"{host}:{port}")
         if ignored:
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -101,7 +101,7 @@
             message = codec.error(SQLSTATE_PROTOCOL_VIOLATION, str(error), fatal=True)
             self.end(CloseReason.BAD_MESSAGE, message)
             return
-        self.listener.read_ahead.relax(self)
+        self.listener.read_ahead.resume_if_drained(self)
         self._note_activity()
 
     def _next_message(self) -> None:
@@ -201,7 +201,7 @@
             self.abort(CloseReason.RESPONSE_NOT_READ)
         else:
             message = codec.error(SQLSTATE_PROTOCOL_VIOLATION, "nothing whole came in time", fatal=True)
-            self.end(CloseReason.TOO_SLOW, message)
+            self.end(CloseReason.INPUT_TIMEOUT, message)
 
     def close_if_idle(self, last: bool) -> None:
         """Close for a shutdown unless a request is in flight or the socket has unread bytes.
@@ -238,7 +238,7 @@
         self._cancel_request()
         self.state = ClientState.CLOSING
         self.reader = Reader({})
-        self.abort(CloseReason.LEFT_UNREAD)
+        self.abort(CloseReason.DISCONNECTED_UNREAD)
 
     def abort(self, reason: CloseReason) -> None:
         """Close at once, with a reset."""
--- a/sedgepitch/protocols/postgresql/close_reasons.py
+++ b/sedgepitch/protocols/postgresql/close_reasons.py
@@ -20,12 +20,12 @@
     PEER_CLOSED = "peer_closed"  # orderly close by the client
     PEER_RESET = "peer_reset"  # connection reset by the client
     CONNECTION_FAILED = "connection_failed"  # any other error of a read or of the socket
-    LEFT_UNREAD = "left_unread"  # the client disconnected while bytes that it had sent were still unread
+    DISCONNECTED_UNREAD = "left_unread"  # the client disconnected while its input was still unread
     TERMINATED = "terminated"  # the client sent Terminate or a cancel request
     BAD_MESSAGE = "bad_message"
     EVICTED = "evicted"  # closed to free a descriptor for a new connection
     IDLE_LIMIT = "rest_limit"  # too many idle clients
-    TOO_SLOW = "too_slow"  # sent nothing, or an incomplete message, until the timeout
+    INPUT_TIMEOUT = "too_slow"  # sent nothing, or an incomplete message, until the timeout
     RESPONSE_NOT_READ = "not_taken"  # the client did not read its response until the timeout
     FLOODED = "flooded"  # sent too much input after an error
     SHUTDOWN = "shutdown"
@@ -33,7 +33,9 @@
 
 
 # Closes caused by the client: counted, but not logged individually.
-CLOSED_BY_CLIENT = frozenset({CloseReason.PEER_CLOSED, CloseReason.PEER_RESET, CloseReason.LEFT_UNREAD})
+CLOSED_BY_CLIENT = frozenset(
+    {CloseReason.PEER_CLOSED, CloseReason.PEER_RESET, CloseReason.DISCONNECTED_UNREAD}
+)
 # Routine closes: logged only if a request or unexecuted bytes were left.
 ROUTINE_REASONS = frozenset({CloseReason.TERMINATED, CloseReason.IDLE_LIMIT, CloseReason.SHUTDOWN})
 
--- a/sedgepitch/protocols/postgresql/read_ahead.py
+++ b/sedgepitch/protocols/postgresql/read_ahead.py
@@ -41,7 +41,7 @@
         self.paused.add(connection)
         connection.transport.pauseProducing()
 
-    def relax(self, connection: ClientConnection) -> None:
+    def resume_if_drained(self, connection: ClientConnection) -> None:
         """Resume reading once at most half of READ_AHEAD_BYTES is buffered."""
         if connection.reader.buffered_bytes > READ_AHEAD_BYTES // 2:
             return
--- a/sedgepitch/protocols/postgresql/upstream.py
+++ b/sedgepitch/protocols/postgresql/upstream.py
@@ -34,7 +34,7 @@
     id: int
     address: tuple[str, int]
     pool: ConnectionPool
-    gone_since: float = NEVER  # when the endpoint was removed from the endpoint list
+    removed_since: float = NEVER  # when the endpoint was removed from the endpoint list
 
 
 class PostgresUpstream:
@@ -65,7 +65,7 @@
         self.addresses: Mapping[int, tuple[str, int]] = {}
         self.pools: dict[int, EndpointPool] = {}
         self.on_bytes_arrived: Callable[[float], None] = ignore
-        self.on_forgotten: Callable[[int], None] = ignore
+        self.on_endpoint_removed: Callable[[int], None] = ignore
         self.trace: Callable[[int], Callable[..., None]] | None = None  # returns a connection's trace
         self.log_event: Callable[..., None] = ignore
         self.malformed_responses = 0
@@ -85,9 +85,9 @@
         present = {entry.endpoint for entry in entries if entry.state is not EndpointState.GONE}
         for endpoint_pool in self.pools.values():
             if endpoint_pool.id in present:
-                endpoint_pool.gone_since = NEVER
+                endpoint_pool.removed_since = NEVER
             elif complete or endpoint_pool.id in named:
-                endpoint_pool.gone_since = min(endpoint_pool.gone_since, now)
+                endpoint_pool.removed_since = min(endpoint_pool.removed_since, now)
 
     def _set_address(self, endpoint: int, address: tuple[str, int]) -> None:
         endpoint_pool = self.pools.get(endpoint)
@@ -146,11 +146,11 @@
         now = self.clock.now()
         for endpoint_pool in list(self.pools.values()):
             endpoint_pool.pool.close_expired()
-            if endpoint_pool.gone_since < now:
+            if endpoint_pool.removed_since < now:
                 endpoint_pool.pool.close_idle()
                 if not endpoint_pool.pool.connections:
                     del self.pools[endpoint_pool.id]
-                    self.on_forgotten(endpoint_pool.id)
+                    self.on_endpoint_removed(endpoint_pool.id)
         self.clock.call_later(IDLE_CHECK_INTERVAL_S, self._close_unused)
 
     # Connections and replies
