--- a/sedgepitch/model/__init__.py
+++ b/sedgepitch/model/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets in virtual time, run by the program's own decisions."""
+"""Simulations of many instances in virtual time that run the program's own decision code."""
--- a/sedgepitch/model/gossipnet.py
+++ b/sedgepitch/model/gossipnet.py
@@ -1,6 +1,6 @@
-"""Many gossip nodes on a network in virtual time: loss, delay, partitions, suspended and killed members.
+"""Simulates a gossip cluster in virtual time: loss, delay, partitions, suspended and killed members.
 
-`python -m sedgepitch.model.gossipnet` prints detection times, false suspicions and bytes; simulated figures.
+`python -m sedgepitch.model.gossipnet` prints simulated detection times, false suspicions and traffic.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from sedgepitch.decisions.gossip.piggyback import encoded_size_bound
 from sedgepitch.decisions.gossip.settings import GossipSettings
 
-DATAGRAM_OVERHEAD_BYTES = 40  # beside updates and entries: version, tag, names, counters
+DATAGRAM_OVERHEAD_BYTES = 40  # per datagram, without updates and entries: version, tag, names, counters
 START_S = 1000.0
 FIRST_PORT = 10_000
-SEED_MEMBERS = 2  # whose addresses the others know
+SEED_MEMBERS = 2  # the first members; all others start with their addresses
 MAX_CLOCK_OFFSET_S = 500.0
-MIN_TIMER_S = 1e-4  # virtual time never stands still
+MIN_TIMER_S = 1e-4  # minimum delay of a timer, so that virtual time always advances
 STATE_TRANSFER_S = 0.002
-STREAM_ROUND_TRIPS = 4.0  # one-way delays of a handshake, a question and its answer
+STREAM_ROUND_TRIPS = 4.0  # one-way delays of a handshake, a request and its response
 SECONDS_PER_HOUR = 3600.0
 
 
 def _no_partition(_sender: str, _to: str) -> bool:
-    """Separate nobody."""
+    """Report no partition between any two members."""
     return False
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """What datagrams meet. `partitioned` says whether one member cannot reach another. Times in seconds."""
+    """Network behaviour; delays in seconds. `partitioned(sender, to)` returns whether that path is cut."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordedEvent:
-    """What an observer noticed of a member, and when, in virtual seconds."""
+    """A membership event of `member` at `observer`; `at` is in virtual seconds."""
 
     at: float
     observer: str
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """What happened in a cluster."""
+    """The events and the traffic of a cluster."""
 
     events: list[RecordedEvent] = field(default_factory=list)
     datagrams: int = 0
@@ -64,7 +64,7 @@
 
 
 class SimulatedCluster:
-    """Members by name. `run` lets time pass; `suspend`, `resume`, `kill` and `start` act on one member."""
+    """A cluster of gossip nodes. `run` advances virtual time; other methods act on one member by name."""
 
     def __init__(
         self,
@@ -73,14 +73,14 @@
         settings: GossipSettings | None = None,
         network: NetworkConditions | None = None,
     ) -> None:
-        """Start `count` members; `seed` is of all random draws."""
+        """Start `count` members; `seed` determines all random draws."""
         self.settings = settings or GossipSettings()
         self.network = network or NetworkConditions()
         self.rng = random.Random(seed)
         self.now = START_S
         self.nodes: dict[str, GossipNode] = {}
-        self.clock_offsets: dict[str, float] = {}  # each member's clock starts elsewhere
-        self.suspended: dict[str, list[tuple[str, Message]]] = {}  # with what waits in its socket
+        self.clock_offsets: dict[str, float] = {}  # each member's clock has its own offset
+        self.suspended: dict[str, list[tuple[str, Message]]] = {}  # with the datagrams in its socket buffer
         self.record = Record()
         self._calls: list[tuple[float, int, Callable[[], None]]] = []
         self._scheduled = 0
@@ -91,7 +91,7 @@
     # Members
 
     def start(self, name: str) -> GossipNode:
-        """Start a member, or start one anew that knows nothing."""
+        """Start a member, or restart it with empty state."""
         names = (f"d{number}" for number in range(SEED_MEMBERS))
         seeds = [self._address(other) for other in names if other != name]
         node = GossipNode(self.settings, name, self._address(name), seeds, self.rng.getrandbits(32))
@@ -101,31 +101,31 @@
         return node
 
     def kill(self, name: str) -> None:
-        """End a member without notice."""
+        """Kill a member: it stops without announcing that it leaves."""
         self.nodes.pop(name, None)
         self.suspended.pop(name, None)
 
     def suspend(self, name: str) -> None:
-        """Suspend a process. What comes waits in its socket."""
+        """Suspend a member; datagrams to it are kept in its socket buffer."""
         self.suspended[name] = []
 
     def resume(self, name: str, read_waiting: bool = False) -> None:
-        """Let a process go on; what waited is dropped for its age as the sockets do, unless it is read."""
-        waiting = self.suspended.pop(name, [])
+        """Resume a member. Buffered datagrams are dropped as too old, as real sockets do, or delivered."""
+        buffered = self.suspended.pop(name, [])
         if read_waiting:
-            for sender, message in waiting:
+            for sender, message in buffered:
                 self._deliver(sender, name, message)
         self._on_timer(name)
 
     # Time
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Schedule a call."""
+        """Schedule a call at virtual time `when`."""
         self._scheduled += 1
         heappush(self._calls, (when, self._scheduled, call))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time and run the calls that come due."""
         end = self.now + seconds
         while self._calls and self._calls[0][0] <= end:
             self.now, _, call = heappop(self._calls)
@@ -133,22 +133,24 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], timeout: float, step: float = 0.05) -> float:
-        """Run until a condition holds and return how long that took. Raises AssertionError at the timeout."""
+        """Run until a condition holds; returns the seconds it took. Raises AssertionError at the timeout."""
         began = self.now
         while not condition():
             if self.now - began > timeout:
-                raise AssertionError(f"not met within {timeout} s: {self._first_views()}")
+                raise AssertionError(
+                    f"condition not met within {timeout} s; first two views: {self._first_views()}"
+                )
             self.run(step)
         return self.now - began
 
     def clock(self, name: str) -> float:
-        """Return the time on a member's own clock."""
+        """Return the time on the clock of one member."""
         return self.now + self.clock_offsets[name]
 
     # Views
 
     def agree(self, names: list[str]) -> bool:
-        """Whether all of these members hold exactly these for alive."""
+        """Return whether all of these members consider exactly these members alive."""
         expected = sorted(names)
         return all(self.nodes[name].alive() == expected for name in names)
 
@@ -175,9 +177,9 @@
     def _on_timer(self, name: str) -> None:
         node = self.nodes.get(name)
         if node is not None and name not in self.suspended:
-            self._carry_out(name, node.on_timer(self.clock(name)))
+            self._execute(name, node.on_timer(self.clock(name)))
 
-    def _carry_out(self, name: str, actions: list[Action]) -> None:
+    def _execute(self, name: str, actions: list[Action]) -> None:
         node = self.nodes[name]
         for event in node.take_events():
             self.record.events.append(RecordedEvent(self.now, name, event.kind, event.member))
@@ -191,7 +193,7 @@
         self._arm(name, node)
 
     def _arm(self, name: str, node: GossipNode) -> None:
-        """Set a member's timer, unless one that is set comes soon enough."""
+        """Set a member's timer, unless one is already set for that time or earlier."""
         due = node.due() - self.clock_offsets[name]
         armed = self._timers.get(name, 0.0)
         if armed <= self.now or due < armed - 1e-9:
@@ -205,7 +207,7 @@
         if to in self.suspended:
             self.suspended[to].append((sender, message))
             return
-        self._carry_out(to, self.nodes[to].on_datagram(self.clock(to), sender, message))
+        self._execute(to, self.nodes[to].on_datagram(self.clock(to), sender, message))
 
     # Streams
 
@@ -213,7 +215,7 @@
         return name in self.nodes and name not in self.suspended
 
     def _connects(self, name: str, to: str) -> bool:
-        """Whether a stream comes about; streams send again what is lost."""
+        """Return whether a stream connects. Loss does not prevent it, since streams retransmit."""
         partitioned = self.network.partitioned(name, to) or self.network.partitioned(to, name)
         return self._running(to) and not partitioned
 
@@ -229,13 +231,13 @@
         if not self._connects(name, to):
             return
         self._merge(to, self.nodes[name].state(self.clock(name)), name)
-        reply = self.nodes[to].state(self.clock(to))  # with what it refutes
+        reply = self.nodes[to].state(self.clock(to))  # includes refutations of what it has just merged
         self.at(self.now + STATE_TRANSFER_S, lambda: self._merge(name, reply, to))
 
     def _merge(self, name: str, state: ClusterState, sender: str) -> None:
         if self._running(name):
             self.nodes[name].merge(self.clock(name), state, sender)
-            self._carry_out(name, [])
+            self._execute(name, [])
 
     def _address(self, name: str) -> Address:
         return ("127.0.0.1", FIRST_PORT + int(name[1:]))
@@ -246,7 +248,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Measurement:
-    """One row: detection in s, false suspicions and deaths an hour and member, bytes a second and member."""
+    """One row of the table.
+
+    Detection in seconds; false suspicions and deaths per member and hour; bytes per member and second.
+    """
 
     count: int
     loss: float
@@ -258,7 +263,7 @@
 
 
 def measure(count: int, loss: float, seed: int, calm: float = 60.0) -> Measurement:
-    """Run a calm time with loss, then kill one member. `calm` is in seconds."""
+    """Run for `calm` seconds with loss and no failure, then kill one member and measure its detection."""
     cluster = SimulatedCluster(count, seed, network=NetworkConditions(loss=loss))
     names = list(cluster.nodes)
     cluster.run_until(lambda: cluster.agree(names), 60.0)
@@ -292,9 +297,11 @@
 
 def main() -> int:
     """Print the table."""
-    print("simulated, one seed a row; a probe interval of 0.25 s")
-    heads = ("first dead s", "last s", "suspected/h", "dead/h", "bytes/s")
-    print(f"{'peers':>6}{'loss':>6}{heads[0]:>14}{heads[1]:>8}{heads[2]:>13}{heads[3]:>8}{heads[4]:>9}")
+    print("simulated, one seed per row, probe interval 0.25 s")
+    headers = ("first dead s", "last s", "suspected/h", "dead/h", "bytes/s")
+    print(
+        f"{'peers':>6}{'loss':>6}{headers[0]:>14}{headers[1]:>8}{headers[2]:>13}{headers[3]:>8}{headers[4]:>9}"
+    )
     for count in (8, 16, 32):
         for loss in (0.0, 0.05, 0.2):
             row = measure(count, loss, seed=count)
--- a/tests/support/golden_audit.py
+++ b/tests/support/golden_audit.py
@@ -1,4 +1,4 @@
-"""Seeded records for the audit: some keep the rules, some break each of them."""
+"""Generates seeded records for the audit; some comply with the rules, some violate each of them."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class RecordSource:
-    """The records of one seed, in order of time."""
+    """Generates the records of one seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.records: list[Record] = []
 
     def make(self) -> list[Record]:
-        """Return all records."""
+        """Return all records in order of time."""
         for server in SERVERS:
             self.add("member", 0.0, m=server, cores=2)
         for number in range(REQUESTS):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: a mistake names file, line and key in one line."""
+"""Settings: an error message is one line that names file, line and key."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from sedgepitch.config.load import SettingsError, parse
 from tests.support.mongodb_harness import EXAMPLE
 
-GOOD = EXAMPLE.split("\n")
+EXAMPLE_LINES = EXAMPLE.split("\n")
 
 
 def line_of(text: str) -> int:
-    return next(n for n, line in enumerate(GOOD, 1) if text in line)
+    return next(n for n, line in enumerate(EXAMPLE_LINES, 1) if text in line)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "said"),
+    ("old", "new", "line", "expected_text"),
     [
         ("window: 1.2 s", "window: 1.2", "window: 1.2 s", "unit"),
         ("window: 1.2 s", "window: -1 s", "window: 1.2 s", "unit"),
@@ -31,26 +31,26 @@
         ("drain_grace: 500 ms", "drain_grace: soon", "drain_grace", "unit"),
     ],
 )
-def test_mistakes_name_their_place(old, new, line, said):
+def test_error_names_file_line_and_key(old, new, line, expected_text):
     assert old in EXAMPLE
     with pytest.raises(SettingsError) as caught:
         parse(EXAMPLE.replace(old, new, 1), "fleet.yaml")
     text = str(caught.value)
     assert "\n" not in text
-    assert said in text
+    assert expected_text in text
     assert text.startswith("fleet.yaml:")
-    if "twice" not in said:
+    if "twice" not in expected_text:
         assert text.startswith(f"fleet.yaml:{line_of(line)}:")
 
 
 @pytest.mark.parametrize("text", ["", "[1, 2]", "a: [", "a: 1\na: 2", "classes: []", "\x00", "&a [*a]"])
-def test_what_is_no_settings_at_all_is_told_in_one_line(text):
+def test_input_that_is_not_settings_gives_a_one_line_error(text):
     with pytest.raises(SettingsError) as caught:
         parse(text, "x.yaml")
     assert "\n" not in str(caught.value)
 
 
-def test_the_command_line_says_it_without_a_traceback(tmp_path):
+def test_command_line_reports_settings_errors_without_a_traceback(tmp_path):
     path = tmp_path / "bad.yaml"
     path.write_text(EXAMPLE.replace("500 ms", "half a second", 1))
     for arguments in (
@@ -58,27 +58,27 @@
         ["serve", "--config", str(path)],
         ["emulator", "--config", "no"],
     ):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "sedgepitch", *arguments], capture_output=True, text=True
         )
-        assert done.returncode != 0
-        assert len(done.stderr.strip().splitlines()) == 1, done.stderr
+        assert completed.returncode != 0
+        assert len(completed.stderr.strip().splitlines()) == 1, completed.stderr
 
 
-def test_the_example_is_good_and_tells_the_module_all():
+def test_example_is_valid_and_yields_all_router_settings():
     settings = parse(EXAMPLE, "example")
-    told = settings.module_settings()
+    router_settings = settings.module_settings()
     assert {"upload", "upload/unsafe", "map-read", "map-read/session", "map-read/fresh"} <= {
-        c.name for c in told.classes
+        c.name for c in router_settings.classes
     }
-    assert told.subscription_required and told.rules.drain_grace == 0.5
+    assert router_settings.subscription_required and router_settings.rules.drain_grace == 0.5
 
 
-def test_every_package_that_the_extra_asks_for_is_pinned():
+def test_every_required_package_is_pinned():
     root = Path(__file__).parent.parent / "requirements"
-    asked = {x.lower().replace("_", "-") for x in _names(root / "run.in")}
-    sticky = {x.lower().replace("_", "-") for x in _names(root / "run.txt")}
-    assert asked <= sticky
+    required = {x.lower().replace("_", "-") for x in _names(root / "run.in")}
+    pinned = {x.lower().replace("_", "-") for x in _names(root / "run.txt")}
+    assert required <= pinned
 
 
 def _names(path: Path) -> list[str]:
--- a/tests/test_golden_audit.py
+++ b/tests/test_golden_audit.py
@@ -1,7 +1,7 @@
-"""Golden findings of the audit: the same records give the same findings as when the digests were recorded.
+"""Golden findings of the audit: the same records give the findings whose digests were recorded.
 
-`python -m tests.test_golden_audit` prints the digests of the present code, to record them anew where a change
-of behaviour is meant.
+`python -m tests.test_golden_audit` prints the digests of the current code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -30,24 +30,24 @@
 
 
 def findings(seed: int) -> list[dict]:
-    """Return the findings on one seed's records."""
+    """Return the audit's findings on the records of one seed."""
     return [finding.as_dict() for finding in audit(RecordSource(seed).make(), CLASSES, PARAMETERS)]
 
 
 def digest(seed: int) -> str:
-    """Return the digest of one seed's findings."""
+    """Return the digest of the findings on one seed."""
     return hashlib.sha256(json.dumps(findings(seed)).encode()).hexdigest()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_audit_finds_what_was_recorded(seed):
+def test_findings_match_the_recorded_digest(seed):
     assert digest(seed) == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def test_the_records_check_and_break_every_rule():
-    broken = {row["rule"] for seed in SEEDS for row in findings(seed) if row["broken"]}
-    kept = {row["rule"] for seed in SEEDS for row in findings(seed) if row["checked"] > row["broken"]}
-    assert broken == kept == {1, 2, 3, 4, 5}
+def test_records_comply_with_and_violate_every_rule():
+    violated = {row["rule"] for seed in SEEDS for row in findings(seed) if row["broken"]}
+    complied = {row["rule"] for seed in SEEDS for row in findings(seed) if row["checked"] > row["broken"]}
+    assert violated == complied == {1, 2, 3, 4, 5}
 
 
 if __name__ == "__main__":
--- a/tests/test_structured_log.py
+++ b/tests/test_structured_log.py
@@ -1,4 +1,4 @@
-"""The platform's log: its limit per second, and what the limit does not drop."""
+"""The platform's log: the limit of lines per second, and the events exempt from it."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 from sedgepitch.node.structured_log import MAX_LINES_PER_SECOND, StructuredLog
 
 
-# Guards against: a shutdown in a crowd whose last line, with its statistics, is dropped as one too many.
-def test_the_events_of_a_process_s_own_life_are_written_beyond_the_limit():
+# Guards against the rate limit dropping the "stopped" line, which carries the statistics, when a process
+# shuts down while many clients disconnect.
+def test_process_lifecycle_events_are_exempt_from_the_rate_limit():
     sink = io.StringIO()
     log = StructuredLog("n1", sink)
     for number in range(4 * MAX_LINES_PER_SECOND):
