--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements. Each module prints one table by `python -m benchmarks.NAME`; none of them runs in CI."""
+"""Benchmarks. `python -m benchmarks.NAME` runs one and prints its tables; none of them runs in CI."""
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,6 +1,7 @@
-"""Admission control: its data structures against plain ones, and what it costs and saves before the router.
+"""Benchmarks admission control: its data structures against plain ones, and its cost before the router.
 
-`python -m benchmarks.admission`. Times are microseconds an operation within one run; about a minute.
+`python -m benchmarks.admission` takes about a minute. Times are microseconds per operation, comparable only
+within one run.
 """
 
 from __future__ import annotations
@@ -26,60 +27,63 @@
 
 
 def timed(call, count: int) -> float:
-    """Microseconds an operation of `count`, all told by one call."""
+    """Return microseconds per operation of a call that performs `count` operations."""
     began = time.perf_counter()
     call()
     return (time.perf_counter() - began) / count * 1e6
 
 
 def wheels(count: int) -> tuple[float, float]:
-    """Put in, cancel nine in ten, let the rest come due: the wheel, and a heap that skips the cancelled."""
+    """Insert timers, cancel nine in ten and expire the rest, with the wheel and with a heap.
+
+    The heap skips cancelled entries when it pops them.
+    """
     rng = random.Random(1)
     times = [rng.uniform(0.0, 2.0) for _ in range(count)]
 
     def wheel() -> None:
-        held: TimingWheel[int] = TimingWheel(0.005, 0.0)
-        entries = [held.put(at, n) for n, at in enumerate(times)]
+        timers: TimingWheel[int] = TimingWheel(0.005, 0.0)
+        entries = [timers.put(at, n) for n, at in enumerate(times)]
         for n, entry in enumerate(entries):
             if n % 10:
-                held.cancel(entry)
-        assert sum(1 for _ in held.advance(3.0)) == (count + 9) // 10
+                timers.cancel(entry)
+        assert sum(1 for _ in timers.advance(3.0)) == (count + 9) // 10
 
     def heap() -> None:
-        held: list[tuple[float, int]] = []
+        timers: list[tuple[float, int]] = []
         for n, at in enumerate(times):
-            heapq.heappush(held, (at, n))
-        gone = {n for n in range(count) if n % 10}
+            heapq.heappush(timers, (at, n))
+        cancelled = {n for n in range(count) if n % 10}
         due = 0
-        while held:
-            due += heapq.heappop(held)[1] not in gone
+        while timers:
+            due += heapq.heappop(timers)[1] not in cancelled
         assert due == (count + 9) // 10
 
     return timed(wheel, count), timed(heap, count)
 
 
 def sketches(count: int) -> tuple[float, float, float, float, float]:
-    """Add once for each of so many keys: time and bytes of sketch and dictionary, the sketch's mean error."""
+    """Add once for each of `count` keys: time and KiB of sketch and dictionary, the sketch's mean error."""
     keys = [f"tenant-{n}" for n in range(count)]
 
     def size_of(make):
         tracemalloc.start()
-        held = make()
-        taken = tracemalloc.get_traced_memory()[0]
+        made = make()
+        size = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        return held, taken
+        return made, size
 
     def sketch():
-        held = DecayingSketch(4096, 16, 10.0, 1, 0.0)
+        counts = DecayingSketch(4096, 16, 10.0, 1, 0.0)
         for key in keys:
-            held.add(key, 1.0, 0.0)
-        return held
+            counts.add(key, 1.0, 0.0)
+        return counts
 
     def plain():
-        held: dict[str, float] = {}
+        counts: dict[str, float] = {}
         for key in keys:
-            held[key] = held.get(key, 0.0) + 1.0
-        return held
+            counts[key] = counts.get(key, 0.0) + 1.0
+        return counts
 
     times = timed(sketch, count), timed(plain, count)
     made, sketch_bytes = size_of(sketch)
@@ -88,32 +92,35 @@
     return *times, sketch_bytes / 1024, plain_bytes / 1024, error
 
 
-def controller_call(clients: int, pressed: bool) -> tuple[float, float]:
-    """An arrival, its send and its end, by so many clients; and a dictionary of deques alone."""
+def controller_call(clients: int, saturated: bool) -> tuple[float, float]:
+    """Time a request's arrival, send and end for `clients` tenants; and a plain dictionary of deques.
+
+    With `saturated`, 1000 requests are queued behind the 8 in the router.
+    """
     count = 20_000
     controller = AdmissionController(AdmissionSettings(max_queued=2000), 1, 0.0)
-    if pressed:
+    if saturated:
         for n in range(8 + 1000):
             controller.arrive(
                 AdmissionRequest(n, f"t{n % clients}", "c", "x", 1.0, 1e6, 0, False, str(n)), 0.0
             )
 
     def call() -> None:
-        open_ = deque(range(8)) if pressed else deque()
+        admitted = deque(range(8)) if saturated else deque()
         for n in range(10_000, 10_000 + count):
             now = n * 1e-6
             name = f"t{n % clients}"
             out = controller.arrive(AdmissionRequest(n, name, "c", "x", 1.0, 1e6, 0, False, name), now)
-            open_ += [d.id for d in out if isinstance(d, Admit)]
-            if open_:
-                number = open_.popleft()
+            admitted += [d.id for d in out if isinstance(d, Admit)]
+            if admitted:
+                number = admitted.popleft()
                 more = controller.sent(number, now) + controller.ended(number, now + 1e-6, True)
-                open_ += [d.id for d in more if isinstance(d, Admit)]
+                admitted += [d.id for d in more if isinstance(d, Admit)]
 
     queues: dict[str, deque[int]] = {}
     order: deque[str] = deque()
 
-    def twin() -> None:
+    def plain_queues() -> None:
         for n in range(count):
             name = f"t{n % clients}"
             queue = queues.get(name)
@@ -121,23 +128,23 @@
                 queue = queues[name] = deque()
                 order.append(name)
             queue.append(n)
-            turn = order.popleft()
-            queues[turn].popleft()
-            if queues[turn]:
-                order.append(turn)
+            next_tenant = order.popleft()
+            queues[next_tenant].popleft()
+            if queues[next_tenant]:
+                order.append(next_tenant)
             else:
-                del queues[turn]
+                del queues[next_tenant]
 
-    return timed(call, count), timed(twin, count)
+    return timed(call, count), timed(plain_queues, count)
 
 
 def router_with_pending(pending: int, admission: bool) -> float:
-    """A read's arrival and answer in the router while so many clients' writes have no primary to go to."""
+    """Time a read's arrival and answer in the router while `pending` writes wait for room at the primary."""
     settings = parse(files("sedgepitch.config").joinpath("example.yaml").read_text(), "example")
     router = Router(settings.module_settings(), 1)
     entries = tuple(api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(8))
     router.handle(10.0, [api.EndpointListUpdate(entries, complete=True)])
-    router.endpoints[1].concurrency_limit = 0.0  # the primary has no room
+    router.endpoints[1].concurrency_limit = 0.0  # the primary admits no write
     controller = AdmissionController(AdmissionSettings(), 1, 10.0) if admission else None
     for n in range(pending):
         number = 1_000_000 + n
@@ -168,35 +175,36 @@
         f"\n{'keys':>10}{'sketch us':>11}{'dict us':>9}{'sketch KiB':>12}{'dict KiB':>10}{'error/total':>13}"
     )
     for count in SIZES:
-        ours, plain, size, plain_size, error = sketches(count)
+        sketch, plain, size, plain_size, error = sketches(count)
         print(
-            f"{count:>10}{ours:>11.2f}{plain:>9.2f}{size:>12.0f}{plain_size:>10.0f}{error:>13.5f}", flush=True
+            f"{count:>10}{sketch:>11.2f}{plain:>9.2f}{size:>12.0f}{plain_size:>10.0f}{error:>13.5f}",
+            flush=True,
         )
-    print(f"\n{'clients':>10}{'open us':>10}{'pressed us':>12}{'dict of deques us':>19}")
+    print(f"\n{'clients':>10}{'idle us':>10}{'queued us':>12}{'dict of deques us':>19}")
     for clients in (1, 100, 10_000, 1_000_000):
-        quiet, twin = controller_call(clients, False)
-        pressed, _ = controller_call(clients, True)
-        print(f"{clients:>10}{quiet:>10.2f}{pressed:>12.2f}{twin:>19.2f}", flush=True)
-    quiet = router_with_pending(0, False)
-    print(f"\none read in the router, 8 endpoints: {quiet:.0f} us on a quiet path")
-    without, behind = router_with_pending(1000, False), router_with_pending(1000, True)
+        idle, plain = controller_call(clients, False)
+        saturated, _ = controller_call(clients, True)
+        print(f"{clients:>10}{idle:>10.2f}{saturated:>12.2f}{plain:>19.2f}", flush=True)
+    idle = router_with_pending(0, False)
+    print(f"\none read in the router, 8 endpoints: {idle:.0f} us with nothing pending")
+    without, with_admission = router_with_pending(1000, False), router_with_pending(1000, True)
     print(
         f"1000 clients' writes pending: {without:.0f} us without admission control, "
-        f"{behind:.0f} us behind it",
+        f"{with_admission:.0f} us with it",
         end="",
     )
-    print(f" ({without / behind:.0f} times less, {behind / quiet:.2f} of the quiet path)")
+    print(f" ({without / with_admission:.0f} times less, {with_admission / idle:.2f} of nothing pending)")
     rig = Rig()
     try:
-        ways = {"without": rig.driver("plain"), "with": rig.driver("door", door=True)}
-        rates: dict[str, list[float]] = {way: [] for way in ways}
+        targets = {"without": rig.start_proxy("plain"), "with": rig.start_proxy("door", admission=True)}
+        rates: dict[str, list[float]] = {target: [] for target in targets}
         for _ in range(4):
-            for way, address in ways.items():
-                rates[way].append(rig.load(address, 32, 1.5)["rate"])
-        best = {way: sorted(values)[len(values) // 2] for way, values in rates.items()}
+            for target, address in targets.items():
+                rates[target].append(rig.load(address, 32, 1.5)["rate"])
+        medians = {target: sorted(values)[len(values) // 2] for target, values in rates.items()}
         print(
-            "throughput at 32 connections with admission control, of without: "
-            f"{best['with'] / best['without']:.2f}"
+            "throughput at 32 connections with admission control, as a share of without: "
+            f"{medians['with'] / medians['without']:.2f}"
         )
     finally:
         rig.stop()
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,8 +1,9 @@
-"""A flood of one tenant on loopback, with admission control and without: shares, uploads, reservations.
+"""Benchmarks admission control while one tenant floods the proxy: shares, uploads, reservations.
 
-`python -m benchmarks.flood [--seconds S] [--seed N] [--councils R] [--burners N]`. One driver, six stand-in
-members of one core; `public` asks for far more than there is, two councils for about their share, `stations`
-upload. Same seed, same requests. With burners the driver shares its core with that many.
+`python -m benchmarks.flood [--seconds S] [--seed N] [--councils R] [--burners N]`. Runs one proxy and six
+emulated servers of one core on loopback, with admission control and without. Tenant `public` sends far more
+requests than the servers can serve, two councils send about their share, and `stations` uploads. The same
+seed gives the same requests. With `--burners`, the proxy shares its core with that many busy processes.
 """
 
 from __future__ import annotations
@@ -32,11 +33,11 @@
 
 RATES = {"public": 1600.0, "council-a": 160.0, "council-b": 160.0, "stations": 30.0}
 READERS = ("public", "council-a", "council-b")
-AIM = 0.2
+LATENCY_OBJECTIVE_S = 0.2
 
 
 class Flood:
-    """One arm of the measurement."""
+    """One arm of the benchmark: with or without admission control, with or without the flood."""
 
     def __init__(
         self,
@@ -59,10 +60,10 @@
         self.counts: dict[str, dict[str, int]] = {t: {} for t in self.rates}
         self.times: dict[str, list[float]] = {t: [] for t in self.rates}
         self.returned = {"told": 0, "served": 0}
-        self.number = 0
+        self.requests_sent = 0
 
     def run(self) -> dict[str, Any]:
-        """Play it."""
+        """Run this arm and return its figures."""
         from twisted.internet import reactor
 
         self.reactor: Any = reactor
@@ -73,39 +74,39 @@
             "read_work": {"least": "8 ms", "most": "12 ms"},
             "write_work": {"least": "4 ms", "most": "8 ms"},
         }
-        settings["log"]["lines_per_second"] = 200  # an operator's default
+        settings["log"]["lines_per_second"] = 200  # the default of the settings
         settings["door"] = {"tenant": ["app_name"], "client": ["session"]}
         if not self.admission:
             del settings["door"]
-        with tempfile.TemporaryDirectory() as place:
-            stage = Stage(settings, Path(place))
-            burning = CpuLoad(self.seconds + 30.0)
+        with tempfile.TemporaryDirectory() as directory:
+            stage = Stage(settings, Path(directory))
+            cpu_load = CpuLoad(self.seconds + 30.0)
             try:
                 address = stage.driver("one")
                 pid = stage.drivers["one"].process.pid
                 if self.burners:
-                    burning.beside(pid, 1, self.burners)
-                record = Recorder(f"{place}/clients.jsonl", "clients")
-                self.callers = {
-                    t: LoadClient(reactor, "one", address, record, app_name=t) for t in self.rates
+                    cpu_load.beside(pid, 1, self.burners)
+                recorder = Recorder(f"{directory}/clients.jsonl", "clients")
+                self.clients = {
+                    t: LoadClient(reactor, "one", address, recorder, app_name=t) for t in self.rates
                 }
                 self.began = now()
                 for tenant in self.rates:
-                    self._next(tenant, 0.0)
+                    self._schedule_next(tenant, 0.0)
                 memory: list[int] = []
-                self._watch(pid, memory)
+                self._sample_memory(pid, memory)
                 reactor.callLater(self.seconds + 2.5, reactor.stop)
                 gc.collect()
-                gc.freeze()  # a collector's pause in the clients would be a burst of arrivals
+                gc.freeze()  # a garbage collection pause in the clients would cause a burst of arrivals
                 gc.set_threshold(100_000, 50, 1000)
                 reactor.run()
-                record.close()
+                recorder.close()
             finally:
                 stage.stop()
-                burning.stop()
-            lines = (Path(place) / "one.log").read_text(errors="replace").splitlines()
+                cpu_load.stop()
+            lines = (Path(directory) / "one.log").read_text(errors="replace").splitlines()
             stopped = next((json.loads(x) for x in reversed(lines) if '"event": "stopped"' in x), {})
-            records = read_records([Path(place) / "clients.jsonl", Path(place) / "members.jsonl"])
+            records = read_records([Path(directory) / "clients.jsonl", Path(directory) / "members.jsonl"])
         classes = {
             "map-read": ClassGuarantees("bounded", 0.5, "safe", 0.0),
             "upload": ClassGuarantees("write", 0.0, "keyed", 1.2),
@@ -117,9 +118,9 @@
             "p99_ms": {
                 t: sorted(v)[int(0.99 * (len(v) - 1))] * 1e3 if v else None for t, v in self.times.items()
             },
-            "delays": {"clients": [record.longest, record.sum / max(1, record.waits)]},
+            "delays": {"clients": [recorder.longest, recorder.sum / max(1, recorder.waits)]},
             "p50_ms": {t: median(v) * 1e3 if v else None for t, v in self.times.items()},
-            "in_time": {t: sum(x <= AIM for x in v) for t, v in self.times.items()},
+            "in_time": {t: sum(x <= LATENCY_OBJECTIVE_S for x in v) for t, v in self.times.items()},
             "returned": self.returned,
             "memory_mb": [median(memory[third : 2 * third]) / 1e6, median(memory[2 * third :]) / 1e6],
             "broken": sum(f.broken for f in findings),
@@ -128,26 +129,26 @@
             "driver": stopped,
         }
 
-    def _watch(self, pid: int, memory: list[int]) -> None:
-        pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-        memory.append(pages * resource.getpagesize())
+    def _sample_memory(self, pid: int, memory: list[int]) -> None:
+        resident_pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
+        memory.append(resident_pages * resource.getpagesize())
         if now() - self.began < self.seconds:
-            self.reactor.callLater(0.1, self._watch, pid, memory)
+            self.reactor.callLater(0.1, self._sample_memory, pid, memory)
 
-    def _next(self, tenant: str, planned: float) -> None:
+    def _schedule_next(self, tenant: str, planned: float) -> None:
         planned += self.random.expovariate(self.rates[tenant])
         if planned < self.seconds:
             self.reactor.callLater(max(0.0, self.began + planned - now()), self._arrive, tenant, planned)
 
     def _arrive(self, tenant: str, planned: float) -> None:
-        self._next(tenant, planned)
-        self._ask(tenant, returning=False)
+        self._schedule_next(tenant, planned)
+        self._send(tenant, is_retry=False)
 
-    def _ask(self, tenant: str, returning: bool, session: bytes = b"") -> None:
-        self.number += 1
+    def _send(self, tenant: str, is_retry: bool, session: bytes = b"") -> None:
+        self.requests_sent += 1
         writes = tenant == "stations"
         name = "upload" if writes else "map-read"
-        rid = f"{tenant}-{self.number}"
+        rid = f"{tenant}-{self.requests_sent}"
         if writes:
             command: dict[str, Any] = {"insert": "readings", "documents": [{"_id": rid}]}
             command["txnNumber"] = bson.Int64(1)
@@ -156,37 +157,39 @@
         session = session or self.random.randbytes(16)
         command |= {"lsid": {"id": bson.Binary(session, 4)}}
         command |= {"$db": "sky", "comment": {"class": name, "rid": rid}}
-        ask = ClientAttempt(rid, rid, "one", name, command, 0.8, writes, writes)
-        self.callers[tenant].send(ask, lambda got: self._got(tenant, got, returning, session))
+        attempt = ClientAttempt(rid, rid, "one", name, command, 0.8, writes, writes)
+        self.clients[tenant].send(
+            attempt, lambda outcome: self._on_outcome(tenant, outcome, is_retry, session)
+        )
 
-    def _got(self, tenant: str, got: ClientOutcome, returning: bool, session: bytes) -> None:
-        if returning:
-            self.returned["served"] += got.verdict == "served"
+    def _on_outcome(self, tenant: str, outcome: ClientOutcome, is_retry: bool, session: bytes) -> None:
+        if is_retry:
+            self.returned["served"] += outcome.verdict == "served"
             return
         counts = self.counts[tenant]
-        counts[got.verdict] = counts.get(got.verdict, 0) + 1
-        if got.verdict == "served":
-            self.times[tenant].append(got.elapsed)
-        # One in ten of those promised a time comes back then, in its session.
-        if got.verdict == "refused" and got.reply.get("promised") and self.random.random() < 0.1:
-            if now() - self.began + got.retry_after < self.seconds:
+        counts[outcome.verdict] = counts.get(outcome.verdict, 0) + 1
+        if outcome.verdict == "served":
+            self.times[tenant].append(outcome.elapsed)
+        # One in ten of the requests rejected with a reservation is retried at that time, in the same session.
+        if outcome.verdict == "refused" and outcome.reply.get("promised") and self.random.random() < 0.1:
+            if now() - self.began + outcome.retry_after < self.seconds:
                 self.returned["told"] += 1
-                self.reactor.callLater(got.retry_after, self._ask, tenant, True, session)
+                self.reactor.callLater(outcome.retry_after, self._send, tenant, True, session)
 
 
 def jain(values: list[float]) -> float:
-    """Jain's index: 1 where all are equal."""
+    """Return Jain's fairness index of the values; it is 1 if all are equal."""
     return sum(values) ** 2 / (len(values) * sum(v * v for v in values)) if any(values) else 0.0
 
 
 @click.command()
 @click.option("--seconds", default=8.0)
 @click.option("--seed", default=1)
-@click.option("--councils", default=160.0, help="Requests a second of each council.")
-@click.option("--burners", default=0, help="Processes that share the driver's core.")
+@click.option("--councils", default=160.0, help="Requests per second of each council.")
+@click.option("--burners", default=0, help="Busy processes that share the proxy's core.")
 @click.option("--arm", default="", hidden=True)
 def main(seconds: float, seed: int, councils: float, burners: int, arm: str) -> None:
-    """Print the table."""
+    """Run all arms and print a table for each."""
     if arm:
         print(json.dumps(Flood(seconds, seed, "admission" in arm, "flood" in arm, councils, burners).run()))
         return
@@ -194,19 +197,19 @@
     for name in ("calm admission", "flood", "flood admission"):
         arguments = ["--seconds", str(seconds), "--seed", str(seed), "--arm", name]
         arguments += ["--councils", str(councils), "--burners", str(burners)]
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "benchmarks.flood", *arguments], capture_output=True, text=True, check=True
         )
-        results[name] = json.loads(done.stdout)
+        results[name] = json.loads(completed.stdout)
     calm = results["calm admission"]
     for name, result in results.items():
         print(f"\n{name}: {result['checked']} cases checked, {result['broken']} broken")
         for text in result["told"]:
             print(f"  {text}")
-        late = {k: v for k, v in result["driver"].items() if k.endswith("_ms") or k == "too_slow"}
-        latest, mean = result["delays"]["clients"]
-        print(f"clients: at most {latest * 1e3:.0f} ms late, {mean * 1e3:.2f} ms in the mean")
-        print("driver: " + ", ".join(f"{k} {v:g}" for k, v in late.items()))
+        lag_figures = {k: v for k, v in result["driver"].items() if k.endswith("_ms") or k == "too_slow"}
+        longest_delay, mean_delay = result["delays"]["clients"]
+        print(f"clients: longest delay {longest_delay * 1e3:.0f} ms, mean {mean_delay * 1e3:.2f} ms")
+        print("proxy: " + ", ".join(f"{k} {v:g}" for k, v in lag_figures.items()))
         print(
             f"{'tenant':12}{'asked':>8}{'served':>8}{'in time':>9}{'refused':>9}{'failed':>8}"
             f"{'p50 ms':>9}{'p99 ms':>9}"
@@ -221,25 +224,31 @@
             print(f"{tenant:12}{line}{times}")
         of_calm = [result["in_time"][t] / max(1, calm["in_time"][t]) for t in calm["in_time"]]
         parts = ", ".join(f"{t} {x:.2f}" for t, x in zip(calm["in_time"], of_calm, strict=True))
-        print(f"in time, of the calm day: {parts}")
+        print(f"in time, relative to the calm arm: {parts}")
         if "public" in result["counts"]:
             served = [result["counts"][t].get("served", 0) for t in READERS]
-            fair = sum(served) / len(READERS)  # each asks for no less than it is owed, or gets all it asks
-            owed = [min(fair, sum(result["counts"][t].values())) for t in READERS]
-            shares = [min(1.0, s / max(o, 1.0)) for s, o in zip(served, owed, strict=True)]
+            # A tenant's fair share is an equal part, or all that it requested if that is less.
+            fair = sum(served) / len(READERS)
+            fair_shares = [min(fair, sum(result["counts"][t].values())) for t in READERS]
+            shares = [min(1.0, s / max(f, 1.0)) for s, f in zip(served, fair_shares, strict=True)]
             in_time = sum(result["in_time"].values()) / max(
                 1, sum(c.get("served", 0) for c in result["counts"].values())
             )
             slower = {
                 t: result["p99_ms"][t] / calm["p99_ms"][t] for t in calm["p99_ms"] if result["p99_ms"][t]
             }
-            print("p99, of the calm day: " + ", ".join(f"{t} {x:.1f}" for t, x in slower.items()))
-            print(f"of what was served, in time: {in_time:.2f}")
-            print(f"of its fair share: worst tenant {min(shares):.2f}, Jain's index {jain(shares):.3f}")
-        told = result["returned"]
-        if told["told"]:
-            print(f"came back when told: {told['told']}, served {told['served'] / told['told']:.1%}")
-        print("memory, middle and last third: {:.1f}, {:.1f} MB".format(*result["memory_mb"]))
+            print("p99, relative to the calm arm: " + ", ".join(f"{t} {x:.1f}" for t, x in slower.items()))
+            print(f"share of served requests that were in time: {in_time:.2f}")
+            print(
+                f"served, of its fair share: worst tenant {min(shares):.2f}, Jain's index {jain(shares):.3f}"
+            )
+        retries = result["returned"]
+        if retries["told"]:
+            print(
+                f"retried at the reserved time: {retries['told']},"
+                f" served {retries['served'] / retries['told']:.1%}"
+            )
+        print("median memory in the middle and last third: {:.1f}, {:.1f} MB".format(*result["memory_mb"]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/in_flight_check.py
+++ b/benchmarks/in_flight_check.py
@@ -1,8 +1,8 @@
-"""Compares the router's in-flight count with the statements on its sockets, from a log with the trace on.
+"""Compares the router's in-flight counts with the statements pending on its sockets, from a trace in a log.
 
 `python -m benchmarks.in_flight_check LOG` reads the lines that SEDGEPITCH_TRACE=1 writes. For each endpoint
-it compares the attempts that the router counts as in flight with the statements that were written and not yet
-answered or ended, weighted by time, and shows how old the reported positions were.
+it compares the attempts that the router counts as in flight with the statements written but not yet answered
+or ended, weighted by time, and reports the median age of the replication positions.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 @dataclass
 class EndpointComparison:
-    """One endpoint. Sums are counts times seconds."""
+    """Both counts for one endpoint. Sums are counts multiplied by seconds."""
 
-    router_count: int = 0  # now, as is the next one
+    router_count: int = 0  # current value, like busy_connections
     busy_connections: set[int] = field(default_factory=set)
     last_at: float = 0.0
     differs_since: float | None = None
@@ -34,7 +34,7 @@
     not_ok: int = 0
 
     def advance(self, now: float) -> None:
-        """Add the time since the last line with the counts as they stood."""
+        """Add the time since the previous line, weighted with the counts before this one."""
         span_s = max(0.0, now - self.last_at) if self.last_at else 0.0
         busy = len(self.busy_connections)
         self.total_s += span_s
@@ -60,7 +60,7 @@
             self.busy_connections.discard(line["connection"])
 
     def compare(self, now: float) -> None:
-        """Note since when the two counts have differed."""
+        """Track how long the two counts have differed."""
         if self.router_count == len(self.busy_connections):
             if self.differs_since is not None:
                 self.longest_difference_s = max(self.longest_difference_s, now - self.differs_since)
@@ -70,20 +70,20 @@
 
 
 def read_trace(lines: Iterable[str]) -> list[dict[str, Any]]:
-    """Return the lines of the trace by time; others, and those cut short, are left out."""
-    found = []
+    """Return the trace lines sorted by time; skips other lines and truncated ones."""
+    entries = []
     for line in lines:
         start = line.find('{"trace"')
         if start >= 0:
             try:
-                found.append(json.loads(line[start:]))
+                entries.append(json.loads(line[start:]))
             except ValueError:
                 continue
-    return sorted(found, key=lambda line: line["at"])
+    return sorted(entries, key=lambda line: line["at"])
 
 
 def compare(trace: list[dict[str, Any]]) -> dict[int, EndpointComparison]:
-    """Follow both counts of each endpoint through the trace."""
+    """Compute the comparison of each endpoint from the trace."""
     endpoints: dict[int, EndpointComparison] = defaultdict(EndpointComparison)
     for line in trace:
         if "endpoint" not in line:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,8 +1,8 @@
-"""How soon a killed peer is found dead, what is suspected falsely, and what gossip costs.
+"""Benchmarks gossip: detection time of a killed peer, false suspicions, traffic and processor time.
 
 `python -m benchmarks.peers [--sizes 8,16,32] [--losses 0,5,20] [--calm 15]`: processes on loopback, every
-datagram through a relay that loses a share. Times are from the kill to the first and the last that found it
-dead, on the one monotonic clock of the machine; processor time is a share of one core, a peer.
+datagram through a relay that drops a share. Detection times run from the kill to the first and the last peer
+that declares it dead, on the machine's monotonic clock; processor time is the share of one core per peer.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 TIMEOUT_S = 240.0
 SECONDS_PER_HOUR = 3600.0
-SEEDS = 2  # peers that the others ask first
+SEEDS = 2  # number of peers whose addresses the others start with
 
 
 @dataclass(slots=True, frozen=True)
 class Costs:
-    """False suspicions and deaths an hour and peer, bytes a second and peer, share of a core a peer."""
+    """Per peer: false suspicions and deaths per hour, bytes sent per second, share of a core."""
 
     suspicions: float
     deaths: float
@@ -44,7 +44,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody holds now."""
+    """Return TCP ports that are free now."""
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for bound in sockets:
@@ -53,7 +53,7 @@
 
 
 def measure(count: int, loss: float, calm: float, seed: int) -> Measurement:
-    """Run one cluster: it finds itself, is left alone for `calm` seconds, then loses one peer."""
+    """Run one cluster: wait until all peers know all, measure `calm` seconds, then kill one peer."""
     with tempfile.TemporaryDirectory() as folder, ExitStack() as stack:
         addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
         relays = [Link(address, seed + number) for number, address in enumerate(addresses)]
@@ -76,7 +76,7 @@
 def start_peers(
     key: Path, addresses: list[str], relays: list[Link], stack: ExitStack
 ) -> dict[str, PeerProcess]:
-    """Start a peer at each address, which reaches the others through the relays."""
+    """Start a peer at each address; peers reach each other through the relays."""
     new_key_file(key)
     routes = [x for number, relay in enumerate(relays) for x in ("--route", f"d{number}={relay.address}")]
     peers: dict[str, PeerProcess] = {}
@@ -89,24 +89,24 @@
 
 
 def measure_costs(peers: dict[str, PeerProcess], calm: float) -> Costs:
-    """Measure what running peers cost over some seconds in which nothing fails."""
+    """Measure the costs of running peers over `calm` seconds without failures."""
     before = {name: peer.status() for name, peer in peers.items()}
     processor_before = {name: processor_time(peer.process.pid) for name, peer in peers.items()}
     began = time.monotonic()
     time.sleep(calm)
-    passed = time.monotonic() - began
+    elapsed = time.monotonic() - began
     after = {name: peer.status() for name, peer in peers.items()}
     used = sum(processor_time(peer.process.pid) - processor_before[name] for name, peer in peers.items())
 
     def rate(field: str) -> float:
-        grown = sum(after[name][field] - before[name][field] for name in peers)
-        return float(grown) / passed / len(peers)
+        increase = sum(after[name][field] - before[name][field] for name in peers)
+        return float(increase) / elapsed / len(peers)
 
     return Costs(
         rate("suspicions") * SECONDS_PER_HOUR,
         rate("deaths") * SECONDS_PER_HOUR,
         rate("sent_bytes"),
-        used / passed / len(peers),
+        used / elapsed / len(peers),
     )
 
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,4 +1,4 @@
-"""Processes for the measurements: quick members, a driver before them, a port forward, and load."""
+"""Processes for the benchmarks: fast endpoints, proxies before them, a port forward and load generators."""
 
 from __future__ import annotations
 
@@ -14,32 +14,34 @@
 
 from sedgepitch.scenarios.processes import Process
 
-MEMBERS = 6
+ENDPOINTS = 6
 
 
 class Rig:
-    """Members, a port forward to the first replica, and drivers; ends all of them."""
+    """Endpoints, a port forward to the first replica, and proxies; `stop` ends all of them."""
 
     def __init__(self) -> None:
         self.directory = tempfile.TemporaryDirectory()
-        self.place = Path(self.directory.name)
+        self.directory_path = Path(self.directory.name)
         self.processes: list[subprocess.Popen] = []
-        self.drivers: list[Process] = []
-        self.ports = self._peer("member", str(MEMBERS))
+        self.proxies: list[Process] = []
+        self.ports = self._start_peer("member", str(ENDPOINTS))
         self.direct = f"127.0.0.1:{self.ports[1]}"
-        self.forward = f"127.0.0.1:{self._peer('forward', self.direct)[0]}"
+        self.forward = f"127.0.0.1:{self._start_peer('forward', self.direct)[0]}"
 
-    def _peer(self, *arguments: str) -> list[int]:
+    def _start_peer(self, *arguments: str) -> list[int]:
         process = subprocess.Popen(
             [sys.executable, "-m", "benchmarks.peer", *arguments], stdout=subprocess.PIPE, text=True
         )
         self.processes.append(process)
         return [int(port) for port in process.stdout.readline().split()[1:]]
 
-    def driver(self, name: str, workers: int = 1, reactor: str = "uvloop", door: bool = False) -> str:
-        """Start a driver; returns its address."""
+    def start_proxy(
+        self, name: str, workers: int = 1, reactor: str = "uvloop", admission: bool = False
+    ) -> str:
+        """Start a proxy and return its address."""
         settings = yaml.safe_load(files("sedgepitch.config").joinpath("example.yaml").read_text())
-        for part in ("follow", "standins", *(() if door else ("door",))):
+        for part in ("follow", "standins", *(() if admission else ("door",))):
             settings.pop(part)
         settings["driver"] = {"name": name, "zone": "north", "reactor": reactor}
         settings["listen"] = "127.0.0.1:0"
@@ -53,19 +55,19 @@
             with socket.socket() as free:
                 free.bind(("127.0.0.1", 0))
                 settings["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
-        path = self.place / f"{name}.yaml"
+        path = self.directory_path / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
         process = Process(
-            ["serve", "--config", str(path), "--workers", str(workers)], self.place / f"{name}.log"
+            ["serve", "--config", str(path), "--workers", str(workers)], self.directory_path / f"{name}.log"
         )
-        self.drivers.append(process)
+        self.proxies.append(process)
         address = "{}:{}".format(*process.ready())
         for _ in range(workers - 1):
             process.ready()
         return address
 
     def load(self, address: str, connections: int, seconds: float, loaders: int = 1) -> dict:
-        """Load one address from so many processes; rates add up, latencies are the worst loader's."""
+        """Load one address from `loaders` processes; adds up rates, returns the worst of other figures."""
         arguments = [address, str(max(1, connections // loaders)), str(seconds)]
         running = [
             subprocess.Popen(
@@ -80,8 +82,8 @@
         return {"rate": sum(r["rate"] for r in results), **out}
 
     def stop(self) -> None:
-        """End all."""
-        for process in self.drivers:
+        """Stop all processes and remove their files."""
+        for process in self.proxies:
             process.stop()
         for process in self.processes:
             process.terminate()
@@ -89,6 +91,6 @@
         self.directory.cleanup()
 
 
-def middle(rows: list[dict]) -> dict:
-    """The median of each figure over rounds."""
+def medians(rows: list[dict]) -> dict:
+    """Return the median of each figure over the rounds."""
     return {name: median(row[name] for row in rows) for name in rows[0]}
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,7 +1,7 @@
-"""Where one request's time goes in the driver, part by part, and what an idle client connection holds.
+"""Benchmarks the parts of the proxy's time per request, and the memory of an idle client connection.
 
-`python -m benchmarks.shares`. Each part runs by itself on the messages of the throughput measurement, so the
-rest (sockets, the reactor, glue) is what the whole takes beyond their sum. Some ten seconds.
+`python -m benchmarks.shares`. Each part runs alone on the messages of the throughput benchmark. The remainder
+(sockets, reactor, glue code) is the time of a whole request minus their sum. Takes about ten seconds.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def time_of(call: Callable[[], object]) -> float:
-    """Microseconds a call, the best of three runs."""
+    """Return microseconds per call, the best of three runs."""
     best = float("inf")
     for _ in range(3):
         began = time.perf_counter()
@@ -39,13 +39,13 @@
     return best / REPEAT * 1e6
 
 
-def module_call(settings, members: int = 6) -> Callable[[], object]:
-    """One arrival and its answer in the module, the clock running on."""
+def router_call(settings, endpoint_count: int = 6) -> Callable[[], object]:
+    """Return a function that passes one request and its answer through the router, with advancing time."""
     router = Router(settings.module_settings(), 1)
-    listings = tuple(
-        api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(members)
+    entries = tuple(
+        api.EndpointEntry(n + 1, 0, api.EndpointState.UP, "north", n == 0) for n in range(endpoint_count)
     )
-    router.handle(10.0, [api.EndpointListUpdate(listings, complete=True)])
+    router.handle(10.0, [api.EndpointListUpdate(entries, complete=True)])
     state = [10.0, 0]
 
     def call() -> None:
@@ -53,9 +53,9 @@
         state[1] += 1
         number = state[1]
         actions = router.handle(state[0], [api.RequestReceived(number, "history-read", 0, 0.5)])
-        member = next(a.endpoint for a in actions if isinstance(a, api.SendAttempt))
+        endpoint = next(a.endpoint for a in actions if isinstance(a, api.SendAttempt))
         end = api.AttemptFinished(
-            number, 0, member, api.AttemptResult.OK, 0.002, True, None, None, api.LoadReport(state[0], None)
+            number, 0, endpoint, api.AttemptResult.OK, 0.002, True, None, None, api.LoadReport(state[0], None)
         )
         router.handle(state[0] + 0.0002, [end])
 
@@ -90,48 +90,48 @@
             codec.parse(reply),
             codec.build(answer.body, 1, 1),
         ),
-        "command: fields read": lambda: read(message),
+        "command: read fields": lambda: read(message),
         "classify": classify,
-        "module": module_call(settings),
-        "upstream: message built, reply judged": upstream,
+        "router": router_call(settings),
+        "upstream: build message, summarize reply": upstream,
     }
-    taken = {name: time_of(call) for name, call in parts.items()}
+    durations = {name: time_of(call) for name, call in parts.items()}
     rig = Rig()
     try:
-        address = rig.driver("one")
+        address = rig.start_proxy("one")
         whole = 1e6 / rig.load(address, 32, 3.0)["rate"]
         print(f"{'part':42}{'us':>8}{'share':>8}")
-        for name, figure in taken.items():
-            print(f"{name:42}{figure:>8.1f}{figure / whole:>8.0%}")
-        rest = whole - sum(taken.values())
+        for name, duration in durations.items():
+            print(f"{name:42}{duration:>8.1f}{duration / whole:>8.0%}")
+        rest = whole - sum(durations.values())
         print(f"{'sockets, reactor, engine, pool, metrics':42}{rest:>8.1f}{rest / whole:>8.0%}")
         print(f"{'one request (32 connections)':42}{whole:>8.1f}")
-        print(f"{'(bson.decode of the command, for scale)':42}{time_of(lambda: bson.decode(REQUEST)):>8.1f}")
+        print(f"{'(bson.decode of the command, to compare)':42}{time_of(lambda: bson.decode(REQUEST)):>8.1f}")
         idle(rig, address)
     finally:
         rig.stop()
 
 
 def idle(rig: Rig, address: str) -> None:
-    """Memory of idle client connections."""
+    """Measure the memory of idle client connections and the throughput beside them."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    pid = rig.drivers[0].process.pid
+    pid = rig.proxies[0].process.pid
 
     def resident() -> int:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * resource.getpagesize()
 
     host, _, port = address.rpartition(":")
-    before, held = resident(), []
+    before, connections = resident(), []
     count = 10_000
     for _ in range(count):
-        held.append(socket.create_connection((host, int(port))))
-    held[-1].sendall(codec.build(REQUEST, 1, 0))
-    assert held[-1].recv(1000)
+        connections.append(socket.create_connection((host, int(port))))
+    connections[-1].sendall(codec.build(REQUEST, 1, 0))
+    assert connections[-1].recv(1000)
     print(f"\n{count} idle connections: {(resident() - before) / count / 1024:.1f} KiB each")
     rate = rig.load(address, 32, 2.0)["rate"]
-    for each in held:
-        each.close()
+    for connection in connections:
+        connection.close()
     time.sleep(1.0)
     print(f"requests/s at 32 beside them: {rate / rig.load(address, 32, 2.0)['rate']:.2f} of without")
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,12 +1,12 @@
-"""Zone failover and recovery: together with peers, each instance alone, and notified at once by discovery.
+"""Benchmarks zone failover and recovery: with gossip, without, and with immediate notice from discovery.
 
 `python -m benchmarks.zones {leave,return,false,cost} [--seeds 3] [--at-once 2] [--drivers 12] [--rate R]`:
-processes on loopback by `sedgepitch fleet-scenario`. In a table all modes play the same scenarios and seeds.
+processes on loopback by `sedgepitch fleet-scenario`. All modes in a table run the same scenarios and seeds.
 
-leave   a zone of three stops answering for 8 s: when instances left it, what was still sent there, value
-return  a zone crashes and starts anew: when it was in full use again, what was overloaded
-false   scenarios in which no zone is to be left: calm, overload, one faulty endpoint, one Byzantine instance
-cost    processor time of an instance in calm scenarios, together and alone
+leave   one of three zones stops answering for 8 s: when instances left it, requests still sent there, value
+return  a zone crashes and restarts: when it was in full use again, which servers were overloaded
+false   scenarios in which no zone should be left: calm, overload, a faulty endpoint, a Byzantine instance
+cost    processor time of an instance in calm scenarios, with gossip (together) and without (alone)
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 import yaml
 
 Scenario = dict[str, Any]  # a script of `sedgepitch fleet-scenario`, as in its YAML
-Result = dict[str, Any]  # what it writes as JSON
+Result = dict[str, Any]  # the JSON that it writes
 
 BASE: Scenario = {"drivers": 12, "members": 9, "rate": 240}
 LEAVE_SCENARIO = {**BASE, "length": 24, "steps": [{"at": 5, "do": "lose", "zone": "south", "for": 8}]}
-# Endpoints are slow enough that a zone's start shows, and are overloaded as the rules state.
+# Endpoints are slow enough that a cold start is visible, and are overloaded by the rules' definition.
 COLD_START_SCENARIO = {
     **BASE,
     "length": 22,
@@ -62,31 +62,31 @@
 MODES = {"together": [], "alone": ["--alone"], "notified at once": ["--told"]}
 
 
-def play(scenario: Scenario, seed: int, *flags: str) -> Result:
-    """Play one scenario in a process of its own."""
+def run_scenario(scenario: Scenario, seed: int, *flags: str) -> Result:
+    """Run one scenario in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        script, out = Path(folder) / "day.yaml", Path(folder) / "day.json"
+        script, out = Path(folder) / "scenario.yaml", Path(folder) / "result.json"
         script.write_text(yaml.safe_dump(scenario))
         arguments = ["--script", str(script), "--json", str(out), "--seed", str(seed), *flags]
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "sedgepitch", "fleet-scenario", *arguments], capture_output=True, text=True
         )
         if not out.exists():
-            raise SystemExit(done.stderr.strip() or done.stdout[-500:])
-        return {**json.loads(out.read_text()), "broken": done.returncode}
+            raise SystemExit(completed.stderr.strip() or completed.stdout[-500:])
+        return {**json.loads(out.read_text()), "broken": completed.returncode}
 
 
 def figure(rows: list[Result], name: str) -> str:
-    """Return the mean of one figure over seeds, with its largest."""
+    """Return the mean of one figure over the seeds, and its maximum in brackets."""
     values = [r[name] for r in rows if r[name] is not None]
     return f"{mean(values):.2f} ({max(values):.2f})" if values else "-"
 
 
 def compare(scenario: Scenario, seeds: int, at_once: int, columns: dict[str, str]) -> None:
-    """Print one row a mode: means over seeds, the largest in brackets."""
+    """Print one row per mode: means over the seeds, maxima in brackets."""
     jobs = [(mode, seed) for seed in range(1, seeds + 1) for mode in MODES]
     with ThreadPoolExecutor(at_once) as pool:
-        played = list(pool.map(lambda job: play(scenario, job[1], *MODES[job[0]]), jobs))
+        played = list(pool.map(lambda job: run_scenario(scenario, job[1], *MODES[job[0]]), jobs))
     print("| mode | " + " | ".join(columns.values()) + " | spread of leaving s | overloaded | rules broken |")
     print("| --- |" + " --- |" * (len(columns) + 3))
     for mode in MODES:
@@ -101,42 +101,42 @@
 
 
 def violations(result: Result) -> list[str]:
-    """Return the texts of all rules that were broken in a scenario."""
+    """Return the texts of all rule violations in a scenario."""
     return [text for rule in result["rules"] for text in rule["told"]]
 
 
 def false_leaves(seeds: int, at_once: int) -> None:
-    """Print the scenarios in which no zone is to be left."""
+    """Print the results of the scenarios in which no zone should be left."""
     jobs = [(name, seed) for name in FALSE_LEAVE_SCENARIOS for seed in range(1, seeds + 1)]
     with ThreadPoolExecutor(at_once) as pool:
-        played = list(pool.map(lambda job: play(FALSE_LEAVE_SCENARIOS[job[0]], job[1]), jobs))
-    print("| scenario | played | suspected | left or begun to | rules broken | of a core an instance |")
+        played = list(pool.map(lambda job: run_scenario(FALSE_LEAVE_SCENARIOS[job[0]], job[1]), jobs))
+    print("| scenario | played | suspected | leaving or left | rules broken | share of a core per instance |")
     print("| --- | --- | --- | --- | --- | --- |")
     for name in FALSE_LEAVE_SCENARIOS:
         results = [result for (n, _), result in zip(jobs, played, strict=True) if n == name]
         events = [event for result in results for event in result["events"]]
-        left = sum(event["state"] in ("leaving", "left") for event in events)
+        left_count = sum(event["state"] in ("leaving", "left") for event in events)
         suspected = sum(event["state"] == "suspected" for event in events)
         broken = sum(result["broken"] for result in results)
         cores = mean(result["cores"] for result in results)
-        print(f"| {name} | {len(results)} | {suspected} | {left} | {broken} | {cores:.2%} |")
+        print(f"| {name} | {len(results)} | {suspected} | {left_count} | {broken} | {cores:.2%} |")
 
 
 def cost(seeds: int, at_once: int) -> None:
-    """Print the processor time of an instance in calm scenarios, with zones and peers, and alone."""
+    """Print the processor time of an instance in calm scenarios, with gossip and without."""
     jobs = [(mode, seed) for seed in range(1, seeds + 1) for mode in ("together", "alone")]
     calm = FALSE_LEAVE_SCENARIOS["calm"]
     with ThreadPoolExecutor(at_once) as pool:
-        played = list(pool.map(lambda job: play(calm, job[1], *MODES[job[0]])["cores"], jobs))
+        played = list(pool.map(lambda job: run_scenario(calm, job[1], *MODES[job[0]])["cores"], jobs))
     cores = {
-        wanted: mean(share for (mode, _), share in zip(jobs, played, strict=True) if mode == wanted)
-        for wanted in ("together", "alone")
+        selected: mean(share for (mode, _), share in zip(jobs, played, strict=True) if mode == selected)
+        for selected in ("together", "alone")
     }
-    print(f"of a core an instance, calm: together {cores['together']:.2%}, alone {cores['alone']:.2%}")
+    print(f"share of a core per instance, calm: together {cores['together']:.2%}, alone {cores['alone']:.2%}")
 
 
 def main() -> None:
-    """Print one table."""
+    """Run the selected benchmark and print its table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=("leave", "return", "false", "cost"))
     parser.add_argument("--seeds", type=int, default=3)
