--- a/sedgepitch/observe/metrics.py
+++ b/sedgepitch/observe/metrics.py
@@ -30,27 +30,27 @@
             ("sedgepitch_owed", "Requests pending.", requests.pending),
             (
                 "sedgepitch_overdue",
-                "Requests answered by the last guard, without a decision.",
+                "Requests answered by the last guard only.",
                 engine.answered_by_last_guard,
             ),
             (
                 "sedgepitch_answered_twice",
-                "Duplicate answers that were suppressed.",
+                "Second answers that were suppressed.",
                 requests.duplicate_responses,
             ),
             ("sedgepitch_left", "Clients that disconnected before their answer.", requests.cancelled),
-            ("sedgepitch_reserve_seconds", "Deadline margin for event loop lag.", deadline_margin),
-            ("sedgepitch_latest_seconds", "Longest event loop lag.", lag.longest),
-            ("sedgepitch_too_slow", "Requests rejected because of event loop lag.", engine.rejected_for_lag),
+            ("sedgepitch_reserve_seconds", "Deadline margin for the event loop's lag.", deadline_margin),
+            ("sedgepitch_latest_seconds", "Longest lag of the event loop.", lag.longest),
+            ("sedgepitch_too_slow", "Requests rejected for the event loop's lag.", engine.rejected_for_lag),
             (
                 "sedgepitch_too_many",
-                "Requests rejected because this process is overloaded.",
+                "Requests rejected for the load of this process.",
                 engine.rejected_for_load,
             ),
             ("sedgepitch_own_limit", "Concurrency limit of this process.", engine.process_limit.limit),
             (
                 "sedgepitch_hurried",
-                "Requests answered early because of event loop lag.",
+                "Requests answered early since the loop was late.",
                 engine.answered_early,
             ),
         ]
@@ -73,7 +73,7 @@
             "sedgepitch_input_errors", "Malformed input.", ("kind",), registry=self.registry
         )
         self.faults = Counter(
-            "sedgepitch_faults", "Exceptions raised by callbacks.", ("at",), registry=self.registry
+            "sedgepitch_faults", "Exceptions of callbacks.", ("at",), registry=self.registry
         )
         self.seconds = Histogram(
             "sedgepitch_answer_seconds",
