--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -1,4 +1,7 @@
-"""Events that come between a decision and its effect, forced by order; peers on real loopback sockets."""
+"""Races: events that arrive between a decision and its effect. The order of events is forced, not timed.
+
+Tests in which a peer closes its connection use real loopback sockets.
+"""
 
 from __future__ import annotations
 
@@ -30,52 +33,52 @@
 from tests.support.postgresql_harness import ROW, PostgresqlProxy, errors, messages, read, write
 from tests.support.router_harness import SETTINGS, entry
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_ZERO = struct.pack("ii", 1, 0)  # closing a socket with this option sends a TCP reset
 
 
-def peer(wire) -> socket.socket:
-    """Put a real connection under a played transport; returns the client's end."""
+def connect_socket(wire) -> socket.socket:
+    """Give the fake transport a real socket and return the client's end of that connection."""
     server = socket.create_server(("127.0.0.1", 0))
-    theirs = socket.create_connection(server.getsockname())
+    client = socket.create_connection(server.getsockname())
     wire.socket, _ = server.accept()
     wire.socket.setblocking(False)
     server.close()
-    return theirs
+    return client
 
 
-def leave(theirs: socket.socket, how: str) -> None:
-    """End the client's side."""
+def disconnect(client: socket.socket, how: str) -> None:
+    """Close the client's socket; with `how` "reset", send a TCP reset instead of a FIN."""
     if how == "reset":
-        theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    theirs.close()
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
+    client.close()
 
 
-def ahead(proxy: PostgresqlProxy, connection, wire) -> int:
-    """Send statements ahead until the socket is left unread; returns how many."""
+def pipeline_until_paused(proxy: PostgresqlProxy, connection, wire) -> int:
+    """Pipeline statements until the proxy stops reading the socket; return how many were sent."""
     for number in itertools.count(100):
         if wire.producerState != "producing":
             return number - 100
         connection.dataReceived(read(number, d="60000"))
 
 
-# A client that leaves while its socket is left unread (the term of 0.3 s)
+# Clients that disconnect while their socket is not read; found within 0.3 s
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_disconnect_behind_unread_bytes_is_noticed_and_nothing_more_is_sent(how):
+def test_a_disconnect_behind_unread_bytes_is_detected_and_no_further_statement_is_forwarded(how):
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
-    theirs = peer(wire)
+    client = connect_socket(wire)
     connection.dataReceived(read(1, d="60000"))
     proxy.turn()
-    assert ahead(proxy, connection, wire) > 100
-    theirs.sendall(b"bytes that lie unread before the end")
-    leave(theirs, how)
+    assert pipeline_until_paused(proxy, connection, wire) > 100
+    client.sendall(b"bytes that lie unread before the end")
+    disconnect(client, how)
     proxy.pass_by(0.25)
     assert wire.aborted and proxy.listener.disconnects_found_unread == 1
     proxy.answer(0)
     proxy.pass_by(1.0)
-    assert len(proxy.endpoints.sent) == 1, "what stood behind the first is not sent on"
+    assert len(proxy.endpoints.sent) == 1, "pipelined statements behind the first are not forwarded"
     connection.connectionLost()
     assert (
         not proxy.engine.request_table.pending
@@ -84,13 +87,13 @@
     )
 
 
-def test_what_is_sent_ahead_is_read_on_as_it_is_served_and_not_only_when_all_is_done(monkeypatch):
+def test_reading_resumes_while_pipelined_statements_are_still_buffered(monkeypatch):
     monkeypatch.setattr(read_ahead, "EXTENDED_READ_AHEAD_BYTES", read_ahead.READ_AHEAD_BYTES)
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
     connection.dataReceived(read(1, d="60000"))
     proxy.turn()
-    count = ahead(proxy, connection, wire)
+    count = pipeline_until_paused(proxy, connection, wire)
     for _ in range(count):
         proxy.answer()
         if wire.producerState == "producing":
@@ -98,28 +101,28 @@
     assert wire.producerState == "producing" and read_ahead.READ_AHEAD_BYTES / 4 < connection.reader.held
 
 
-def test_a_request_read_late_whose_client_disconnected_is_not_sent():
+def test_a_request_read_late_is_not_forwarded_if_its_client_has_disconnected():
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
-    leave(peer(wire), "close")
-    wire.arrived = proxy.clock.now() - 0.4  # this driver stood still meanwhile
+    disconnect(connect_socket(wire), "close")
+    wire.arrived = proxy.clock.now() - 0.4  # the proxy process was suspended for 0.4 s
     connection.dataReceived(read(1, d="5000"))
     proxy.pass_by(1.0)
     assert not proxy.endpoints.sent and proxy.listener.disconnects_found_late == 1
 
 
-def test_one_whose_client_is_still_there_is_sent_however_late_it_was_read():
+def test_a_request_read_late_is_forwarded_if_its_client_is_still_connected():
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
-    theirs = peer(wire)
+    client = connect_socket(wire)
     wire.arrived = proxy.clock.now() - 0.4
     connection.dataReceived(read(1, d="5000"))
     proxy.turn()
     assert len(proxy.endpoints.sent) == 1
-    theirs.close()
+    client.close()
 
 
-def test_a_request_whose_client_disconnects_while_it_waits_in_the_router_is_not_sent():
+def test_a_request_whose_client_disconnects_while_it_is_queued_is_not_forwarded():
     proxy = PostgresqlProxy()
     proxy.engine.list_changed(
         api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
@@ -134,18 +137,18 @@
     assert not proxy.endpoints.sent and not proxy.engine.router.requests
 
 
-def test_a_repeated_id_replaces_an_unsent_one_whose_client_disconnected():
+def test_a_repeated_request_id_replaces_an_unsent_request_whose_client_disconnected():
     proxy = PostgresqlProxy()
     proxy.engine.list_changed(
         api.EndpointListUpdate((entry(1, state=api.EndpointState.DRAINING),), complete=True)
     )
     (old, old_wire), (new, new_wire) = proxy.client(), proxy.client()
-    theirs = peer(old_wire)
+    client = connect_socket(old_wire)
     old.dataReceived(write(1, d="5000"))
     proxy.turn()
     new.dataReceived(write(1, d="5000"))
-    assert len(errors(new_wire)) == 1, "the old one is still there"
-    leave(theirs, "close")  # its end lies unread
+    assert len(errors(new_wire)) == 1, "rejected as a duplicate while the first client is connected"
+    disconnect(client, "close")  # the proxy has not read the FIN yet
     new.dataReceived(write(1, d="5000"))
     proxy.turn()
     assert len(errors(new_wire)) == 1 and old_wire.aborted and not errors(old_wire)
@@ -153,57 +156,57 @@
     assert proxy.listener.open_request_ids == {b"1": new} and proxy.engine.request_table.pending == 1
 
 
-# Room for newcomers, and the end of a driver
+# Eviction for new connections, and graceful shutdown
 
 
-def test_no_idle_client_whose_request_lies_unread_is_evicted_for_a_newcomer():
+def test_eviction_for_a_new_connection_spares_a_client_with_an_unread_request():
     proxy = PostgresqlProxy(sockets=40)
     for number in range(proxy.descriptors.max_clients - 2):
         proxy.client()[0].dataReceived(read(number + 1))
     proxy.turn()
-    (_, first), (_, second) = proxy.client(), proxy.client()
-    theirs = peer(first)
-    theirs.sendall(read(77))
+    (_, with_unread_request), (_, idle) = proxy.client(), proxy.client()
+    client = connect_socket(with_unread_request)
+    client.sendall(read(77))
     proxy.client(greet=False)
-    assert [first.aborted, second.aborted] == [False, True]
-    theirs.close()
+    assert [with_unread_request.aborted, idle.aborted] == [False, True]
+    client.close()
 
 
-def test_a_shutdown_closes_no_client_whose_request_lies_unread():
+def test_a_shutdown_does_not_close_a_client_with_an_unread_request():
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
     _, idle = proxy.client()
-    theirs, others = peer(wire), peer(idle)
+    client, idle_client = connect_socket(wire), connect_socket(idle)
     proxy.listener.begin_shutdown(ShutdownSchedule(proxy.clock.now() - 10.0, 1.0))
-    theirs.sendall(read(1))
+    client.sendall(read(1))
     proxy.listener.close_idle_connections()
     assert idle.half_closed and not wire.half_closed and not wire.aborted
     wire.socket.recv(4096)
     connection.dataReceived(read(1))
     proxy.turn()
-    assert [e["C"] for e in errors(wire)] == ["53300"], "too late to be served, but answered"
+    assert [e["C"] for e in errors(wire)] == ["53300"], "answered with a rejection: too late to be served"
     proxy.listener.close_idle_connections()
     assert wire.half_closed
-    for held in (theirs, others):
-        held.close()
+    for end in (client, idle_client):
+        end.close()
 
 
-def test_a_shutdown_answers_each_statement_sent_ahead():
+def test_a_shutdown_answers_each_pipelined_statement():
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
     connection.dataReceived(read(1, d="9000") + read(2, d="9000") + read(3, d="9000"))
     proxy.turn()
-    ending = ShutdownSchedule(proxy.clock.now(), 0.5)
-    proxy.listener.begin_shutdown(ending)
-    proxy.engine.answer_all_by(ending.drain_deadline)
-    while proxy.clock.now() < ending.exit_deadline:
+    schedule = ShutdownSchedule(proxy.clock.now(), 0.5)
+    proxy.listener.begin_shutdown(schedule)
+    proxy.engine.answer_all_by(schedule.drain_deadline)
+    while proxy.clock.now() < schedule.exit_deadline:
         proxy.listener.close_idle_connections()
         proxy.turn(0.02)
     assert len(errors(wire)) == 3 and wire.half_closed and not proxy.engine.request_table.pending
     assert not proxy.engine.answered_by_last_guard
 
 
-def test_a_request_taken_long_before_the_signal_is_answered_before_the_end():
+def test_a_long_pending_request_is_answered_by_the_drain_deadline():
     for make, code in ((read, "53300"), (write, statement_handler.SQLSTATE_FAILED)):
         proxy = PostgresqlProxy()
         connection, wire = proxy.client()
@@ -214,21 +217,27 @@
         assert [e["C"] for e in errors(wire)] == [code]
 
 
-@pytest.mark.parametrize("longest", [0.05, 0.3, 1.0, 3.0, 60.0])
-def test_the_times_of_a_shutdown_are_in_order_for_every_deadline(longest):
-    ending = ShutdownSchedule(100.0, longest)
-    times = [100.0, ending.accept_until, ending.close_idle_from, ending.drain_deadline, ending.exit_deadline]
-    assert times == sorted(times) and times[-1] < 100.0 + min(3.0, longest) + 0.7
-    assert not ending.may_exit(ending.exit_deadline + 9.0, listening=False, connections=0, pending=1)
-    assert ending.may_exit(101.0, listening=False, connections=0, pending=0)
-    assert not ending.may_exit(100.1, listening=True, connections=0, pending=0)
+@pytest.mark.parametrize("longest_deadline", [0.05, 0.3, 1.0, 3.0, 60.0])
+def test_the_times_of_a_shutdown_schedule_are_in_order_for_every_longest_deadline(longest_deadline):
+    schedule = ShutdownSchedule(100.0, longest_deadline)
+    times = [
+        100.0,
+        schedule.accept_until,
+        schedule.close_idle_from,
+        schedule.drain_deadline,
+        schedule.exit_deadline,
+    ]
+    assert times == sorted(times) and times[-1] < 100.0 + min(3.0, longest_deadline) + 0.7
+    assert not schedule.may_exit(schedule.exit_deadline + 9.0, listening=False, connections=0, pending=1)
+    assert schedule.may_exit(101.0, listening=False, connections=0, pending=0)
+    assert not schedule.may_exit(100.1, listening=True, connections=0, pending=0)
 
 
-# Waiting for a connection to a member
+# Requests that wait for a pooled connection to an endpoint
 
 
-class Opened:
-    """A connection as the pool sees it."""
+class FakeConnection:
+    """A pooled connection that records the exchanges started on it."""
 
     def __init__(self) -> None:
         self.started, self.closed = [], False
@@ -246,36 +255,36 @@
         return not self.closed
 
 
-class Doorway:
-    """What opens connections, played by the test."""
+class FakeConnector:
+    """A connector that records its calls; the test invokes the callbacks."""
 
     def __init__(self) -> None:
-        self.asked = []
-        self.given_up = 0
+        self.attempts = []  # (ready, failed, lost) callbacks of each call
+        self.cancelled = 0
 
     def __call__(self, ready, failed, lost):
-        self.asked.append((ready, failed, lost))
+        self.attempts.append((ready, failed, lost))
 
-        def give_up() -> None:
-            self.given_up += 1
+        def cancel() -> None:
+            self.cancelled += 1
 
-        return give_up
+        return cancel
 
 
-class PooledMembers:
-    """Members behind real pools whose connections come when the test says so."""
+class PooledEndpoints:
+    """Endpoints behind real connection pools; the test decides when their connections open."""
 
     def __init__(self, clock, limits: PoolLimits) -> None:
-        self.doorways: dict[int, Doorway] = {}
+        self.connectors: dict[int, FakeConnector] = {}
         self.pools: dict[int, ConnectionPool] = {}
-        self.room = DescriptorBudget(256)
+        self.budget = DescriptorBudget(256)
         self.clock, self.limits = clock, limits
 
     def pool(self, endpoint: int) -> ConnectionPool:
         if endpoint not in self.pools:
-            self.doorways[endpoint] = Doorway()
+            self.connectors[endpoint] = FakeConnector()
             self.pools[endpoint] = ConnectionPool(
-                self.clock, self.doorways[endpoint], lambda e, r: r, self.limits, self.room
+                self.clock, self.connectors[endpoint], lambda e, r: r, self.limits, self.budget
             )
         return self.pools[endpoint]
 
@@ -292,154 +301,159 @@
         pass
 
 
-def pooled(settings: api.Settings = SETTINGS) -> tuple[PostgresqlProxy, PooledMembers]:
-    """A proxy whose members stand behind pools."""
+def pooled(settings: api.Settings = SETTINGS) -> tuple[PostgresqlProxy, PooledEndpoints]:
+    """Return a proxy whose endpoints are behind connection pools."""
     proxy = PostgresqlProxy(settings)
-    endpoints = PooledMembers(proxy.clock, PoolLimits(connect_timeout=5.0, discard_timeout=0.0))
+    endpoints = PooledEndpoints(proxy.clock, PoolLimits(connect_timeout=5.0, discard_timeout=0.0))
     proxy.engine.upstream = endpoints
     return proxy, endpoints
 
 
-@pytest.mark.parametrize("told", ["draining", "gone", "missing", "restarted"])
-def test_what_waits_for_a_connection_is_taken_back_when_the_list_says_so(told):
+@pytest.mark.parametrize("change", ["draining", "gone", "missing", "restarted"])
+def test_a_request_waiting_for_a_connection_is_withdrawn_when_the_endpoint_list_changes(change):
     proxy, endpoints = pooled()
     connection, wire = proxy.client()
     connection.dataReceived(write(1, d="5000"))
     proxy.turn()
-    (opening,) = endpoints.doorways[1].asked
+    (attempt,) = endpoints.connectors[1].attempts
     state = {"draining": api.EndpointState.DRAINING, "gone": api.EndpointState.GONE}.get(
-        told, api.EndpointState.UP
+        change, api.EndpointState.UP
     )
-    if told == "missing":
+    if change == "missing":
         proxy.engine.list_changed(api.EndpointListUpdate((entry(2), entry(3)), complete=True))
     else:
-        started = proxy.clock.now() if told == "restarted" else 0.0
-        changed = replace(entry(1, primary=True), state=state, started=started)
-        proxy.engine.list_changed(api.EndpointListUpdate((changed,), complete=False))
+        started = proxy.clock.now() if change == "restarted" else 0.0
+        updated = replace(entry(1, primary=True), state=state, started=started)
+        proxy.engine.list_changed(api.EndpointListUpdate((updated,), complete=False))
     proxy.turn()
-    opened = Opened()
-    opening[0](opened)
+    opened = FakeConnection()
+    attempt[0](opened)
     proxy.turn()
-    sent_again = told == "restarted" and bool(opened.started)  # decided anew, for the new process
-    assert not opened.started or sent_again
+    resent = change == "restarted" and bool(opened.started)  # routed again, to the restarted process
+    assert not opened.started or resent
     connection.connectionLost()
     proxy.turn()
     assert proxy.engine.request_table.pending == 0
 
 
-def test_an_endpoint_that_moved_gets_nothing_at_its_old_address():
+def test_retiring_a_pool_sends_nothing_to_the_old_address():
     task = Clock()
-    room, ends, doorway = DescriptorBudget(256), [], Doorway()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(), room)
-    pool.send("request", ends.append)
+    budget, outcomes, connector = DescriptorBudget(256), [], FakeConnector()
+    pool = ConnectionPool(FakeClock(task), connector, lambda e, r: r, PoolLimits(), budget)
+    pool.send("request", outcomes.append)
     pool.retire()
-    assert [e.result for e in ends] == [AttemptResult.NOT_SENT] and doorway.given_up == 1
-    opened = Opened()
-    doorway.asked[0][0](opened)
-    assert opened.closed and not opened.started and room.endpoints == 0
+    assert [e.result for e in outcomes] == [AttemptResult.NOT_SENT] and connector.cancelled == 1
+    opened = FakeConnection()
+    connector.attempts[0][0](opened)
+    assert opened.closed and not opened.started and budget.endpoints == 0
 
 
-def test_a_connection_given_up_and_greeted_all_the_same_is_closed_and_owned_by_nobody():
+def test_a_connection_that_becomes_ready_after_its_timeout_is_closed_and_not_counted():
     task = Clock()
-    room, ends, doorway = DescriptorBudget(256), [], Doorway()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_timeout=0.25), room)
-    pool.send("request", ends.append)
+    budget, outcomes, connector = DescriptorBudget(256), [], FakeConnector()
+    pool = ConnectionPool(
+        FakeClock(task), connector, lambda e, r: r, PoolLimits(connect_timeout=0.25), budget
+    )
+    pool.send("request", outcomes.append)
     task.advance(0.3)
-    assert [e.result for e in ends] == [AttemptResult.CONNECT_FAILED] and room.endpoints == 0
-    opened = Opened()
-    ready, failed, lost = doorway.asked[0]
+    assert [e.result for e in outcomes] == [AttemptResult.CONNECT_FAILED] and budget.endpoints == 0
+    opened = FakeConnection()
+    ready, failed, lost = connector.attempts[0]
     ready(opened)
     assert opened.closed and not opened.started and not pool.idle
     lost("closed here")
     failed("late")
-    assert room.endpoints == 0 and not pool.connections and len(ends) == 1
+    assert budget.endpoints == 0 and not pool.connections and len(outcomes) == 1
 
 
-# A timer that is due while bytes lie unread
+# Timers that expire while bytes are unread: the bytes are read before the timeout is decided
 
 
-def test_a_connection_whose_greeting_lies_unread_is_not_given_up():
+def test_a_connection_whose_handshake_is_unread_does_not_time_out():
     task = Clock()
-    room, ends, doorway, opened = DescriptorBudget(256), [], Doorway(), Opened()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_timeout=0.25), room)
-    pool.send("request", ends.append)
-    task.callLater(0.25, lambda: doorway.asked[0][0](opened))  # read behind the timer, in the same turn
+    budget, outcomes, connector, opened = DescriptorBudget(256), [], FakeConnector(), FakeConnection()
+    pool = ConnectionPool(
+        FakeClock(task), connector, lambda e, r: r, PoolLimits(connect_timeout=0.25), budget
+    )
+    pool.send("request", outcomes.append)
+    # The handshake is read after the timer expired, in the same turn.
+    task.callLater(0.25, lambda: connector.attempts[0][0](opened))
     task.advance(0.25)
-    assert not ends and not doorway.given_up and opened.started[0][0] == "request"
+    assert not outcomes and not connector.cancelled and opened.started[0][0] == "request"
     task.advance(1.0)
-    assert not ends and room.endpoints == 1
+    assert not outcomes and budget.endpoints == 1
 
 
-def test_a_health_check_whose_answer_lies_unread_has_not_timed_out():
+def test_a_health_check_whose_response_is_unread_does_not_time_out():
     task = Clock()
-    ends, doorway, opened = [], Doorway(), Opened()
-    pool = ConnectionPool(FakeClock(task), doorway, lambda e, r: r, PoolLimits(connect_timeout=5.0), None)
-    pool.send_with_timeout("probe", ends.append, 0.25)
-    doorway.asked[0][0](opened)
+    outcomes, connector, opened = [], FakeConnector(), FakeConnection()
+    pool = ConnectionPool(FakeClock(task), connector, lambda e, r: r, PoolLimits(connect_timeout=5.0), None)
+    pool.send_with_timeout("probe", outcomes.append, 0.25)
+    connector.attempts[0][0](opened)
     task.callLater(0.25, lambda: opened.started[0][1](AttemptOutcome(AttemptResult.OK)))
     task.advance(0.25)
     task.advance(1.0)
-    assert [end.result for end in ends] == [AttemptResult.OK]
+    assert [outcome.result for outcome in outcomes] == [AttemptResult.OK]
 
 
-@pytest.mark.parametrize("begun", [0, 5])
-def test_a_client_whose_bytes_lie_unread_is_not_too_slow(begun):
-    """They are read behind the timer, in the turn in which its time is up."""
+@pytest.mark.parametrize("received", [0, 5])
+def test_a_client_whose_bytes_are_unread_does_not_exceed_the_receive_timeout(received):
+    """The bytes are read after the timer, in the turn in which the timeout expires."""
     proxy = PostgresqlProxy()
     connection, wire = proxy.client(greet=False)
-    whole = codec.startup("web", "orders") + read(1, d="60000")
-    connection.dataReceived(whole[:begun])
-    up = proxy.clock.now() + RECEIVE_TIMEOUT_S
-    while proxy.clock.now() + client_listener.CHECK_INTERVAL_S < up - 1e-6:
+    stream = codec.startup("web", "orders") + read(1, d="60000")
+    connection.dataReceived(stream[:received])
+    expires_at = proxy.clock.now() + RECEIVE_TIMEOUT_S
+    while proxy.clock.now() + client_listener.CHECK_INTERVAL_S < expires_at - 1e-6:
         proxy.turn(client_listener.CHECK_INTERVAL_S)
-    proxy.task.callLater(client_listener.CHECK_INTERVAL_S, connection.dataReceived, whole[begun:])
+    proxy.task.callLater(client_listener.CHECK_INTERVAL_S, connection.dataReceived, stream[received:])
     for _ in range(3):
         proxy.turn(client_listener.CHECK_INTERVAL_S)
     assert not errors(wire) and len(proxy.endpoints.sent) == 1
 
 
-def loops() -> list:
-    """The loops that the program may run on."""
-    made = [asyncio.SelectorEventLoop()]
+def event_loops() -> list:
+    """Return a new event loop of each kind that the program may run on: asyncio, and uvloop if installed."""
+    loops = [asyncio.SelectorEventLoop()]
     try:
         import uvloop
     except ImportError:
-        return made
-    return [*made, uvloop.new_event_loop()]
+        return loops
+    return [*loops, uvloop.new_event_loop()]
 
 
-@pytest.mark.parametrize("which", range(len(loops())))
-def test_an_answer_that_came_in_a_long_turn_is_read_before_its_time_is_judged(which):
-    """A turn lasts past the client's time, and the answer comes while it does."""
-    loop = loops()[which]
+@pytest.mark.parametrize("which", range(len(event_loops())))
+def test_a_response_received_during_a_long_turn_is_read_before_the_deadline_is_checked(which):
+    """One turn of the event loop lasts beyond the client's deadline, and the response arrives during it."""
+    loop = event_loops()[which]
     clock = ReactorClock(SimpleNamespace(_asyncioEventloop=loop))
-    endpoints, got = PlayedEndpoints(), []
+    endpoints, answers = PlayedEndpoints(), []
     engine = Engine(Router(SETTINGS, 1), endpoints, clock)
     engine.list_changed(api.EndpointListUpdate((entry(1, primary=True), entry(2), entry(3)), complete=True))
     pairs = [socket.socketpair() for _ in range(2)]
-    account = engine.submit(ClientRequest("write", 1, 0.15, "payload"), got.append)
+    pending = engine.submit(ClientRequest("write", 1, 0.15, "payload"), answers.append)
 
     def long_turn() -> None:
         pairs[0][0].recv(9)
         pairs[1][1].send(b"answer")
-        while clock.now() < account.deadline + 0.03:
+        while clock.now() < pending.deadline + 0.03:
             pass
 
-    def answered() -> None:
+    def receive_answer() -> None:
         pairs[1][0].recv(9)
         endpoints.sent[0].on_end(AttemptOutcome(AttemptResult.OK, ROW))
         loop.call_later(0.05, loop.stop)
 
-    for (ours, _), call in zip(pairs, (long_turn, answered), strict=True):
-        ours.setblocking(False)
-        loop.add_reader(ours.fileno(), call)
+    for (proxy_end, _), callback in zip(pairs, (long_turn, receive_answer), strict=True):
+        proxy_end.setblocking(False)
+        loop.add_reader(proxy_end.fileno(), callback)
     loop.call_later(0.02, pairs[0][1].send, b"begin")
     loop.run_forever()
     loop.close()
     for pair in pairs:
         for end in pair:
             end.close()
-    assert [answer.status for answer in got] == [ResponseStatus.SERVED]
+    assert [answer.status for answer in answers] == [ResponseStatus.SERVED]
 
 
 CONNECTION_STEPS = st.lists(
@@ -454,45 +468,47 @@
 
 
 @given(CONNECTION_STEPS, st.sampled_from([0.0, 1.0]))
-def test_every_order_of_a_connections_events_tells_one_end_and_leaves_no_descriptor(steps, discard_timeout):
+def test_every_order_of_connection_events_ends_an_exchange_once_and_leaks_no_descriptor(
+    steps, discard_timeout
+):
     task = Clock()
-    room, doorway = DescriptorBudget(64), Doorway()
+    budget, connector = DescriptorBudget(64), FakeConnector()
     limits = PoolLimits(
         max_connections=4, connect_timeout=0.25, max_idle_time=2.0, discard_timeout=discard_timeout
     )
     pool = ConnectionPool(
-        FakeClock(task), doorway, lambda e, r: AttemptOutcome(AttemptResult.OK), limits, room
+        FakeClock(task), connector, lambda e, r: AttemptOutcome(AttemptResult.OK), limits, budget
     )
-    exchanges, ends, opened, over = [], [], {}, set()
+    exchanges, outcomes, opened, ended = [], [], {}, set()
 
-    def alive(which):
-        held = [n for n in opened if n not in over]
-        return held[which % len(held)] if held else None
+    def pick_open(which):
+        live = [n for n in opened if n not in ended]
+        return live[which % len(live)] if live else None
 
     for step, which in steps:
         if step == "send":
             number = len(exchanges)
-            ends.append([])
-            exchanges.append(pool.send(number, ends[number].append))
+            outcomes.append([])
+            exchanges.append(pool.send(number, outcomes[number].append))
         elif step in ("ready", "failed"):
-            waiting = [n for n in range(len(doorway.asked)) if n not in opened and n not in over]
+            waiting = [n for n in range(len(connector.attempts)) if n not in opened and n not in ended]
             if waiting:
                 number = waiting[which % len(waiting)]
                 if step == "ready":
-                    opened[number] = Opened()
-                    doorway.asked[number][0](opened[number])
+                    opened[number] = FakeConnection()
+                    connector.attempts[number][0](opened[number])
                 else:
-                    over.add(number)
-                    doorway.asked[number][1]("refused")
+                    ended.add(number)
+                    connector.attempts[number][1]("refused")
         elif step == "answer":
-            number = alive(which)
+            number = pick_open(which)
             if number is not None and opened[number].started and not opened[number].closed:
                 opened[number].started.pop()[1]("reply")
         elif step == "lost":
-            number = alive(which)
+            number = pick_open(which)
             if number is not None:
-                over.add(number)
-                doorway.asked[number][2]("ended")
+                ended.add(number)
+                connector.attempts[number][2]("ended")
         elif step == "abandon" and exchanges:
             exchanges[which % len(exchanges)].abandon()
         elif step == "withdraw" and exchanges:
@@ -503,36 +519,36 @@
             pool.close_idle()
         else:
             task.advance(0.1 * which)
-        assert all(len(x) <= 1 for x in ends)
-        assert 0 <= room.endpoints <= limits.max_connections
+        assert all(len(x) <= 1 for x in outcomes)
+        assert 0 <= budget.endpoints <= limits.max_connections
         assert all(len(x.started) <= 1 for x in opened.values())
     pool.close()
     task.advance(5.0)
-    for number, held in opened.items():
-        if number not in over:
-            assert held.closed
-            doorway.asked[number][2]("closed here")
-    assert room.endpoints == 0 and not pool.connections and not pool.idle
+    for number, connection in opened.items():
+        if number not in ended:
+            assert connection.closed
+            connector.attempts[number][2]("closed here")
+    assert budget.endpoints == 0 and not pool.connections and not pool.idle
 
 
-# All in one turn
+# Several events in one turn of the event loop
 
 
-def happens(proxy: PostgresqlProxy, connection, what: str) -> None:
-    """One of the events that may meet in a turn."""
-    if what == "answer":
+def apply_event(proxy: PostgresqlProxy, connection, event: str) -> None:
+    """Apply one of the events that may coincide in a turn."""
+    if event == "answer":
         for sent in proxy.endpoints.sent[:1]:
             if not sent.abandoned:
                 sent.on_end(AttemptOutcome(AttemptResult.OK, ROW))
-    elif what == "reset":
+    elif event == "reset":
         for sent in proxy.endpoints.sent[:1]:
             if not sent.abandoned:
                 sent.on_end(AttemptOutcome(AttemptResult.RESET))
-    elif what == "time":
+    elif event == "time":
         proxy.task.advance(0.5)
-    elif what == "leaves":
+    elif event == "disconnect":
         connection.connectionLost()
-    elif what == "drained":
+    elif event == "drained":
         drained = (
             entry(1, state=api.EndpointState.DRAINING),
             entry(2, state=api.EndpointState.DRAINING),
@@ -543,40 +559,40 @@
 
 @pytest.mark.parametrize("make", [read, write])
 @pytest.mark.parametrize("turns", [False, True])
-def test_answer_reset_time_leaving_and_list_in_every_order_owe_one_answer_and_send_nothing_after(make, turns):
-    for order in itertools.permutations(["answer", "reset", "time", "leaves", "drained"]):
+def test_every_order_of_events_gives_at_most_one_answer_and_nothing_after_the_disconnect(make, turns):
+    for order in itertools.permutations(["answer", "reset", "time", "disconnect", "drained"]):
         proxy = PostgresqlProxy()
         connection, wire = proxy.client()
         connection.dataReceived(make(1, d="450"))
         proxy.turn()
-        left = False
-        for what in order:
-            happens(proxy, connection, what)
-            if what == "leaves":
-                left, written, sent = True, wire.value(), len(proxy.endpoints.sent)
+        disconnected = False
+        for event in order:
+            apply_event(proxy, connection, event)
+            if event == "disconnect":
+                disconnected, written, sent = True, wire.value(), len(proxy.endpoints.sent)
             if turns:
                 proxy.turn()
         proxy.pass_by(1.0)
-        assert left and wire.value() == written, order
+        assert disconnected and wire.value() == written, order
         assert len(proxy.endpoints.sent) == sent, order
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
         assert len(answers) <= 1, order
-        held = proxy.engine.request_table
+        table = proxy.engine.request_table
         assert (
-            held.pending == 0 and held.duplicate_responses == 0 and not proxy.engine.answered_by_last_guard
+            table.pending == 0 and table.duplicate_responses == 0 and not proxy.engine.answered_by_last_guard
         ), order
         assert not proxy.engine.router.requests, order
 
 
-def test_the_same_without_a_leaving_gives_exactly_one_answer():
+def test_every_order_of_events_without_a_disconnect_gives_exactly_one_answer():
     for make in (read, write):
         for order in itertools.permutations(["answer", "reset", "time", "drained"]):
             proxy = PostgresqlProxy()
             connection, wire = proxy.client()
             connection.dataReceived(make(1, d="450"))
             proxy.turn()
-            for what in order:
-                happens(proxy, connection, what)
+            for event in order:
+                apply_event(proxy, connection, event)
             proxy.pass_by(1.5)
             assert [k for k, _ in messages(wire.value())].count(b"Z") == 1, order
             assert (
@@ -585,12 +601,12 @@
             ), order
 
 
-def test_bytes_of_a_peer_that_breaks_off_at_any_byte_cost_its_own_connection_only():
-    whole = codec.startup("web", "orders") + read(1) + read(2)
-    for cut in range(len(whole)):
+def test_a_client_stream_cut_at_any_byte_affects_only_its_own_connection():
+    stream = codec.startup("web", "orders") + read(1) + read(2)
+    for cut in range(len(stream)):
         proxy = PostgresqlProxy()
         bad, _ = proxy.client(greet=False)
-        bad.dataReceived(whole[:cut])
+        bad.dataReceived(stream[:cut])
         proxy.turn()
         bad.connectionLost()
         good, wire = proxy.client()
@@ -601,130 +617,130 @@
         assert proxy.descriptors.clients == 1 and proxy.engine.request_table.pending == 0
 
 
-# The end of a driver
+# Graceful shutdown
 
 
-class Door:
-    """The driver's port, played: who waits to be accepted comes in when it is closed in order."""
+class FakePort:
+    """The proxy's listening port; connections in its backlog are accepted by `accept_all`."""
 
     def __init__(self, accept) -> None:
-        self.accept, self.queue, self.closed = accept, 0, False
+        self.accept, self.backlog, self.closed = accept, 0, False
 
     def accept_all(self) -> bool:
-        while self.queue:
-            self.queue -= 1
+        while self.backlog:
+            self.backlog -= 1
             self.accept()
         return True
 
-    def stopListening(self) -> None:  # noqa: N802 (the port's name)
+    def stopListening(self) -> None:  # noqa: N802 (Twisted's name)
         self.closed = True
 
 
-class Caller:
-    """A client that follows the protocol: one statement, or several ahead; what it may expect is counted."""
+class ScriptedClient:
+    """A client that sends whole, partial or pipelined statements and counts those it sent whole."""
 
     def __init__(self, proxy: PostgresqlProxy) -> None:
         self.connection, self.wire = proxy.client()
-        self.rest, self.whole, self.left = b"", 0, False
+        self.unsent, self.sent, self.disconnected = b"", 0, False
 
     def open(self) -> bool:
-        """Whether what it sends now arrives."""
-        return not (self.left or self.wire.half_closed or self.wire.aborted)
+        """Return whether the proxy still receives what the client sends."""
+        return not (self.disconnected or self.wire.half_closed or self.wire.aborted)
 
-    def say(self) -> None:
-        """Send the rest of what was begun."""
-        data, self.rest = self.rest, b""
+    def send_rest(self) -> None:
+        """Send the unsent rest of a partial statement."""
+        data, self.unsent = self.unsent, b""
         if data and self.open():
-            self.whole += 1
+            self.sent += 1
             self.connection.dataReceived(data)
 
-    def ask(self, statement: bytes, begin: int = 0) -> None:
-        """One more statement, its beginning or all of it; what is half sent goes before."""
-        self.say()
-        self.rest = statement[begin:]
+    def send(self, statement: bytes, begin: int = 0) -> None:
+        """Send the first `begin` bytes of a statement, or all of it if 0; complete a partial one first."""
+        self.send_rest()
+        self.unsent = statement[begin:]
         if begin and self.open():
             self.connection.dataReceived(statement[:begin])
         elif not begin:
-            self.say()
+            self.send_rest()
 
-    def leave(self) -> None:
-        if not self.left:
-            self.left = True
+    def disconnect(self) -> None:
+        if not self.disconnected:
+            self.disconnected = True
             self.connection.connectionLost()
 
     def answers(self) -> int:
         return [kind for kind, _ in messages(self.wire.value())].count(b"Z")
 
 
-STOP_EVENTS = "comes waits read write part rest leaves answer reset list pass stop".split()
+STOP_EVENTS = "accept backlog read write part rest disconnect answer reset list wait stop".split()
 STOP_STEPS = st.lists(st.tuples(st.sampled_from(STOP_EVENTS), st.integers(0, 5)), max_size=40)
 
 
 @given(STOP_STEPS)
-def test_in_every_order_a_shutdown_answers_all_that_was_read_and_then_ends(steps):
-    proxy, callers, done = PostgresqlProxy(), [], []
-    admission = Door(lambda: callers.append(Caller(proxy)))
-    numbers, told, stopped = itertools.count(1), [], []
-    for what, which in [*steps, ("stop", 0)]:
-        caller = callers[which % len(callers)] if callers else None
-        live = [s for s in proxy.endpoints.sent if not s.abandoned and s not in told]
-        if what in ("comes", "waits"):
-            if not admission.closed and what == "comes":
-                admission.accept()
-            elif not admission.closed:
-                admission.queue += 1
-        elif what == "pass":
+def test_a_shutdown_answers_all_requests_read_and_then_ends_in_every_order_of_events(steps):
+    proxy, clients, finished = PostgresqlProxy(), [], []
+    port = FakePort(lambda: clients.append(ScriptedClient(proxy)))
+    numbers, finished_attempts, stopped = itertools.count(1), [], []
+    for event, which in [*steps, ("stop", 0)]:
+        client = clients[which % len(clients)] if clients else None
+        live = [s for s in proxy.endpoints.sent if not s.abandoned and s not in finished_attempts]
+        if event in ("accept", "backlog"):
+            if not port.closed and event == "accept":
+                port.accept()
+            elif not port.closed:
+                port.backlog += 1
+        elif event == "wait":
             proxy.pass_by(0.3 * which)
-        elif what == "stop":
+        elif event == "stop":
             if not stopped:
                 stopped.append(True)
-                longest = max(c.deadline for c in SETTINGS.classes)
-                schedule = ShutdownSchedule(proxy.clock.now(), longest)
+                longest_deadline = max(c.deadline for c in SETTINGS.classes)
+                schedule = ShutdownSchedule(proxy.clock.now(), longest_deadline)
                 GracefulShutdown(
                     proxy.clock,
                     schedule,
                     proxy.listener,
                     proxy.engine,
-                    admission,
-                    lambda: done.append(proxy.clock.now()),
+                    port,
+                    lambda: finished.append(proxy.clock.now()),
                 ).begin()
-        elif what == "list":
-            drains = (entry(1 + which % 3, state=api.EndpointState.DRAINING),)
-            proxy.engine.list_changed(api.EndpointListUpdate(drains, complete=False))
-        elif what in ("answer", "reset") and live:
-            told.append(live[which % len(live)])
-            ok = what == "answer"
-            told[-1].on_end(
+        elif event == "list":
+            drained = (entry(1 + which % 3, state=api.EndpointState.DRAINING),)
+            proxy.engine.list_changed(api.EndpointListUpdate(drained, complete=False))
+        elif event in ("answer", "reset") and live:
+            finished_attempts.append(live[which % len(live)])
+            ok = event == "answer"
+            finished_attempts[-1].on_end(
                 AttemptOutcome(AttemptResult.OK, ROW) if ok else AttemptOutcome(AttemptResult.RESET)
             )
-        elif caller is None or done:
+        elif client is None or finished:
             continue
-        elif what in ("read", "write"):
-            caller.ask((read if what == "read" else write)(next(numbers), d="9000" if which < 4 else "900"))
-        elif what == "part":
-            caller.ask(read(next(numbers), d="9000"), begin=20)
-        elif what == "rest":
-            caller.say()
-        elif what == "leaves":
-            caller.leave()
+        elif event in ("read", "write"):
+            client.send((read if event == "read" else write)(next(numbers), d="9000" if which < 4 else "900"))
+        elif event == "part":
+            client.send(read(next(numbers), d="9000"), begin=20)
+        elif event == "rest":
+            client.send_rest()
+        elif event == "disconnect":
+            client.disconnect()
         if which % 2:
             proxy.turn()
-    went = [caller.left for caller in callers]
-    for _ in range(200):  # clients that are closed go, as they do
+    disconnected_early = [client.disconnected for client in clients]
+    for _ in range(200):  # clients disconnect once the proxy has closed their connection
         proxy.turn(0.02)
-        for caller in callers:
-            if caller.wire.half_closed or caller.wire.aborted:
-                caller.leave()
+        for client in clients:
+            if client.wire.half_closed or client.wire.aborted:
+                client.disconnect()
     sent = [s.payload.id for s in proxy.endpoints.sent]
-    assert len(done) == 1 and admission.closed and not admission.queue
+    assert len(finished) == 1 and port.closed and not port.backlog
     request_table = proxy.engine.request_table
     assert (
         request_table.pending == 0
         and request_table.duplicate_responses == 0
         and not proxy.engine.answered_by_last_guard
     )
-    for caller, early in zip(callers, went + [False] * len(callers), strict=False):
-        assert caller.answers() <= caller.whole if early else caller.answers() == caller.whole
+    for client, early in zip(clients, disconnected_early + [False] * len(clients), strict=False):
+        assert client.answers() <= client.sent if early else client.answers() == client.sent
     proxy.pass_by(2.0)
-    assert [s.payload.id for s in proxy.endpoints.sent] == sent, "sent after the end"
-    assert proxy.descriptors.clients == sum(not c.left for c in callers)
+    assert [s.payload.id for s in proxy.endpoints.sent] == sent, "sent after the shutdown ended"
+    assert proxy.descriptors.clients == sum(not c.disconnected for c in clients)
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -1,4 +1,4 @@
-"""The paper's mechanism, and one test for each class of fault that the router answers."""
+"""Side comparison after Huang et al., and one test for each class of fault that the router handles."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def serve(
     rig: Rig, name: str, count: int, elapsed: dict[int, float], result: AttemptResult = AttemptResult.OK
 ) -> list[int]:
-    """Ask, answer each after its endpoint's own time, and return who was sent to."""
+    """Send `count` requests, finish each attempt with its endpoint's `elapsed` time; return the endpoints."""
     used = []
     for _ in range(count):
         request, actions = rig.receive(name)
@@ -37,44 +37,44 @@
     return used
 
 
-def test_starts_on_replicas_and_explores_a_little():
+def test_reads_start_on_replicas_with_a_small_exploration_fraction():
     rig = Rig()
     used = serve(rig, "any", 400, {1: 0.02, 2: 0.02, 3: 0.02})
     assert 0 < used.count(1) < 0.1 * len(used)
 
 
-def test_side_turns_to_a_primary_twice_as_fast_and_holds_between_the_thresholds():
-    for primary, follows in ((0.01, True), (0.03, False)):
+def test_reads_move_to_a_primary_twice_as_fast_and_stay_between_the_decision_thresholds():
+    for primary, moves in ((0.01, True), (0.03, False)):
         rig = Rig()
         serve(rig, "any", 800, {1: primary, 2: 0.05, 3: 0.05})
         used = serve(rig, "any", 200, {1: primary, 2: 0.05, 3: 0.05})
-        assert (used.count(1) > 150) is follows
+        assert (used.count(1) > 150) is moves
 
 
-def test_side_holds_without_a_sample_of_the_primary():
+def test_the_read_preference_stays_without_a_latency_sample_of_the_primary():
     rig = Rig(endpoints=(entry(2), entry(3)))
     serve(rig, "any", 600, {2: 0.05, 3: 0.05})
     assert rig.router.groups[1].read_preference is ReadPreference.SECONDARY
 
 
-def test_a_silent_endpoint_is_ejected_and_its_idempotent_reads_are_hedged():
+def test_an_unresponsive_endpoint_is_ejected_and_its_idempotent_reads_are_hedged():
     rig = Rig()
     serve(rig, "any", 200, {1: 0.02, 2: 0.02, 3: 0.02})
-    stuck = []
+    unanswered = []
     for _ in range(100):
         request, actions = rig.receive("any")
         rig.run(0.01)
         for endpoint in sends(actions, request):
             if endpoint == 2:
-                stuck.append(request)
+                unanswered.append(request)
             else:
                 rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
-    assert 0 < len(stuck) < 25
-    assert any(len(sends(rig.log, request)) == 2 for request in stuck)
+    assert 0 < len(unanswered) < 25
+    assert any(len(sends(rig.log, request)) == 2 for request in unanswered)
 
 
 def answer(rig: Rig, request: int, bad: int = 0) -> None:
-    """Answer every attempt of a request, with errors from one endpoint."""
+    """Finish every attempt of a request: with an error at endpoint `bad`, successfully elsewhere."""
     attempt = 0
     while attempt < len(sends(rig.log, request)):
         endpoint = sends(rig.log, request)[attempt]
@@ -88,7 +88,7 @@
         attempt += 1
 
 
-def test_a_failing_endpoint_is_ejected_and_returns_by_trials():
+def test_a_failing_endpoint_is_ejected_and_readmitted_by_half_open_trials():
     rig = Rig()
     for _ in range(200):
         answer(rig, rig.receive("any")[0], bad=3)
@@ -101,7 +101,8 @@
 
 
 def test_requests_that_fail_everywhere_eject_no_endpoint():
-    # bad_requests: four in ten fail at once at any endpoint; none is ejected, two attempts are enough.
+    # Fault scenario bad_requests: two in five requests fail immediately at any endpoint. No endpoint is
+    # ejected, and a request takes at most two attempts.
     rig = Rig()
     for number in range(300):
         request, _ = rig.receive("any")
@@ -116,13 +117,13 @@
     assert not rig.router.groups[1].ejected
 
 
-def test_a_lost_connection_ejects_an_endpoint_until_a_health_check_and_a_trial():
+def test_a_lost_connection_ejects_an_endpoint_until_a_health_check_succeeds_and_a_trial_follows():
     rig = Rig()
     request = 0
     while 3 not in sends(rig.log, request):
         request, _ = rig.receive("any")
     rig.finish(request, 0, 3, AttemptResult.RESET)
-    for _ in range(2):  # it is asked, and its process does not run
+    for _ in range(2):  # health checks fail: the endpoint's process does not run
         rig.feed(api.HealthCheckFinished(3, AttemptResult.CONNECT_FAILED, 0.001))
     start = len(rig.log)
     rig.run(0.7)
@@ -134,7 +135,7 @@
     assert sends(rig.log[start:]).count(3) == 1
 
 
-def test_a_trial_is_a_copy_so_that_nothing_is_lost_by_it():
+def test_a_half_open_trial_is_a_second_attempt_beside_one_at_a_healthy_endpoint():
     rig = Rig()
     rig.router.outlier_detection.eject(rig.router.endpoints[3], EjectionReason.SILENT)
     rig.run(0.7)
@@ -155,26 +156,26 @@
     assert 3 in sends(rig.log[start:])
 
 
-def test_a_slow_endpoint_gets_less():
+def test_a_slow_endpoint_receives_less_than_half_of_the_reads_of_a_fast_one():
     rig = Rig()
     used = []
-    waiting: list[tuple[float, int, int]] = []
+    in_flight: list[tuple[float, int, int]] = []  # (finishes at, request, endpoint)
     for _ in range(400):
         request, actions = rig.receive("any")
         for endpoint in sends(actions, request):
             used.append(endpoint)
-            waiting.append((rig.now + (0.25 if endpoint == 3 else 0.02), request, endpoint))
+            in_flight.append((rig.now + (0.25 if endpoint == 3 else 0.02), request, endpoint))
         rig.run(0.01)
-        for due in [w for w in waiting if w[0] <= rig.now]:
-            waiting.remove(due)
-            took = 0.25 if due[2] == 3 else 0.02
+        for due in [attempt for attempt in in_flight if attempt[0] <= rig.now]:
+            in_flight.remove(due)
+            elapsed = 0.25 if due[2] == 3 else 0.02
             rig.feed(
-                api.AttemptFinished(due[1], 0, due[2], AttemptResult.OK, took, True, primary=due[2] == 1)
+                api.AttemptFinished(due[1], 0, due[2], AttemptResult.OK, elapsed, True, primary=due[2] == 1)
             )
     assert used.count(3) < used.count(2) / 2
 
 
-def test_writes_find_the_new_primary_after_a_switch():
+def test_writes_find_the_new_primary_after_a_failover():
     rig = Rig()
     request, _ = rig.receive("write", ttl=1.9)
     rig.finish(request, 0, 1, AttemptResult.NOT_ELIGIBLE, primary=False)
@@ -187,7 +188,7 @@
     assert sends(actions, later) == [3]
 
 
-def test_fresh_reads_without_a_primary_are_rejected_in_time():
+def test_fresh_reads_without_a_primary_are_rejected_before_their_deadline():
     rig = Rig(endpoints=(entry(1), entry(2)))
     request, actions = rig.receive("fresh")
     assert sends(actions, request) == []
@@ -197,7 +198,7 @@
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_a_late_list_does_not_overrule_an_answer(first):
+def test_a_late_endpoint_list_does_not_override_the_role_in_a_load_report(first):
     rig = Rig(endpoints=(entry(1, primary=first), entry(2)))
     rig.report(2, 0.0, primary=True)
     rig.feed(api.EndpointListUpdate((entry(1, primary=True),), complete=False))
@@ -205,7 +206,7 @@
     assert sends(actions, request) == [2]
 
 
-def test_everything_failing_stays_within_the_budget():
+def test_retries_stay_within_the_budget_while_every_attempt_fails():
     rig = Rig()
     for _ in range(300):
         request, _ = rig.receive("any")
@@ -232,7 +233,7 @@
     assert sum(r % 2 == 0 for r in sent) > sum(r % 2 == 1 for r in sent)
 
 
-def test_a_likely_replica_is_checked_before_the_primary_serves_a_read():
+def test_a_replica_that_may_be_fresh_enough_is_checked_before_the_primary_serves_a_read():
     rig = Rig()
     rig.report(2, 0.3)
     rig.run(0.3)
@@ -244,17 +245,18 @@
         assert sends(rig.log, request) == [2]
 
 
-def test_full_table_is_not_a_dead_process():
+def test_a_failed_connection_to_an_endpoint_that_answers_does_not_eject_it():
+    """Its connection table is full; the process runs."""
     rig = Rig()
-    held = [rig.receive("any")[0] for _ in range(8)]
-    by_endpoint = {m: [r for r in held if sends(rig.log, r) == [m]] for m in (2, 3)}
+    requests = [rig.receive("any")[0] for _ in range(8)]
+    by_endpoint = {m: [r for r in requests if sends(rig.log, r) == [m]] for m in (2, 3)}
     endpoint = max(by_endpoint, key=lambda number: len(by_endpoint[number]))
     rig.finish(by_endpoint[endpoint][0], 0, endpoint, AttemptResult.OK, primary=False)
     rig.finish(by_endpoint[endpoint][1], 0, endpoint, AttemptResult.CONNECT_FAILED)
     assert rig.router.endpoints[endpoint].ejection_reason is None
 
 
-def test_the_list_is_watched_and_a_failed_watch_is_retried_with_backoff():
+def test_a_failed_watch_of_the_endpoint_list_is_retried_with_backoff():
     rig = Rig(replace(SETTINGS, subscription_required=True))
     assert rig.log.count(api.WatchEndpointList()) == 1
     times = []
@@ -267,7 +269,7 @@
     assert times[0] < times[-1] <= 6.0
 
 
-def test_late_events_about_what_is_over_change_nothing():
+def test_late_events_of_finished_requests_and_unknown_ids_are_ignored():
     rig = Rig()
     request, actions = rig.receive("any")
     endpoint = sends(actions, request)[0]
@@ -282,7 +284,7 @@
         assert rig.feed(event) == []
 
 
-def test_a_restarted_endpoint_warms_up():
+def test_a_restarted_endpoint_begins_with_a_slow_start():
     rig = Rig()
     rig.router.outlier_detection.eject(rig.router.endpoints[2], EjectionReason.UNREACHABLE)
     rig.run(1.0)
@@ -299,7 +301,7 @@
     assert logs[0] == logs[1]
 
 
-def test_all_endpoints_draining_means_a_timely_answer():
+def test_a_request_is_answered_in_time_while_all_endpoints_are_draining():
     rig = Rig()
     rig.feed(
         api.EndpointListUpdate(
@@ -319,7 +321,7 @@
         ({"max_attempts": 0}, "settings.max_attempts"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(changes, name):
+def test_invalid_settings_raise_an_error_that_names_the_key(changes, name):
     with pytest.raises(ValueError, match=name):
         Router(replace(SETTINGS, **changes), 1)
 
@@ -336,7 +338,8 @@
 
 
 def test_connections_lost_while_idle_are_closed_before_the_next_send():
-    # idle_reap: the first send after idleness goes silent; the endpoint itself is well.
+    # Fault scenario idle_reap: idle connections are dropped silently, so the first attempt after an idle
+    # period gets no response although the endpoint is healthy.
     rig = Rig()
     serve(rig, "any", 60, {1: 0.02, 2: 0.02, 3: 0.02})
     rig.run(3.0)
@@ -351,7 +354,7 @@
     assert api.CloseIdleConnections(sends(actions, request)[0]) in actions
 
 
-def test_silence_everywhere_ejects_no_endpoint():
+def test_no_endpoint_is_ejected_while_none_responds():
     rig = Rig()
     for _ in range(4):
         rig.receive("any", ttl=5.0)
@@ -359,20 +362,20 @@
     assert not rig.router.groups[1].ejected
 
 
-def test_after_the_event_loop_was_blocked_latency_teaches_nothing():
+def test_latencies_measured_while_the_event_loop_was_blocked_are_ignored():
     rig = Rig()
     serve(rig, "any", 60, {1: 0.02, 2: 0.02, 3: 0.02})
     request, actions = rig.receive("any")
     endpoint = rig.router.endpoints[sends(actions, request)[0]]
     before = endpoint.latency_ratio
-    rig.now += 1.0  # timers were due meanwhile; all comes at once
+    rig.now += 1.0  # the event loop is blocked for 1 s while timers are due
     rig.feed(
         api.AttemptFinished(request, 0, endpoint.id, AttemptResult.OK, 1.0, True, primary=endpoint.id == 1)
     )
     assert endpoint.latency_ratio == before and not endpoint.ejection_reason
 
 
-def test_a_limit_below_one_admits_by_chance():
+def test_a_concurrency_limit_below_one_is_a_probability_of_sending():
     rig = Rig()
     for endpoint in rig.router.endpoints.values():
         endpoint.concurrency_limit = 0.3
@@ -386,8 +389,8 @@
 
 
 @pytest.mark.parametrize("name", ["any", "fresh", "session", "write"])
-def test_an_instance_of_a_large_deployment_rejects_no_class_at_an_idle_endpoint(name):
-    for seed in range(40):  # one request of each class by itself, whatever its draw and priority
+def test_an_instance_of_a_large_fleet_rejects_no_class_while_the_endpoints_are_idle(name):
+    for seed in range(40):  # a single request is sent for any sampling draw and priority weight
         rig = Rig(replace(SETTINGS, proxy_instances=200), seed=seed)
         for _ in range(3):
             request, _ = rig.receive(name)
@@ -396,20 +399,21 @@
             rig.run(1.0)
 
 
-def test_a_client_with_too_little_time_is_answered_at_once():
+def test_a_request_whose_deadline_is_too_near_is_answered_at_once():
     rig = Rig()
     request, actions = rig.receive("any", ttl=0.01)
     assert len(finals(actions, request)) == 1 and sends(actions) == []
 
 
-def test_a_slow_zone_loses_the_ties():
-    # slow_link, false_reports: latency by zone tells what few answers of one endpoint cannot.
+def test_a_replica_in_a_slow_zone_receives_fewer_reads():
+    # Fault scenarios slow_link and false_reports: one endpoint has too few responses to show that it is slow;
+    # the latency of its whole zone does.
     rig = Rig(endpoints=(entry(1, primary=True), entry(2), entry(3, zone="b")))
     used = serve(rig, "any", 300, {1: 0.02, 2: 0.02, 3: 0.19})
     assert used[100:].count(3) < used[100:].count(2) / 2
 
 
-def test_a_write_rejected_as_overloaded_twice_backs_off():
+def test_a_write_rejected_as_overloaded_twice_is_retried_after_a_backoff():
     rig = Rig()
     request, _ = rig.receive("write", ttl=1.9)
     for attempt in range(2):
@@ -433,7 +437,7 @@
 
 
 def primary_alone(rig: Rig, limit: float) -> object:
-    """Only the primary may be used, with that limit."""
+    """Drain the replicas and give the primary that concurrency limit; return the primary."""
     drained = (entry(2, state=EndpointState.DRAINING), entry(3, state=EndpointState.DRAINING))
     rig.feed(api.EndpointListUpdate(drained, complete=False))
     rig.router.endpoints[1].concurrency_limit = limit
@@ -441,19 +445,19 @@
 
 
 @pytest.mark.parametrize("name", ["write", "fresh"])
-def test_reads_that_may_go_elsewhere_hold_up_no_write(name):
-    held = []
+def test_reads_that_replicas_can_serve_do_not_delay_writes_and_fresh_reads(name):
+    in_flight = []
     for seed in range(40):
         rig = Rig(seed=seed)
         primary_alone(rig, 2.0)
         while len(rig.router.endpoints[1].in_flight) < 2 and rig.ids < 30:
             placed(rig, "any", ttl=0.9)
-        held.append(len(rig.router.endpoints[1].in_flight))
+        in_flight.append(len(rig.router.endpoints[1].in_flight))
         assert sends(rig.receive(name)[1]) == [1], seed
-    assert max(held) == 2
+    assert max(in_flight) == 2
 
 
-def test_a_primary_whose_limit_is_below_one_takes_no_reads():
+def test_a_primary_with_a_concurrency_limit_below_one_takes_no_reads():
     rig = Rig()
     primary_alone(rig, 0.9)
     for _ in range(20):
@@ -461,45 +465,45 @@
 
 
 @pytest.mark.parametrize(("instances", "first"), [(20, 1.0), (40, 0.6), (200, 0.12), (4000, 0.1)])
-def test_a_primary_s_share_of_reads_grows_with_its_answers(instances, first):
-    """Else the reads of a whole fleet that has just started fill a primary before anybody hears of it."""
+def test_a_primary_s_share_of_reads_grows_with_its_responses(instances, first):
+    """Otherwise the reads of a fleet that has just started overload a primary before any instance notices."""
 
-    def share(before: int, took: float, alone: bool = False) -> float:
+    def share(responses: int, elapsed: float, alone: bool = False) -> float:
         used = 0
         for seed in range(300):
             rig = Rig(replace(SETTINGS, proxy_instances=instances, health_checks=False), seed=seed)
             primary = primary_alone(rig, 8.0) if alone else rig.router.endpoints[1]
-            for _ in range(before):
+            for _ in range(responses):
                 primary.concurrency_limit = 1.5
                 request, _ = rig.receive("write")
-                rig.run(took)
-                rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.OK, took, True, primary=True))
+                rig.run(elapsed)
+                rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.OK, elapsed, True, primary=True))
             primary.concurrency_limit, primary.latency_ratio = 8.0, 0.0
             rig.router.latencies.zone_ratio.clear()
-            used += placed(rig, "bounded")[1] == [1]  # nothing is known of the replicas' positions
+            used += placed(rig, "bounded")[1] == [1]  # no replica has reported its position
         return used / 300
 
     assert share(0, 0.0) == pytest.approx(first, abs=0.06)
     assert share(30, 0.01) == 1.0
-    assert share(8, 0.19) == pytest.approx(1.0 if first == 1.0 else 0.1, abs=0.06), "late ones lower it"
-    assert share(0, 0.0, alone=True) == 1.0, "there is nowhere else"
+    assert share(8, 0.19) == pytest.approx(1.0 if first == 1.0 else 0.1, abs=0.06), "slow ones lower it"
+    assert share(0, 0.0, alone=True) == 1.0, "no other endpoint is available"
 
 
-def test_a_limit_below_one_is_a_share_of_the_time_for_what_only_the_primary_serves():
-    """An instance with few writes: by its draw alone a write would wait until its deadline."""
+def test_a_concurrency_limit_below_one_spaces_out_requests_that_only_the_primary_serves():
+    """With few writes, a limit applied as a probability would leave a write queued until its deadline."""
     for seed in range(40):
         rig = Rig(seed=seed)
         primary = primary_alone(rig, 0.3)
         request, _ = rig.receive("write", ttl=1.9)
         rig.run(rig.router.latencies.typical / 0.3 + 0.06)
-        assert sends(rig.log, request) == [1], "it had not been used for long"
+        assert sends(rig.log, request) == [1], "the primary has been idle for a long time"
         later, actions = rig.receive("write", ttl=1.9)
-        assert sends(actions, later) == [], "one is under way already"
+        assert sends(actions, later) == [], "a write is in flight already"
         assert primary.concurrency_limit == 0.3
 
 
 def test_an_idempotent_write_is_not_hedged_to_a_replica():
-    """A replica that rejects what it does not hold would get the hedged request."""
+    """With REJECT a replica of any position may be picked, but a write must not be hedged to it."""
     safe = tuple(
         replace(c, idempotency=Idempotency.IDEMPOTENT) if c.name == "write" else c for c in SETTINGS.classes
     )
@@ -509,30 +513,30 @@
     assert set(sends(rig.log, request)) == {1}
 
 
-@pytest.mark.parametrize("most", [1, 2, 4, 6])
-def test_a_primary_is_found_in_a_group_of_more_endpoints_than_a_request_has_attempts(most):
-    """Neither the list nor health checks state roles."""
-    settings = replace(SETTINGS, health_checks=False, list_reports_primary=False, max_attempts=most)
+@pytest.mark.parametrize("max_attempts", [1, 2, 4, 6])
+def test_the_primary_is_found_in_a_group_with_more_endpoints_than_max_attempts(max_attempts):
+    """Neither the endpoint list nor health checks report roles."""
+    settings = replace(SETTINGS, health_checks=False, list_reports_primary=False, max_attempts=max_attempts)
     rig = Rig(settings, endpoints=[entry(m) for m in range(1, 13)])
     for _ in range(20):
         request, actions = rig.receive("write", ttl=0.9)
-        for attempt in range(most):
+        for attempt in range(max_attempts):
             tried = sends(actions, request)
             if not tried or finals(actions, request):
                 break
-            found = tried[-1] == 12
+            is_primary = tried[-1] == 12
             actions = rig.finish(
                 request,
                 attempt,
                 tried[-1],
-                AttemptResult.OK if found else AttemptResult.NOT_ELIGIBLE,
-                primary=found,
+                AttemptResult.OK if is_primary else AttemptResult.NOT_ELIGIBLE,
+                primary=is_primary,
             )
         rig.run(1.0)
     assert rig.router.groups[1].primary is rig.router.endpoints[12]
 
 
-def test_a_grown_fleet_without_a_warm_endpoint_is_used():
+def test_replicas_added_together_are_used_although_none_is_warmed_up():
     rig = Rig(endpoints=(entry(1, primary=True),))
     rig.feed(api.EndpointListUpdate(tuple(entry(m, started=rig.now) for m in (2, 3, 4)), complete=False))
     rig.run(5.0)
@@ -540,20 +544,20 @@
     assert {2, 3, 4} <= set(used)
 
 
-def test_roles_are_checked_only_as_far_as_writes_wait():
-    # 400 instances with one write waiting each must not check every endpoint each time.
-    asked = 0
+def test_the_number_of_role_checks_is_bounded_by_the_waiting_writes():
+    # In a fleet of 400 instances with one waiting write each, no instance may check every endpoint each time.
+    health_checks = 0
     for seed in range(50):
         rig = Rig(endpoints=tuple(entry(m) for m in range(1, 9)), seed=seed)
         rig.receive("write", ttl=1.0)
         for attempt in range(4):
             rig.finish(1, attempt, sends(rig.log, 1)[attempt], AttemptResult.NOT_ELIGIBLE, primary=False)
         rig.run(1.0)
-        asked += sum(isinstance(a, api.CheckHealth) for a in rig.log)
-    assert 0 < asked <= 50 * 5
+        health_checks += sum(isinstance(a, api.CheckHealth) for a in rig.log)
+    assert 0 < health_checks <= 50 * 5
 
 
-def test_odd_batches_have_a_defined_outcome():
+def test_unusual_event_batches_have_a_defined_outcome():
     rig = Rig()
     assert rig.feed() == []
     rig.now += 3600.0  # the clock jumps ahead
@@ -571,17 +575,17 @@
     assert unknown == [api.Reject(77, 0.0)]
 
 
-def test_reported_load_is_priced_by_what_it_has_meant_in_latency():
+def test_reported_load_is_converted_to_the_latency_observed_with_it():
     rig = Rig()
     for endpoint, load in ((2, 2.0), (3, 40.0)):
         for _ in range(20):
             request, actions = rig.receive("any")
             used = sends(actions, request)[0]
             report = api.LoadReport(rig.now, used == 1, load if used == endpoint else 2.0)
-            took = 0.02 + 0.01 * report.load
+            elapsed = 0.02 + 0.01 * report.load
             rig.feed(
                 api.AttemptFinished(
-                    request, 0, used, AttemptResult.OK, took, True, primary=used == 1, report=report
+                    request, 0, used, AttemptResult.OK, elapsed, True, primary=used == 1, report=report
                 )
             )
             rig.run(0.05)
@@ -589,12 +593,13 @@
     rig.feed(api.HealthCheckFinished(2, AttemptResult.OK, 0.001, api.LoadReport(rig.now, False, 1.0)))
     assert rig.router.latencies.queueing_delay(rig.router.endpoints[3]) > 0.2
     assert all(sends(rig.receive("any")[1]) != [3] for _ in range(3))
-    rig.run(2.0)  # a report is a hint while it is recent
+    rig.run(2.0)  # an old load report is no longer used
     assert rig.router.latencies.queueing_delay(rig.router.endpoints[3]) == 0.0
 
 
-def test_a_loaded_zone_eases_off_the_limits_of_endpoints_without_recent_answers():
-    # Incident ie07cc6: 330 instances with headroom for two each flooded seven endpoints from the start.
+def test_a_loaded_zone_lowers_the_limits_of_its_endpoints_without_recent_responses():
+    # Incident ie07cc6: 330 instances with headroom for two requests each overloaded seven endpoints from the
+    # start.
     sent = {}
     for ratio in (0.2, 1.0):
         sent[ratio] = 0
@@ -605,12 +610,13 @@
     assert sent[1.0] < 0.5 * sent[0.2]
 
 
-def test_an_ejected_endpoint_is_tried_with_what_no_healthy_one_takes():
-    # cut and healed: all but one were ejected while a zone was cut off; health checks are answered again.
+def test_an_ejected_endpoint_gets_a_trial_with_requests_that_no_healthy_endpoint_has_headroom_for():
+    # Fault scenarios cut and healed: all endpoints but one were ejected while a zone was cut off; health
+    # checks are answered again.
     rig = Rig()
     for endpoint in (2, 3):
         rig.router.outlier_detection.eject(rig.router.endpoints[endpoint], EjectionReason.SILENT)
-    rig.router.endpoints[1].concurrency_limit = 0.1  # and the healthy one has no headroom
+    rig.router.endpoints[1].concurrency_limit = 0.1  # the healthy endpoint has no headroom
     rig.run(5.0)
     used = set()
     for _ in range(4):
@@ -622,7 +628,7 @@
     assert any(not rig.router.endpoints[m].ejection_reason for m in (2, 3))
 
 
-def test_a_health_check_without_an_answer_ejects_while_others_answer():
+def test_a_health_check_timeout_ejects_an_endpoint_while_others_respond():
     rig = Rig()
     rig.report(3, 0.3)
     rig.run(1.0)
@@ -634,7 +640,7 @@
     assert rig.router.endpoints[other].ejection_reason is EjectionReason.SILENT
 
 
-def test_a_health_check_without_an_answer_ejects_nobody_while_nobody_answers():
+def test_a_health_check_timeout_ejects_no_endpoint_while_none_responds():
     rig = Rig()
     rig.run(1.0)
     rig.feed(api.HealthCheckFinished(2, AttemptResult.TIMEOUT, 0.25))
