--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -1,4 +1,4 @@
-"""Modules stay short enough to read at night, those of the router above all."""
+"""Length limits that keep modules quick to read; those of `sedgepitch.routing` are stricter."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 PACKAGE = Path(__file__).parent.parent / "sedgepitch"
 MODULES = sorted((PACKAGE / "routing").rglob("*.py"))
 ANY_MODULE_LINES_MAX = 400
-MODULE_LINES_MAX = 250
+ROUTING_MODULE_LINES_MAX = 250
 FUNCTION_LINES_MAX = 40
 COLUMNS_MAX = 110
 
 
-def test_the_router_s_modules_are_found():
+def test_the_routing_modules_are_found():
     assert {"router.py", "messages.py", "selection.py"} <= {path.name for path in MODULES}
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_a_module_stays_short_enough_to_read_at_night(path):
+def test_a_routing_module_stays_within_the_limits(path):
     lines = path.read_text().splitlines()
-    assert len(lines) <= MODULE_LINES_MAX
+    assert len(lines) <= ROUTING_MODULE_LINES_MAX
     assert max(map(len, lines)) <= COLUMNS_MAX
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -1,7 +1,7 @@
-"""Names and texts that leave the process stay letter for letter, in the module that writes or reads them.
+"""Names and texts that leave the process stay unchanged in the module that writes or reads them.
 
-tests/data/outer_names.txt lists them. A rename that also changes a key of a setting, a field of a log event
-or a text on the wire would pass every test that uses the new name on both sides.
+tests/data/outer_names.txt lists them. A rename that also changes a settings key, a field of a log event or a
+text on the wire would pass every test that uses the new name on both sides.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def listed_names() -> dict[str, list[str]]:
-    """Return the listed names by module; a module's part begins with a line `# path: what its names are`."""
+    """Return the listed names by module; the names of a module follow a line `# path: what its names are`."""
     names: dict[str, list[str]] = {}
     for line in LIST.read_text().splitlines():
         if line.startswith("# sedgepitch/"):
@@ -30,7 +30,7 @@
 
 
 def strings_of(tree: ast.Module) -> set[str]:
-    """Return the string and byte constants of a module, also inside f-strings; docstrings do not count."""
+    """Return the string and bytes constants of a module, including those in f-strings, without docstrings."""
     docstrings = {
         id(statement.value)
         for node in ast.walk(tree)
@@ -49,7 +49,7 @@
 
 
 def identifiers_of(tree: ast.Module) -> set[str]:
-    """Return the names that a module can write out itself: classes, their fields, keywords and parameters."""
+    """Return the identifiers that a module can write out: classes, their fields, keywords and parameters."""
     found = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
@@ -70,13 +70,13 @@
 
 
 @pytest.mark.parametrize("module", LISTED)
-def test_each_listed_name_still_stands_in_its_module(module):
+def test_each_listed_name_still_occurs_in_its_module(module):
     tree = ast.parse((ROOT / module).read_text())
     assert LISTED[module]
     assert sorted(set(LISTED[module]) - strings_of(tree) - identifiers_of(tree)) == []
 
 
-def test_the_list_is_whole():
+def test_the_list_is_complete_and_without_duplicates():
     assert sum(map(len, LISTED.values())) > NAMES_MIN
     assert all(len(names) == len(set(names)) for names in LISTED.values())
 
--- a/tests/test_syscall_failures.py
+++ b/tests/test_syscall_failures.py
@@ -1,7 +1,7 @@
-"""System calls of one proxy process that fail for a moment: no request that it took goes unanswered.
+"""Transient failures of system calls in one proxy process leave no accepted request unanswered.
 
-Order is forced, never timed: the process is suspended while clients connect and send, a rule is armed, and
-the process goes on; the rule's hits show that the fault met what it was meant for.
+The order of events is forced, not timed: the process is suspended while clients connect and send, a rule is
+armed, and the process resumes. The rule's hit count shows that the fault affected the intended call.
 """
 
 from __future__ import annotations
@@ -31,23 +31,23 @@
 
 @pytest.fixture
 def faulty(tmp_path, faults):
-    """One proxy process on an emulated platform whose system calls the test can fault."""
-    with running_platform(tmp_path, faults.environment) as held:
-        yield held
+    """Yield an emulated platform with one running proxy process whose system calls can be made to fail."""
+    with running_platform(tmp_path, faults.environment) as platform:
+        yield platform
 
 
 @pytest.fixture
-def starting(tmp_path, faults):
-    """The same, not started yet."""
-    held = Platform(tmp_path)
-    held.environment = faults.environment
-    held.configure()
-    yield held
-    held.close()
+def unstarted(tmp_path, faults):
+    """Yield the same platform before its proxy process is started."""
+    platform = Platform(tmp_path)
+    platform.environment = faults.environment
+    platform.configure()
+    yield platform
+    platform.close()
 
 
 def suspend(platform: Platform) -> None:
-    """Stop the process and wait until it stands."""
+    """Send SIGSTOP to the process and wait until it is stopped."""
     platform.signal(signal.SIGSTOP)
     end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
@@ -63,14 +63,14 @@
 
 
 def waiting_client(platform: Platform, number: int) -> Client:
-    """A client whose connection waits in the backlog, its startup and first request sent."""
+    """Return a client that has sent its startup message and first request from the accept backlog."""
     client = Client(platform.port, startup=False)
     client.socket.sendall(codec.startup("web", "orders") + codec.query(read_statement(number)))
     return client
 
 
 def answer_of(client: Client) -> tuple[str, object]:
-    """The answer to the one request of a `waiting_client`; ("closed", ...) where the connection ended."""
+    """Return the answer to the request of a `waiting_client`, or ("closed", ...) if the connection closed."""
     try:
         client.read_until_ready()
         for kind, raw in client.read_until_ready():
@@ -83,8 +83,8 @@
     return "closed", None
 
 
-def part_name(part) -> str | None:
-    """A readable id for a parameter of the tests below."""
+def parameter_id(part) -> str | None:
+    """Return a readable id for a parameter of the tests below."""
     if isinstance(part, Call):
         return part.name.lower()
     return errno.errorcode.get(part) if part >= errno.EINTR else None
@@ -99,7 +99,7 @@
     [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EPROTO],
     ids=name_of,
 )
-def test_requests_in_the_backlog_are_answered_though_accept_fails_once(faulty, faults, error):
+def test_requests_in_the_backlog_are_answered_although_accept_fails_once(faulty, faults, error):
     suspend(faulty)
     clients = [waiting_client(faulty, number) for number in range(1, CLIENTS + 1)]
     rule = faults.arm(Rule(Call.ACCEPT, Kind.LISTENER, error))
@@ -111,30 +111,30 @@
 
 
 @pytest.mark.parametrize("idle_clients", [0, 12])
-def test_clients_are_answered_though_no_descriptor_is_left(faulty, idle_clients):
+def test_clients_are_answered_although_no_descriptor_is_left(faulty, idle_clients):
     first = faulty.client()
-    assert first.query(read_statement(1)) == value(1)  # leaves an idle connection to a server
-    kept = [faulty.client() for _ in range(idle_clients)]
-    for number, client in enumerate(kept, 10):
+    assert first.query(read_statement(1)) == value(1)  # leaves an idle pooled connection to an endpoint
+    idle = [faulty.client() for _ in range(idle_clients)]
+    for number, client in enumerate(idle, 10):
         assert client.query(read_statement(number)) == value(number)
     pid = faulty.process.pid
     highest = max(int(name) for name in os.listdir(f"/proc/{pid}/fd"))
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (highest + 1, highest + 1))
     newcomers = [waiting_client(faulty, number) for number in range(40, 46)]
     answers = [answer_of(client) for client in newcomers]
-    # How many can be held at once is the system's matter; nobody is closed without an answer.
+    # How many connections fit depends on the system; none may be closed without an answer.
     assert "closed" not in [kind for kind, _ in answers]
     assert faulty.process.poll() is None
 
 
-# Time that a request waits in the backlog is the client's time
+# The time that a request waits in the backlog counts towards its deadline
 
 
 def test_a_request_whose_deadline_passed_in_the_backlog_is_answered_and_not_forwarded(faulty):
     suspend(faulty)
     client = Client(faulty.port, startup=False)
     client.socket.sendall(codec.startup("web", "orders") + codec.query(read_statement(1, d=1000)))
-    time.sleep(1.2)  # more is fine: its time is over by then
+    time.sleep(1.2)  # longer than the deadline; a longer sleep does no harm
     resume(faulty)
     assert answer_of(client)[0] == "error"
     assert not [text for endpoint in faulty.endpoints for text in endpoint.statements]
@@ -144,16 +144,16 @@
     suspend(faulty)
     client = Client(faulty.port, startup=False)
     client.socket.sendall(codec.startup("web", "orders") + codec.query(read_statement(1, d=15000)))
-    time.sleep(1.0)  # more is fine: less is left then
+    time.sleep(1.0)  # a longer sleep does no harm: it leaves a shorter deadline
     resume(faulty)
     assert answer_of(client) == value(1)
     (statement,) = [text for endpoint in faulty.endpoints for text in endpoint.statements]
     assert int(re.search(r",d=(\d+)", statement)[1]) <= 14_000 + 150
 
 
-# The same mistake elsewhere: a passing error on one call taken for the end of a connection
+# A transient error of one call must not be taken for the end of a connection either
 
-PASSING = [
+TRANSIENT = [
     errno.EINTR,
     errno.EAGAIN,
     errno.ENOBUFS,
@@ -164,16 +164,16 @@
 ]
 
 
-@pytest.mark.parametrize("error", PASSING, ids=name_of)
-def test_a_read_from_a_client_that_fails_for_a_moment_loses_no_request(faulty, faults, error):
+@pytest.mark.parametrize("error", TRANSIENT, ids=name_of)
+def test_a_transient_read_error_on_a_client_connection_loses_no_request(faulty, faults, error):
     client = faulty.client()
     rule = faults.arm(Rule(Call.READ, Kind.ACCEPTED, error, times=3))
     assert client.query(read_statement(1)) == value(1)
     assert faults.hits(rule) == 3
 
 
-@pytest.mark.parametrize("error", PASSING, ids=name_of)
-def test_a_write_to_a_client_that_fails_for_a_moment_loses_no_answer(faulty, faults, error):
+@pytest.mark.parametrize("error", TRANSIENT, ids=name_of)
+def test_a_transient_write_error_on_a_client_connection_loses_no_answer(faulty, faults, error):
     client = faulty.client()
     rule = faults.arm(Rule(Call.WRITE, Kind.ACCEPTED, error, times=3))
     assert client.query(read_statement(1)) == value(1)
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize("call", [Call.READ, Call.WRITE], ids=lambda call: call.name.lower())
 @pytest.mark.parametrize("kind", [Kind.ACCEPTED, Kind.OPENED], ids=lambda kind: kind.name.lower())
-def test_partial_reads_and_writes_down_to_one_byte_change_no_answer(faulty, faults, call, kind):
+def test_partial_reads_and_writes_of_one_byte_change_no_answer(faulty, faults, call, kind):
     rule = faults.arm(Rule(call, kind, byte_limit=1, times=UNBOUNDED))
     client = faulty.client()
     for number in range(1, 4):
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize(
     ("call", "error", "spare"),
     [
-        (Call.SETSOCKOPT, errno.ENOMEM, 0),  # the request for receive timestamps
+        (Call.SETSOCKOPT, errno.ENOMEM, 0),  # the option that enables receive timestamps
         (Call.SETSOCKOPT, errno.ENOBUFS, 1),  # TCP_NODELAY
         (Call.GETSOCKOPT, errno.ENOBUFS, 0),  # SO_ERROR after a read
         (Call.IOCTL, errno.ENOMEM, 0),
@@ -201,7 +201,7 @@
         (Call.EPOLL_CTL, errno.ENOSPC, 0),
     ],
 )
-def test_requests_are_answered_though_a_call_on_new_connections_fails_once(
+def test_requests_are_answered_although_a_call_on_a_new_connection_fails_once(
     faulty, faults, call, error, spare
 ):
     suspend(faulty)
@@ -214,11 +214,11 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM], ids=name_of)
-def test_a_late_request_is_answered_though_polling_its_client_fails(faulty, faults, error):
+def test_a_request_read_late_is_answered_although_polling_its_client_fails(faulty, faults, error):
     client = faulty.client()
     suspend(faulty)
     client.socket.sendall(codec.query(read_statement(1)))
-    time.sleep(2 * DISCONNECT_CHECK_AFTER_S)  # so that it is read late, which has the client looked at
+    time.sleep(2 * DISCONNECT_CHECK_AFTER_S)  # a request read this late has its client polled
     rule = faults.arm(Rule(Call.POLL, error=error))
     resume(faulty)
     messages = client.read_until_ready()
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EAGAIN], ids=name_of)
-def test_the_backlog_is_answered_though_accept_fails_during_a_shutdown(faulty, faults, error):
+def test_the_backlog_is_answered_although_accept_fails_during_a_shutdown(faulty, faults, error):
     suspend(faulty)
     clients = [waiting_client(faulty, number) for number in range(1, CLIENTS + 1)]
     rule = faults.arm(Rule(Call.ACCEPT, Kind.LISTENER, error, times=3))
@@ -239,14 +239,14 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE], ids=name_of)
-def test_a_shutdown_ends_though_accept_never_works_again(faulty, faults, error):
-    held = faulty.client()
+def test_a_shutdown_ends_although_accept_keeps_failing(faulty, faults, error):
+    connected = faulty.client()
     faults.arm(Rule(Call.ACCEPT, Kind.LISTENER, error, times=UNBOUNDED))
     waiting = Client(faulty.port, startup=False)
     faulty.signal(signal.SIGTERM)
     faulty.wait_for("stopping")
-    assert held.query(read_statement(1)) == value(1)
-    held.close()
+    assert connected.query(read_statement(1)) == value(1)
+    connected.close()
     assert faulty.process.wait(timeout=TIMEOUT_S) == 0
     waiting.close()
 
@@ -262,9 +262,9 @@
         (Call.CONNECT, errno.ENETUNREACH),
         (Call.CONNECT, errno.EINTR),
     ],
-    ids=part_name,
+    ids=parameter_id,
 )
-def test_a_request_is_answered_though_a_connection_to_a_server_fails_to_open_once(
+def test_a_request_is_answered_although_opening_a_connection_to_an_endpoint_fails_once(
     faulty, faults, call, error
 ):
     rule = faults.arm(Rule(call, error=error))
@@ -273,7 +273,7 @@
     assert faults.hits(rule) <= 1
 
 
-# Starting
+# Start-up
 
 
 @pytest.mark.parametrize(
@@ -288,28 +288,28 @@
         (Call.SOCKET, errno.ENOBUFS),
         (Call.SOCKET, errno.ENOMEM),
     ],
-    ids=part_name,
+    ids=parameter_id,
 )
-def test_a_process_starts_and_serves_though_its_sockets_fail_to_open_for_a_moment(
-    starting, faults, call, error
+def test_a_process_starts_and_serves_although_its_sockets_fail_to_open_at_first(
+    unstarted, faults, call, error
 ):
     rule = faults.arm(Rule(call, error=error, times=3))
-    starting.start()
+    unstarted.start()
     assert faults.hits(rule) == 3
-    assert starting.client().query(read_statement(1)) == value(1)
+    assert unstarted.client().query(read_statement(1)) == value(1)
 
 
-def test_an_address_that_stays_in_use_is_logged_and_ends_with_an_exit_code(starting):
-    taken = socket.create_server(("127.0.0.1", 0))
-    starting.configure(listen=f"127.0.0.1:{taken.getsockname()[1]}")
+def test_an_address_that_stays_in_use_is_logged_and_the_process_exits_with_1(unstarted):
+    other_listener = socket.create_server(("127.0.0.1", 0))
+    unstarted.configure(listen=f"127.0.0.1:{other_listener.getsockname()[1]}")
     with pytest.raises(AssertionError, match=r"listen.failed"):
-        starting.start()
-    assert starting.process.wait(timeout=TIMEOUT_S) == 1
-    assert "Traceback" not in starting.log.read_text()
-    taken.close()
+        unstarted.start()
+    assert unstarted.process.wait(timeout=TIMEOUT_S) == 1
+    assert "Traceback" not in unstarted.log.read_text()
+    other_listener.close()
 
 
-def test_a_connection_whose_reads_keep_failing_is_closed_and_its_cause_logged(faulty, faults):
+def test_a_connection_whose_reads_keep_failing_is_closed_and_the_error_logged(faulty, faults):
     client = faulty.client()
     rule = faults.arm(Rule(Call.READ, Kind.ACCEPTED, errno.ETIMEDOUT, times=UNBOUNDED))
     assert client.query(read_statement(1)) == ("closed", None)
--- a/tests/test_syscall_filter.py
+++ b/tests/test_syscall_filter.py
@@ -1,4 +1,7 @@
-"""What the deploy file starts, as the fleet bench holds it: one process, no fork, no io_uring, IPv4 alone."""
+"""The program that the deploy file starts runs under the restrictions of the fleet bench.
+
+The bench allows one process, without fork and io_uring, and IPv4 sockets only.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from tests.support.platform import ROOT, TIMEOUT_S, Platform, read_statement, write_statement
 from tests.support.syscall_filter import supported
 
-TRIED = """
+ATTEMPTED_CALLS = """
 import os, socket, sys
 from tests.support.syscall_filter import confine
 confine()
@@ -34,17 +37,19 @@
 socket.socket(socket.AF_INET).close()
 """
 
-pytestmark = pytest.mark.skipif(not supported(), reason="the filter is written for Linux on two machines")
+pytestmark = pytest.mark.skipif(not supported(), reason="the filter needs Linux on x86_64 or aarch64")
 
 
-def test_the_filter_refuses_what_it_should():
-    ran = subprocess.run([sys.executable, "-c", TRIED], capture_output=True, text=True, cwd=ROOT, check=True)
-    assert ran.stdout.split("\n")[:-1] == [
+def test_the_filter_denies_the_listed_calls():
+    completed = subprocess.run(
+        [sys.executable, "-c", ATTEMPTED_CALLS], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    assert completed.stdout.split("\n")[:-1] == [
         "fork 38", "exec 38", "sendfile 38", "splice 22", "ipv6 97", "unix 97",
     ]  # fmt: skip
 
 
-def test_the_program_starts_serves_reloads_and_stops_under_the_filter(tmp_path):
+def test_the_program_starts_serves_reloads_and_shuts_down_under_the_filter(tmp_path):
     platform = Platform(tmp_path)
     platform.program = "tests.support.syscall_filter"
     platform.configure()
@@ -68,7 +73,7 @@
 
 
 def children(pid: int) -> list[str]:
-    """The processes that this one has started, of all its threads."""
+    """Return the ids of the child processes that any thread of the process has started."""
     found = []
     for thread in os.listdir(f"/proc/{pid}/task"):
         with open(f"/proc/{pid}/task/{thread}/children", encoding="ascii") as lines:
@@ -76,7 +81,7 @@
     return found
 
 
-def test_run_becomes_the_program_by_exec():
+def test_the_deploy_file_s_run_command_executes_the_program_by_exec():
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["run"].startswith("exec ") and not set(deploy["run"]) & set(";&|<>`$\n")
 
--- a/tests/test_syscall_storm.py
+++ b/tests/test_syscall_storm.py
@@ -1,7 +1,7 @@
-"""Many failing system calls at random, seeded, under load: each request that was sent gets one answer.
+"""Random system call failures under load, with fixed seeds: each request that was sent gets one answer.
 
-The faults are those that pass: on the clients' side only such as leave a connection whole, on the servers'
-side also such as end it. Nothing is judged by how long a step took.
+The faults are transient. Those on client connections leave the connection open; those on connections to
+endpoints may also end it. No assertion depends on how long a step takes.
 """
 
 from __future__ import annotations
@@ -21,75 +21,73 @@
 from tests.support.syscall_faults import Call, Kind, Rule, SystemCallFaults
 
 CLIENTS, REQUESTS = 6, 40
-FRESH_CONNECTION = 0.4  # share of requests that come on a connection of their own
-PASSING = [errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.ETIMEDOUT, errno.EHOSTUNREACH]
-ACCEPTING = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EINTR]
-CONNECTING = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EAGAIN]
-ENDING = [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE]
+NEW_CONNECTION_SHARE = 0.4  # of requests are sent on a connection of their own
+TRANSIENT = [errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.ETIMEDOUT, errno.EHOSTUNREACH]
+ACCEPT_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED, errno.EINTR]
+CONNECT_ERRORS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EAGAIN]
+ENDING_ERRORS = [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE]
 
 
-def random_rule(dice: random.Random) -> Rule:
-    """One fault that must cost no request its answer."""
-    call, kind, errors = dice.choice(
+def random_rule(rng: random.Random) -> Rule:
+    """Return a random fault that must not leave a request unanswered."""
+    call, kind, errors = rng.choice(
         [
-            (Call.ACCEPT, Kind.LISTENER, ACCEPTING),
-            (Call.ACCEPT, Kind.LISTENER, ACCEPTING),
-            (Call.READ, Kind.ACCEPTED, [*PASSING, 0]),
-            (Call.WRITE, Kind.ACCEPTED, [*PASSING, 0]),
-            (Call.READ, Kind.OPENED, [*PASSING, *ENDING, 0]),
-            (Call.WRITE, Kind.OPENED, [*PASSING, *ENDING, 0]),
+            (Call.ACCEPT, Kind.LISTENER, ACCEPT_ERRORS),
+            (Call.ACCEPT, Kind.LISTENER, ACCEPT_ERRORS),
+            (Call.READ, Kind.ACCEPTED, [*TRANSIENT, 0]),
+            (Call.WRITE, Kind.ACCEPTED, [*TRANSIENT, 0]),
+            (Call.READ, Kind.OPENED, [*TRANSIENT, *ENDING_ERRORS, 0]),
+            (Call.WRITE, Kind.OPENED, [*TRANSIENT, *ENDING_ERRORS, 0]),
             (Call.SOCKET, Kind.ANY, [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]),
-            (Call.CONNECT, Kind.OPENED, CONNECTING),
-            (Call.SETSOCKOPT, Kind.ANY, PASSING),
-            (Call.GETSOCKOPT, Kind.ACCEPTED, PASSING),
+            (Call.CONNECT, Kind.OPENED, CONNECT_ERRORS),
+            (Call.SETSOCKOPT, Kind.ANY, TRANSIENT),
+            (Call.GETSOCKOPT, Kind.ACCEPTED, TRANSIENT),
             (Call.IOCTL, Kind.ACCEPTED, [errno.ENOMEM]),
             (Call.EPOLL_CTL, Kind.ACCEPTED, [errno.ENOMEM, errno.ENOSPC]),
             (Call.SHUTDOWN, Kind.ANY, [errno.ENOTCONN]),
             (Call.POLL, Kind.ANY, [errno.ENOMEM]),
         ]
     )
-    error = dice.choice(errors)
-    return Rule(
-        call, kind, error, 0 if error else dice.randint(1, 16), dice.randint(0, 4), dice.randint(1, 5)
-    )
+    error = rng.choice(errors)
+    return Rule(call, kind, error, 0 if error else rng.randint(1, 16), rng.randint(0, 4), rng.randint(1, 5))
 
 
 @dataclass
-class Caller:
-    """One client that asks in turn, on kept and on new connections; what it met is kept."""
+class SequentialClient:
+    """A client that sends requests one after another, on a kept or a new connection, and records results."""
 
     platform: Platform
     number: int
-    dice: random.Random
+    rng: random.Random
     arm: Callable[[Rule], object]
     answers: list[str] = field(default_factory=list)
     unanswered: list[str] = field(default_factory=list)
-    crossed: int = 0  # requests that met the close of a kept connection, and were sent once more
+    resent: int = 0  # requests sent again because the kept connection was closed as they were sent
     kept: Client | None = None
 
     def run(self) -> None:
-        """Ask all."""
+        """Send all requests."""
         for index in range(REQUESTS):
-            self.arm(random_rule(self.dice))
+            self.arm(random_rule(self.rng))
             self.query(self.number * 1000 + index + 1)
         if self.kept is not None:
             self.kept.close()
 
     def query(self, number: int) -> None:
-        """Ask once."""
-        statement = write_statement(number) if self.dice.random() < 0.3 else read_statement(number)
+        """Send one request and record whether it was answered."""
+        statement = write_statement(number) if self.rng.random() < 0.3 else read_statement(number)
         kinds: list[bytes] = []
-        if self.kept is not None and self.dice.random() >= FRESH_CONNECTION:
-            kinds = self.ask_kept(statement)
+        if self.kept is not None and self.rng.random() >= NEW_CONNECTION_SHARE:
+            kinds = self.query_on_kept_connection(statement)
         if not kinds:
-            kinds = self.ask_fresh(statement)
+            kinds = self.query_on_new_connection(statement)
         if kinds[-1:] == [b"Z"] and (b"D" in kinds) != (b"E" in kinds):
             self.answers.append("value" if b"D" in kinds else "error")
         else:
             self.unanswered.append(f"{number:x}: {kinds}")
 
-    def ask_kept(self, statement: bytes) -> list[bytes]:
-        """Ask on the kept connection; empty where it was closed between requests, as the protocol allows."""
+    def query_on_kept_connection(self, statement: bytes) -> list[bytes]:
+        """Return the answer's message types; empty if the connection closed between requests (allowed)."""
         kinds: list[bytes] = []
         try:
             self.kept.socket.sendall(codec.query(statement))
@@ -97,17 +95,17 @@
         except (BrokenPipeError, ConnectionResetError):
             pass
         if not kinds:
-            self.crossed += 1
+            self.resent += 1
             self.kept.close()
             self.kept = None
         return kinds
 
-    def ask_fresh(self, statement: bytes) -> list[bytes]:
-        """Ask on a new connection, which has to answer."""
+    def query_on_new_connection(self, statement: bytes) -> list[bytes]:
+        """Return the answer's message types; a new connection must not be closed without an answer."""
         client = Client(self.platform.port, startup=False)
         client.socket.sendall(codec.startup("web", "orders") + codec.query(statement))
-        greeted = bool(client.read_until_ready())
-        kinds = [kind for kind, _ in client.read_until_ready()] if greeted else []
+        ready = bool(client.read_until_ready())
+        kinds = [kind for kind, _ in client.read_until_ready()] if ready else []
         if self.kept is None:
             self.kept = client
         else:
@@ -116,7 +114,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_every_request_has_one_answer_while_system_calls_fail(tmp_path, seed):
+def test_each_request_gets_one_answer_while_system_calls_fail(tmp_path, seed):
     faults = SystemCallFaults(tmp_path)
     lock = threading.Lock()
 
@@ -130,22 +128,22 @@
     platform.start()
     try:
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
-        dice = [random.Random(seed * 100 + number) for number in range(CLIENTS)]
-        callers = [Caller(platform, number, dice[number], arm) for number in range(CLIENTS)]
-        threads = [threading.Thread(target=caller.run, daemon=True) for caller in callers]
+        generators = [random.Random(seed * 100 + number) for number in range(CLIENTS)]
+        clients = [SequentialClient(platform, number, generators[number], arm) for number in range(CLIENTS)]
+        threads = [threading.Thread(target=client.run, daemon=True) for client in clients]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        assert [caller.unanswered for caller in callers] == [[]] * CLIENTS
-        assert sum(len(caller.answers) for caller in callers) == CLIENTS * REQUESTS
+        assert [client.unanswered for client in clients] == [[]] * CLIENTS
+        assert sum(len(client.answers) for client in clients) == CLIENTS * REQUESTS
         assert faults.total_hits() > 20
         assert platform.process.poll() is None
         platform.signal(signal.SIGTERM)
         assert platform.process.wait(timeout=TIMEOUT_S) == 0
         closes = re.findall(r"client_closes .*reasons=(\S+)", platform.log.read_text())[-1]
         evicted = re.search(r"evicted:(\d+)", closes)
-        assert sum(caller.crossed for caller in callers) <= (int(evicted[1]) if evicted else 0), closes
+        assert sum(client.resent for client in clients) <= (int(evicted[1]) if evicted else 0), closes
         log = platform.log.read_text()
         assert "Traceback" not in log and "twisted.failure" not in log and "engine.fault" not in log
     finally:
