--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -337,6 +337,7 @@
 
 
 def test_retiring_a_pool_sends_nothing_to_the_old_address():
+    """The pool of an endpoint whose address changed is retired."""
     task = Clock()
     budget, outcomes, connector = DescriptorBudget(256), [], FakeConnector()
     pool = ConnectionPool(FakeClock(task), connector, lambda e, r: r, PoolLimits(), budget)
