--- a/sedgepitch/scenarios/__init__.py
+++ b/sedgepitch/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Load over sockets and the scripted bad day."""
+"""Scripted fault scenarios, fleet scenarios and soaks over loopback sockets."""
--- a/sedgepitch/scenarios/errors.py
+++ b/sedgepitch/scenarios/errors.py
@@ -1,7 +1,7 @@
-"""The error of a scenario that cannot be played."""
+"""The exception of scenarios that cannot run."""
 
 from sedgepitch.errors import SedgepitchError
 
 
 class ScenarioError(SedgepitchError):
-    """The scenario could not be played; the text is one line that says why."""
+    """The scenario cannot run; the message is one line with the reason."""
--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -1,7 +1,7 @@
-"""A scripted bad day on loopback: drivers, stand-in members and clients, and the audit at its end.
+"""A scripted fault scenario on loopback: proxies, emulated servers and clients, with an audit at the end.
 
-The same seed and script give the same requests at the same planned times and the same troubles; what the
-machine makes of them is its own.
+The same seed and script give the same requests at the same planned times and the same faults. The timing of
+responses still depends on the machine.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from sedgepitch.scenarios.report import reads_by_side
 from sedgepitch.scenarios.traffic import KINDS, PROXIES, RequestKind, Session, Tally, scenario_settings
 
-REQUESTS_PER_S = 240.0  # requests a second over all drivers, on a quiet stretch
-SESSIONS = 40  # for each driver
-STATIONS = 200  # that the readings are of
-DISCONNECT_SHARE = 0.02  # of the clients
-SCRIPT_LENGTH_S = 40.0  # s; the length that the script's times are written for
-RETRY_WAIT_S = (0.1, 0.3)  # s before a client's own retry where it got no advice
+REQUESTS_PER_S = 240.0  # requests per second over all proxies, outside a burst
+SESSIONS = 40  # per proxy
+STATIONS = 200  # distinct values of the field that reads filter by
+DISCONNECT_SHARE = 0.02  # share of attempts whose client disconnects before the response
+SCRIPT_LENGTH_S = 40.0  # s; the scenario length that the script's `for` values refer to
+RETRY_WAIT_S = (0.1, 0.3)  # s before a client's retry if the response carried no retry-after
 
 
 class FaultScenario:
-    """One day. `run` plays it and returns the result; it must be the reactor's first use in the process."""
+    """One fault scenario. `run` may be called once per process: it starts and stops the Twisted reactor."""
 
-    def __init__(  # noqa: PLR0913  # the command's options, by keyword
+    def __init__(  # noqa: PLR0913  # the command's options, passed by keyword
         self,
         seed: int = 1,
         length: float = SCRIPT_LENGTH_S,
@@ -61,12 +61,12 @@
         self.tallies = {kind.name: Tally() for kind in KINDS}
         self.clients: dict[str, LoadClient] = {}
         self.sessions: dict[str, list[Session]] = {}
-        self.factor = 1.0
+        self.rate_factor = 1.0
         self.count = 0
         self.planned = 0.0
         self.reactor: Any = None
         self.in_flight = 0
-        self.drawing = True
+        self.accepting = True
         self.errors: list[str] = []
         self.cpu_load = CpuLoad(length + 30.0)
 
@@ -86,14 +86,14 @@
             for number, fault_step in enumerate(faults, 1):
                 if not (0 <= float(fault_step["at"]) <= 1) or not isinstance(fault_step["do"], str):
                     raise ScenarioError(
-                        f"{path}: trouble {number}: 'at' is a share of the day and 'do' a name"
+                        f"{path}: trouble {number}: 'at' must be between 0 and 1 and 'do' a string"
                     )
             return faults
         except (OSError, yaml.YAMLError, KeyError, TypeError, ValueError) as error:
             raise ScenarioError(f"{path}: {str(error).splitlines()[0]}") from None
 
     def run(self, progress: bool = False) -> dict[str, Any]:
-        """Play the day; raises DayError where its processes do not come up."""
+        """Run the scenario; raise ScenarioError if a process does not start."""
         with tempfile.TemporaryDirectory() as scratch:
             directory = Path(self.keep or scratch)
             directory.mkdir(parents=True, exist_ok=True)
@@ -118,28 +118,28 @@
         record = self.record = Recorder(str(directory / "clients.jsonl"), "clients")
         for number in range(1, self.drivers + 1):
             name = f"driver-{number}"
-            address = stage.driver(name, **self.driver_changes(name, number))
-            self.started(name)
+            address = stage.driver(name, **self.proxy_settings(name, number))
+            self.on_proxy_started(name)
             self.clients[name] = LoadClient(reactor, name, address, record)
             if self.cpu_load_processes:
                 self.cpu_load.beside(stage.drivers[name].process.pid, number, self.cpu_load_processes)
             self.sessions[name] = [
                 Session(bson.Binary(self.random.randbytes(16), 4)) for _ in range(SESSIONS)
             ]
-        self.settled()
+        self.on_all_started()
         self.began = now()
         for fault_step in self.faults:
             self.reactor.callLater(float(fault_step["at"]) * self.length, self._start_fault, fault_step)
         self.reactor.callLater(0.0, self._next_arrival)
         self.reactor.callLater(self.length, self._close)
         bar = (
-            click.progressbar(length=round(self.length), label="bad day", file=sys.stderr)
+            click.progressbar(length=round(self.length), label="fault scenario", file=sys.stderr)
             if progress
             else None
         )
         if bar is not None:
             with bar:
-                self._tick(bar, 0)
+                self._update_progress(bar, 0)
                 self.reactor.run()
         else:
             self.reactor.run()
@@ -149,31 +149,31 @@
             raise ScenarioError(self.errors[0])
         return self._result(directory)
 
-    def driver_changes(self, name: str, number: int) -> dict[str, dict[str, Any]]:  # noqa: ARG002  # for subclasses
-        """What one driver's settings have beside the day's."""
+    def proxy_settings(self, name: str, number: int) -> dict[str, dict[str, Any]]:  # noqa: ARG002  # for subclasses
+        """Return the settings of one proxy that differ from the scenario's."""
         return {"driver": {"zone": "north" if number % 2 else "south", "seed": self.seed * 100 + number}}
 
-    def started(self, name: str) -> None:
-        """A driver serves, for the first time or anew."""
+    def on_proxy_started(self, name: str) -> None:
+        """Called when a proxy listens, after its first start and after each restart."""
 
-    def settled(self) -> None:
-        """All drivers stand; the day is about to begin."""
+    def on_all_started(self) -> None:
+        """Called once when all proxies listen, before the first request."""
 
-    def _tick(self, bar: Any, shown: int) -> None:
+    def _update_progress(self, bar: Any, shown: int) -> None:
         passed = min(round(self.length), int(now() - self.began))
         bar.update(passed - shown)
         if passed < round(self.length):
-            self.reactor.callLater(0.5, self._tick, bar, passed)
+            self.reactor.callLater(0.5, self._update_progress, bar, passed)
 
     # Traffic
 
     def _next_arrival(self) -> None:
-        """Open loop: the next arrival is drawn from the plan's own clock, not from answers."""
+        """Send a request and schedule the next arrival; an open loop, independent of the responses."""
         due = now() - self.began
-        if due >= self.length or not self.drawing:
+        if due >= self.length or not self.accepting:
             return
         self._arrive()
-        self.planned += self.random.expovariate(self.rate * self.factor)
+        self.planned += self.random.expovariate(self.rate * self.rate_factor)
         self.reactor.callLater(max(0.0, self.planned - (now() - self.began)), self._next_arrival)
 
     def _arrive(self) -> None:
@@ -184,23 +184,23 @@
                 kind = candidate
                 break
             draw -= candidate.share
-        driver = self.random.choice(sorted(self.clients))
-        session = self.random.choice(self.sessions[driver])
+        proxy = self.random.choice(sorted(self.clients))
+        session = self.random.choice(self.sessions[proxy])
         self.tallies[kind.name].asked += 1
-        self._try(kind, driver, session, tries=0, op="", started=now())
+        self._send_attempt(kind, proxy, session, retries=0, op="", started=now())
 
-    def _try(
+    def _send_attempt(
         self,
         kind: RequestKind,
-        driver: str,
+        proxy: str,
         session: Session,
-        tries: int,
+        retries: int,
         op: str,
         started: float,
         key: int = 0,
-        unsure: bool = False,
+        may_have_run_before: bool = False,
     ) -> None:
-        """Make one attempt of a request; `unsure` says that an earlier one may have run."""
+        """Make one attempt of a request; `may_have_run_before` refers to earlier attempts."""
         self.count += 1
         rid = f"{kind.name}-{self.count}"
         op = op or rid
@@ -208,7 +208,7 @@
             session.number += 1
             key = session.number
         command = self._command(kind, session, rid, op, key)
-        attempt = self._attempt(kind, driver, session, rid, op, command, unsure, started)
+        attempt = self._attempt(kind, proxy, session, rid, op, command, may_have_run_before, started)
         self.in_flight += 1
 
         def done(outcome: ClientOutcome) -> None:
@@ -216,21 +216,21 @@
             if outcome.verdict == "served" and kind.keyed:
                 session.last_write = rid
                 session.after = outcome.reply.get("operationTime")
-            retry = self.drawing and tries < 1 and self._may_retry(kind, outcome, now() - started)
+            retry = self.accepting and retries < 1 and self._may_retry(kind, outcome, now() - started)
             if not retry:
                 self._count(kind, outcome, now() - started)
                 return
             wait_s = outcome.retry_after or self.random.uniform(*RETRY_WAIT_S)
-            other = driver if kind.keyed else self.random.choice(sorted(self.clients))
+            other = proxy if kind.keyed else self.random.choice(sorted(self.clients))
             self.reactor.callLater(wait_s, again, other, outcome.verdict not in ("refused", "unsent"))
 
         def again(other: str, may_have_run: bool) -> None:
-            if self.drawing:
-                self._try(kind, other, session, tries + 1, op, started, key, may_have_run)
-            else:  # the scenario is over; what came of the first attempt stands
+            if self.accepting:
+                self._send_attempt(kind, other, session, retries + 1, op, started, key, may_have_run)
+            else:  # the scenario has ended: the request counts as refused, without a retry
                 self._count(kind, ClientOutcome(attempt, "refused", 0.0), now() - started)
 
-        self.clients[driver].send(attempt, done)
+        self.clients[proxy].send(attempt, done)
 
     def _command(self, kind: RequestKind, session: Session, rid: str, op: str, key: int) -> dict[str, Any]:
         """Return the MongoDB command of one attempt."""
@@ -250,68 +250,67 @@
     def _attempt(
         self,
         kind: RequestKind,
-        driver: str,
+        proxy: str,
         session: Session,
         rid: str,
         op: str,
         command: dict[str, Any],
-        unsure: bool,
+        may_have_run_before: bool,
         started: float,
     ) -> ClientAttempt:
-        """Return one attempt: how long its client waits for it, and whether it disconnects before that."""
+        """Return one attempt, with its client's time-out and, if the client leaves early, the time."""
         patience = kind.deadline * self.random.uniform(0.4, 1.0)
-        if (
-            kind.keyed and unsure
-        ):  # servers forget the key: an attempt that could run after that must not be made
+        if kind.keyed and may_have_run_before:
+            # After the deduplication window the servers no longer recognize the key: an attempt that ran
+            # then could take effect a second time.
             patience = max(0.01, min(patience, kind.window - (now() - started)))
-        leaves = (
-            self.random.random() < DISCONNECT_SHARE
-        )  # half of them before their request can have been read
+        # Half of these clients disconnect at once, before the proxy can have read the request.
+        disconnects = self.random.random() < DISCONNECT_SHARE
         return ClientAttempt(
             rid=rid,
             op=op,
-            driver=driver,
+            driver=proxy,
             class_name=kind.name,
             command=command,
             patience=patience,
             writes=kind.writes,
             keyed=kind.keyed,
             need=session.last_write if kind.freshness == "session" else None,
-            leave_after=max(0.0, self.random.uniform(-0.02, 0.02)) if leaves else None,
+            leave_after=max(0.0, self.random.uniform(-0.02, 0.02)) if disconnects else None,
         )
 
-    def _may_retry(self, kind: RequestKind, got: ClientOutcome, passed: float) -> bool:
-        """A refusal and a try that was never made may be tried again; a lost one only where that is safe."""
-        if got.verdict in ("refused", "unsent"):
+    def _may_retry(self, kind: RequestKind, outcome: ClientOutcome, elapsed: float) -> bool:
+        """Return whether the client retries: if nothing ran, or if a second run does no harm."""
+        if outcome.verdict in ("refused", "unsent"):
             return True
-        if got.verdict == "closed":
-            return kind.effect == "safe" or (kind.effect == "keyed" and passed < kind.window / 3)
-        return got.verdict == "failed" and kind.effect == "safe"
+        if outcome.verdict == "closed":
+            return kind.effect == "safe" or (kind.effect == "keyed" and elapsed < kind.window / 3)
+        return outcome.verdict == "failed" and kind.effect == "safe"
 
-    def _count(self, kind: RequestKind, got: ClientOutcome, passed: float) -> None:
+    def _count(self, kind: RequestKind, outcome: ClientOutcome, elapsed: float) -> None:
         tally = self.tallies[kind.name]
-        if got.verdict == "served":
-            tally.times.record_value(max(1, round(passed * 1e6)))
-            tally.in_time += passed <= kind.aim
-            tally.late += passed > kind.aim
-        elif got.verdict in ("refused", "failed"):
-            setattr(tally, got.verdict, getattr(tally, got.verdict) + 1)
+        if outcome.verdict == "served":
+            tally.times.record_value(max(1, round(elapsed * 1e6)))
+            tally.in_time += elapsed <= kind.aim
+            tally.late += elapsed > kind.aim
+        elif outcome.verdict in ("refused", "failed"):
+            setattr(tally, outcome.verdict, getattr(tally, outcome.verdict) + 1)
         else:
             tally.other += 1
 
-    # Troubles
+    # Faults
 
     def _start_fault(self, fault_step: dict[str, Any]) -> None:
-        short = min(1.0, self.length / SCRIPT_LENGTH_S)
+        time_scale = min(1.0, self.length / SCRIPT_LENGTH_S)
         fields = {k: v for k, v in fault_step.items() if k not in ("at", "do")}
         if "for" in fields and fields["for"] >= 1:
-            fields["for"] *= short
+            fields["for"] *= time_scale
         if "then" in fields and fields["then"].get("for", 0) >= 1:
-            fields["then"] = {**fields["then"], "for": fields["then"]["for"] * short}
+            fields["then"] = {**fields["then"], "for": fields["then"]["for"] * time_scale}
         do = fault_step["do"]
         if do == "burst":
-            self.factor = float(fields.get("factor", 2.0))
-            self.reactor.callLater(float(fields.get("for", 2.0)), setattr, self, "factor", 1.0)
+            self.rate_factor = float(fields.get("factor", 2.0))
+            self.reactor.callLater(float(fields.get("for", 2.0)), setattr, self, "rate_factor", 1.0)
             return
         name = f"driver-{fields.get('driver', 1)}"
         if do == "kill":
@@ -323,27 +322,27 @@
 
     def _start(self, name: str) -> None:
         self.stage.driver(name)
-        self.started(name)
-        if self.cpu_load_processes:  # those of its first life still run
+        self.on_proxy_started(name)
+        if self.cpu_load_processes:  # the load processes of the previous proxy process still run on that core
             self.cpu_load.beside(self.stage.drivers[name].process.pid, int(name.rpartition("-")[2]), 0)
 
     def _fault(self, do: str, fields: dict[str, Any]) -> None:
         self.stage.fault(do, **fields)
 
     def _close(self) -> None:
-        """No more arrivals; end when all has been answered, or when nothing more can be."""
-        self.drawing = False
+        """Stop new requests, and stop the reactor when none is in flight, after 6 s at the latest."""
+        self.accepting = False
         end = now() + 6.0
 
-        def look() -> None:
+        def stop_when_idle() -> None:
             if self.in_flight and now() < end:
-                self.reactor.callLater(0.05, look)
+                self.reactor.callLater(0.05, stop_when_idle)
                 return
             for client in self.clients.values():
                 client.close()
             self.reactor.callLater(0.1, self.reactor.stop)
 
-        look()
+        stop_when_idle()
 
     # The result
 
@@ -364,16 +363,16 @@
         }
 
     def _delays(self, records: list[dict[str, Any]], directory: Path) -> dict[str, dict[str, float]]:
-        """How late each kind of process was, by its own account, in seconds: longest and mean wait."""
+        """Return the delays in seconds, longest and mean, that each kind of process measured of itself."""
         out = {r["who"]: {"longest": r["longest"], "mean": r["mean"]} for r in records if r["e"] == "delay"}
-        told = []
+        stopped_events = []
         for log in directory.glob("driver-*.log"):
             for line in log.read_text(encoding="utf-8", errors="replace").splitlines():
                 if '"event": "stopped"' in line:
-                    told.append(json.loads(line))
-        if told:
-            longest = max(row["max_lag_ms"] for row in told) / 1000.0
-            mean = sum(row["mean_lag_ms"] for row in told) / len(told) / 1000.0
+                    stopped_events.append(json.loads(line))
+        if stopped_events:
+            longest = max(row["max_lag_ms"] for row in stopped_events) / 1000.0
+            mean = sum(row["mean_lag_ms"] for row in stopped_events) / len(stopped_events) / 1000.0
             out["drivers"] = {"longest": longest, "mean": mean}
             counters = {
                 "too_slow": "rejected_for_lag",
@@ -382,11 +381,11 @@
                 "faults": "callback_errors",
             }
             for name, field_name in counters.items():
-                out["drivers"][name] = sum(row[field_name] for row in told)
+                out["drivers"][name] = sum(row[field_name] for row in stopped_events)
         return out
 
     def figures(self) -> RuleParameters:
-        """The figures that the drivers were given, and the audit's slack."""
+        """Return the audit's parameters: the proxies' settings and the slack."""
         from sedgepitch.config.models import RulesModel
 
         rules = RulesModel.model_validate(self.settings["rules"])
--- a/sedgepitch/scenarios/fleet_script.py
+++ b/sedgepitch/scenarios/fleet_script.py
@@ -1,4 +1,4 @@
-"""The script of a fleet scenario, as YAML states it: its size, its traffic, and its steps."""
+"""The schema of a fleet scenario's YAML file: fleet size, traffic and steps."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Step(BaseModel):
-    """One trouble. `at` and `for` are seconds of the script's own day."""
+    """One step: a fault, a burst or an operator command. `at` and `for` are in seconds of the scenario."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, populate_by_name=True)
 
@@ -24,17 +24,17 @@
     ]  # fmt: skip
     lasts: float = Field(0.0, ge=0, alias="for")
     zone: str = ""
-    part: float = Field(1.0, gt=0, le=1)  # of the zone's members, or of the drivers
+    part: float = Field(1.0, gt=0, le=1)  # share of the zone's endpoints, or of the proxies
     origin: str = Field("", alias="from")
     to: str = ""
     drivers: list[int] = []
     factor: float = Field(10.0, gt=0)
-    each: float = Field(0.0, ge=0)  # s between one member and the next
-    once: Literal["", "left", "returning"] = ""  # not before most drivers have said so of the zone
+    each: float = Field(0.0, ge=0)  # s between one endpoint and the next
+    once: Literal["", "left", "returning"] = ""  # wait until most proxies have logged this state of the zone
 
 
 class Script(BaseModel):
-    """A whole day."""
+    """A whole fleet scenario."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -44,10 +44,9 @@
     zones: list[str] = Field(["north", "middle", "south"], min_length=1, max_length=6)
     rate: float = Field(240.0, gt=0, le=2000)
     settings: dict[str, dict[str, Any]] = {}
-    wrong_key: list[int] = []  # drivers whose key file is another
-    beside: list[
-        str
-    ] = []  # Python's arguments for other peers; {name}, {key}, {seed} are put in, routes added
+    wrong_key: list[int] = []  # numbers of the proxies that use a different key
+    # Python arguments for extra peers; {name}, {key} and {seed} are filled in, routes appended.
+    beside: list[str] = []
     steps: list[Step] = Field([], max_length=200)
 
     @model_validator(mode="after")
@@ -68,7 +67,7 @@
 
 
 def read_script(path: str | None) -> Script:
-    """Read a script, or the one that comes with the package. Raises DayError with its place."""
+    """Read a script, by default the package's own; raise ScenarioError that names the faulty place."""
     try:
         if path is None:
             text = files("sedgepitch.scenarios").joinpath("fleet_scenario.yaml").read_text(encoding="utf-8")
--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -1,7 +1,7 @@
-"""Clients of a driver: open-loop requests over connections that carry one each, and a record of every answer.
+"""An open-loop load generator: one request at a time per connection, and a record of every response.
 
-A request is begun when its time has come, whether or not the ones before it have been answered; a connection
-that is free carries it, else a new one is opened. Times are those of the machine's monotonic clock.
+A request is sent at its planned time, whether or not earlier ones have been answered. It uses an idle
+connection, or opens a new one if there is none. Times are those of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,24 +26,28 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One try of one request."""
+    """One attempt of one request."""
 
     rid: str
-    op: str  # the operation: the same for all its tries
+    op: str  # id of the operation, the same for all attempts
     driver: str
     class_name: str
     command: dict[str, Any]
-    patience: float  # s
+    patience: float  # s; the time-out, sent as maxTimeMS
     writes: bool
     keyed: bool
-    need: str | None = None  # the rid of the session's last write that the read must see
-    leave_after: float | None = None  # s after which the client leaves without its answer; 0 for at once
+    need: str | None = None  # rid of the session's last write, which the read must see
+    leave_after: float | None = None  # s until the client disconnects without a response; 0 for at once
     asked: float = 0.0
 
 
 @dataclass(slots=True)
 class ClientOutcome:
-    """How a try ended: served, refused, failed, closed (no connection any more), unsent, or left."""
+    """How an attempt ended.
+
+    The verdict is served, refused, failed, closed (the proxy closed the connection), unsent (not connected),
+    left (the client disconnected) or lost (no response).
+    """
 
     ask: ClientAttempt
     verdict: str
@@ -52,7 +56,7 @@
 
     @property
     def retry_after(self) -> float:
-        """When the driver asks to be asked again, in seconds; 0 for no advice."""
+        """Return the retry-after of the response in seconds; 0 if it has none."""
         return float(self.reply.get("retryAfterMS", 0)) / 1000.0
 
 
@@ -69,7 +73,7 @@
         self.up = False
 
     def connectionMade(self) -> None:
-        """Begin with what waits."""
+        """Send hello if there is an application name, else the pending attempt."""
         self.transport.set_no_delay()
         if not self.client.app_name:
             self.up = True
@@ -79,7 +83,7 @@
         self.transport.write(codec.build(bson.encode({"hello": 1, "client": client, "$db": "admin"}), 0, 0))
 
     def begin(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
-        """Carry one try."""
+        """Send one attempt, as soon as the connection is established."""
         self.ask, self.done = ask, done
         if self.up:
             self._write()
@@ -102,8 +106,8 @@
         elif ask.leave_after is not None:
             self.timer = self.client.reactor.callLater(ask.leave_after, self._leave)
         else:
-            # A client that is never answered gives up long after its time; the audit has then seen it.
-            self.timer = self.client.reactor.callLater(ask.patience + 2.0, self._never)
+            # An unanswered attempt is given up 2 s after its deadline, which the audit then reports as lost.
+            self.timer = self.client.reactor.callLater(ask.patience + 2.0, self._give_up)
 
     def _leave(self) -> None:
         self.timer = None
@@ -112,25 +116,25 @@
             self._end("left", {})
         self.transport.abortConnection()
 
-    def _never(self) -> None:
+    def _give_up(self) -> None:
         self.timer = None
         self._end("lost", {})
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes; how long they waited is this process's own delay."""
+        """Parse bytes, and record how long they waited in this process."""
         self.client.record.waited(now() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
-        """One reply."""
+        """Handle one reply."""
         try:
             message = codec.parse(frame)
             reply = bson.decode(message.body)
         except (MalformedMessage, bson.errors.BSONError):
             self.transport.abortConnection()
             return
-        if not self.up:  # hello is answered
+        if not self.up:  # the reply to hello
             self.up = True
             self._write()
             return
@@ -152,7 +156,7 @@
         if ask is None or done is None:
             return
         member = reply.get("$member") or {}
-        # A reply is dated by the arrival of its bytes; anything else by when this process saw it.
+        # The time of a reply is the arrival of its bytes; of any other end, the time at which it was noticed.
         at = self.transport.arrived if verdict in ("served", "refused", "failed") else now()
         if ask.asked and verdict not in ("left", "lost"):
             self.client.record(
@@ -160,8 +164,8 @@
             )
         done(ClientOutcome(ask, verdict, at - ask.asked if ask.asked else 0.0, reply))
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted's
-        """The driver hung up."""
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted's signature
+        """End the attempt in flight: the proxy closed the connection."""
         self.up = False
         if self in self.client.idle:
             self.client.idle.remove(self)
@@ -169,7 +173,7 @@
 
 
 class LoadClient(ClientFactory):
-    """All client connections to one driver."""
+    """All client connections to one proxy."""
 
     noisy = False
 
@@ -182,31 +186,31 @@
         self.opened = 0
 
     def send(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
-        """Make one try; `done` hears how it ended."""
+        """Make one attempt; `done` is called with its outcome."""
         if self.idle:
             self.idle.pop().begin(ask, done)
             return
         self.opened += 1
         connection = Connection(self)
         connection.begin(ask, done)
-        connect(self.reactor, *self.address, _One(connection), 5.0)
+        connect(self.reactor, *self.address, _SingleConnectionFactory(connection), 5.0)
 
     def close(self) -> None:
-        """Hang up what is idle."""
+        """Close the idle connections."""
         for connection in list(self.idle):
             connection.transport.loseConnection()
 
 
-class _One(ClientFactory):
+class _SingleConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
 
-    def buildProtocol(self, addr: Any) -> Connection:  # noqa: ARG002  # Twisted's
-        """The one connection."""
+    def buildProtocol(self, addr: Any) -> Connection:  # noqa: ARG002  # Twisted's signature
+        """Return the connection."""
         return self.connection
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002  # Twisted's
-        """The driver does not listen: the try was never made."""
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002  # Twisted's signature
+        """Report the attempt as unsent: the proxy does not listen."""
         self.connection._end("unsent", {})
--- a/sedgepitch/scenarios/network_links.py
+++ b/sedgepitch/scenarios/network_links.py
@@ -1,4 +1,4 @@
-"""Links of the project's own on loopback, so that what passes between two processes can be harmed."""
+"""Relays on loopback that lose, duplicate, delay or block the traffic between two processes."""
 
 from __future__ import annotations
 
@@ -10,49 +10,49 @@
 import threading
 import time
 
-MOST_STREAMS = 256  # open at once through one link
-STREAM_IDLE = 60.0  # s
-KEPT = 1000  # datagrams remembered, for those who replay them
+MAX_OPEN_SOCKETS = 256  # sockets open at once in one link
+STREAM_IDLE_TIMEOUT_S = 60.0
+MAX_KEPT_DATAGRAMS = 1000  # kept for replay
 
 
 class Streams:
-    """Streams to one address go through here: passed on, refused, or taken and left silent when cut."""
+    """A relay of TCP connections to one address; while cut, it accepts connections and forwards nothing."""
 
     def __init__(self, to: tuple[str, int], listener: socket.socket) -> None:
         self.to, self.listener = to, listener
         self.cut = self.closed = False
-        self.held: set[socket.socket] = set()
+        self.open_sockets: set[socket.socket] = set()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
         while not self.closed:
             try:
-                one, _ = self.listener.accept()
+                incoming, _ = self.listener.accept()
             except OSError:
                 return
-            if len(self.held) >= MOST_STREAMS:
-                one.close()
+            if len(self.open_sockets) >= MAX_OPEN_SOCKETS:
+                incoming.close()
                 continue
-            self.held.add(one)
+            self.open_sockets.add(incoming)
             if not self.cut:
-                threading.Thread(target=self._pass, args=(one,), daemon=True).start()
+                threading.Thread(target=self._relay, args=(incoming,), daemon=True).start()
 
-    def _pass(self, one: socket.socket) -> None:
+    def _relay(self, incoming: socket.socket) -> None:
         try:
-            other = socket.create_connection(self.to, timeout=STREAM_IDLE)
+            outgoing = socket.create_connection(self.to, timeout=STREAM_IDLE_TIMEOUT_S)
         except OSError:
-            self._drop(one)
+            self._close_socket(incoming)
             return
-        self.held.add(other)
-        back = threading.Thread(target=self._pump, args=(other, one), daemon=True)
+        self.open_sockets.add(outgoing)
+        back = threading.Thread(target=self._pump, args=(outgoing, incoming), daemon=True)
         back.start()
-        self._pump(one, other)
+        self._pump(incoming, outgoing)
         back.join()
-        self._drop(one)
-        self._drop(other)
+        self._close_socket(incoming)
+        self._close_socket(outgoing)
 
     def _pump(self, source: socket.socket, sink: socket.socket) -> None:
-        source.settimeout(STREAM_IDLE)
+        source.settimeout(STREAM_IDLE_TIMEOUT_S)
         try:
             while data := source.recv(65536):
                 while self.cut and not self.closed:
@@ -64,21 +64,21 @@
                 with contextlib.suppress(OSError):
                     end.shutdown(socket.SHUT_RDWR)
 
-    def _drop(self, one: socket.socket) -> None:
-        self.held.discard(one)
-        one.close()
+    def _close_socket(self, sock: socket.socket) -> None:
+        self.open_sockets.discard(sock)
+        sock.close()
 
     def close(self) -> None:
-        """End all of them."""
+        """Stop accepting and shut all connections down."""
         self.closed = True
         self.listener.close()
-        for one in list(self.held):
+        for sock in list(self.open_sockets):
             with contextlib.suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
+                sock.shutdown(socket.SHUT_RDWR)
 
 
-def both_ports() -> tuple[socket.socket, socket.socket]:
-    """A datagram socket and a listener on one port that the system chose."""
+def bind_udp_and_tcp() -> tuple[socket.socket, socket.socket]:
+    """Return a UDP socket and a TCP listener on the same free port."""
     for _ in range(100):
         listener = socket.socket()
         listener.bind(("127.0.0.1", 0))
@@ -91,29 +91,30 @@
             continue
         listener.listen(64)
         return datagrams, listener
-    raise OSError("no port is free for both")
+    raise OSError("no port was free for both UDP and TCP in 100 attempts")
 
 
-def _place(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class Link:
-    """Datagrams and streams to one address go through here.
+    """A relay of UDP datagrams and TCP connections to one address.
 
-    Datagrams are lost, doubled, delayed (so disordered) or cut off; streams pass, or go silent where
-    `cut_streams` is called. Shares are between 0 and 1, the delay is drawn evenly up to `delay` seconds.
+    Datagrams can be lost, duplicated, delayed (which reorders them) or blocked; connections stall while
+    `set_streams_cut` has cut them. `loss` and `duplication` are probabilities, and the delay of a datagram is
+    uniform between 0 and `delay` seconds.
     """
 
     def __init__(self, to: str, seed: int = 1) -> None:
-        self.to = _place(to)
+        self.to = _split_address(to)
         self.random = random.Random(seed)
-        self.loss = self.doubled = self.delay = 0.0
+        self.loss = self.duplication = self.delay = 0.0
         self.cut = False
         self.kept: list[bytes] = []
         self.passed = self.lost = 0
-        self.socket, listener = both_ports()
+        self.socket, listener = bind_udp_and_tcp()
         self.streams = Streams(self.to, listener)
         self.address = "{}:{}".format(*self.socket.getsockname())
         self.closed = False
@@ -128,12 +129,12 @@
                 ready, _, _ = select.select([self.socket], [], [], wait)
                 if ready:
                     data = self.socket.recv(65536)
-                    if len(self.kept) < KEPT:
+                    if len(self.kept) < MAX_KEPT_DATAGRAMS:
                         self.kept.append(data)
                     if self.cut or self.random.random() < self.loss:
                         self.lost += 1
                     else:
-                        for _ in range(1 + (self.random.random() < self.doubled)):
+                        for _ in range(1 + (self.random.random() < self.duplication)):
                             count += 1
                             due = time.monotonic() + self.delay * self.random.random()
                             heapq.heappush(waiting, (due, count, data))
@@ -144,20 +145,20 @@
                     return
 
     def send(self, data: bytes) -> None:
-        """Pass one on."""
+        """Forward one datagram."""
         self.passed += 1
         self.socket.sendto(data, self.to)
 
-    def lead(self, to: str) -> None:
-        """Lead to another address from now on: its process was started anew."""
-        self.to = self.streams.to = _place(to)
+    def redirect(self, to: str) -> None:
+        """Change the destination, for a process that restarted on other ports."""
+        self.to = self.streams.to = _split_address(to)
 
-    def cut_streams(self, cut: bool) -> None:
-        """Have streams go silent, or go on."""
+    def set_streams_cut(self, cut: bool) -> None:
+        """Stall the TCP connections, or let them continue."""
         self.streams.cut = cut
 
     def close(self) -> None:
-        """End it."""
+        """Close the relay."""
         self.closed = True
         self.socket.close()
         self.streams.close()
--- a/sedgepitch/scenarios/processes.py
+++ b/sedgepitch/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""Run a fleet of stand-ins and drivers as processes of their own, and speak to the fleet's control socket."""
+"""Run the emulated servers and the proxies as processes, and use the emulator's control socket."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 import yaml
 
-READY_TIMEOUT_S = 60.0  # s; generous, machines are shared
+READY_TIMEOUT_S = 60.0  # s; long, because the machine may be shared
 
 
 class ProcessError(Exception):
-    """A process that did not come up; the text has its last words."""
+    """A process did not start (the message is its last log line) or rejected a fault."""
 
 
 class Process:
-    """One `python -m sedgepitch` process that says `ready host:port` when it is."""
+    """One `python -m sedgepitch` process, which prints `ready host:port` when it listens."""
 
     def __init__(self, arguments: list[str], log: Path, module: str = "sedgepitch") -> None:
         self.log = log
@@ -47,7 +47,7 @@
         self.lines.put("")
 
     def ready(self) -> tuple[str, int]:
-        """Wait until it serves; returns its address. Raises ProcessError."""
+        """Wait until the process listens and return its address; raise ProcessError if it does not."""
         end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end:
             try:
@@ -60,16 +60,16 @@
             if not line:
                 break
         self.stop()
-        last = self.log.read_text(errors="replace").strip().splitlines()
-        raise ProcessError(last[-1] if last else "a process ended without a word")
+        lines = self.log.read_text(errors="replace").strip().splitlines()
+        raise ProcessError(lines[-1] if lines else "the process ended without output before it was ready")
 
     def kill(self) -> None:
-        """End it without notice."""
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
     def stop(self) -> int:
-        """End it in order; returns its exit code."""
+        """Terminate the process, kill it after 20 s, and return its exit code."""
         if self.process.poll() is None:
             self.process.terminate()
             try:
@@ -82,14 +82,14 @@
 
 
 class CpuLoad:
-    """A slow machine: processes that only compute, on the core that another is pinned to. They end alone."""
+    """Emulates a slow machine: busy loops on the core of a process, which end after `lasts` seconds."""
 
     def __init__(self, lasts: float) -> None:
         self.lasts = lasts
         self.running: list[subprocess.Popen[bytes]] = []
 
     def beside(self, pid: int, number: int, count: int) -> None:
-        """Pin a process to the core of that number, counted from the last, and start so many beside it."""
+        """Pin a process to core `number`, counted from the last, and start `count` busy loops there."""
         cores = sorted(os.sched_getaffinity(0))
         core = {cores[-number % len(cores)]}
         os.sched_setaffinity(pid, core)
@@ -100,7 +100,7 @@
             self.running.append(process)
 
     def stop(self) -> None:
-        """End them all."""
+        """Kill all busy loops."""
         for process in self.running:
             process.kill()
             process.wait()
@@ -108,28 +108,28 @@
 
 
 class Control:
-    """A client of the fleet's control socket."""
+    """A client of the emulator's control socket."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address, timeout=10.0)
         self.file = self.socket.makefile("rb")
-        self.lock = threading.Lock()  # one question at a time, from any thread
+        self.lock = threading.Lock()  # one request at a time, from any thread
 
     def ask(self, op: str, **fields: Any) -> dict[str, Any]:
-        """One request; returns its answer."""
+        """Send one request and return the response."""
         with self.lock:
             self.socket.sendall(json.dumps({"op": op, **fields}).encode() + b"\n")
-            answer: dict[str, Any] = json.loads(self.file.readline())
-        return answer
+            response: dict[str, Any] = json.loads(self.file.readline())
+        return response
 
     def close(self) -> None:
-        """Hang up."""
+        """Close the connection."""
         self.file.close()
         self.socket.close()
 
 
 class Stage:
-    """A fleet and its drivers, on ephemeral loopback ports. `settings` is a settings file's content."""
+    """An emulated fleet with its proxy processes on loopback; `settings` is a settings file's content."""
 
     def __init__(self, settings: dict[str, Any], directory: Path, module: str = "sedgepitch") -> None:
         self.settings = copy.deepcopy(settings)
@@ -147,7 +147,7 @@
         try:
             self.control_address = self.fleet.ready()
             self.control = Control(self.control_address)
-        except BaseException:  # nobody holds this stage yet who could stop it
+        except BaseException:  # the caller has no Stage yet on which it could call stop
             self.fleet.stop()
             raise
 
@@ -157,7 +157,7 @@
         return str(path)
 
     def driver(self, name: str, **changes: dict[str, Any]) -> tuple[str, int]:
-        """Start a driver, or start it again at its old address; `changes` are laid over parts of settings."""
+        """Start a proxy, or restart it at its former address; `changes` override settings by section."""
         settings = self.driver_settings.get(name)
         if settings is None:
             settings = copy.deepcopy(self.settings)
@@ -176,18 +176,18 @@
         return address
 
     def fault(self, do: str, **fields: Any) -> None:
-        """Make something go wrong; raises ProcessError where the fleet cannot."""
-        answer = self.control.ask("fault", do=do, **fields)
-        if not answer["ok"]:
-            raise ProcessError(f"fault {do}: {answer['error']}")
+        """Inject a fault; raise ProcessError if the emulator rejects it."""
+        response = self.control.ask("fault", do=do, **fields)
+        if not response["ok"]:
+            raise ProcessError(f"fault {do}: {response['error']}")
 
     def members(self) -> list[dict[str, Any]]:
-        """How the members stand."""
+        """Return the status of each emulated server."""
         rows: list[dict[str, Any]] = self.control.ask("status")["members"]
         return rows
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop the proxies and the emulator."""
         try:
             for process in self.drivers.values():
                 process.stop()
@@ -198,9 +198,9 @@
 
 @contextlib.contextmanager
 def stage(settings: dict[str, Any], directory: Path) -> Iterator[Stage]:
-    """A stage that ends with the block."""
-    held = Stage(settings, directory)
+    """Start a Stage and stop it at the end of the block."""
+    running = Stage(settings, directory)
     try:
-        yield held
+        yield running
     finally:
-        held.stop()
+        running.stop()
--- a/sedgepitch/scenarios/report.py
+++ b/sedgepitch/scenarios/report.py
@@ -1,4 +1,4 @@
-"""The result of a scenario as a person reads it."""
+"""Text reports of scenario results."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 def reads_by_side(records: list[dict[str, Any]]) -> dict[str, dict[str, int]]:
-    """Reads served, by class: at the primary of that moment, or at a replica."""
+    """Count the served reads by class, at the server that was primary at the time or at replicas."""
     index = RecordIndex(records)
     roles = RoleHistory(index)
-    out: dict[str, dict[str, int]] = {}
+    counts: dict[str, dict[str, int]] = {}
     for rid, ask in index.asked.items():
         answer = next((a for a in index.answers.get(rid, []) if a["verdict"] == "served"), None)
         if ask["w"] or answer is None or answer.get("m") is None:
             continue
         side = "primary" if roles.primary(0, answer["t"]) == answer["m"] else "replicas"
-        row = out.setdefault(ask["cls"], {"primary": 0, "replicas": 0})
+        row = counts.setdefault(ask["cls"], {"primary": 0, "replicas": 0})
         row[side] += 1
-    return out
+    return counts
 
 
 def table(result: dict[str, Any]) -> str:
-    """The result as a person reads it."""
+    """Return the text report of a fault scenario."""
     lines = [
         f"{result['requests']} requests in {result['length_s']:g} s, {result['drivers']} drivers, "
         f"{result['members']} members, seed {result['seed']}",
@@ -35,7 +35,7 @@
         verdict = "kept" if not rule["broken"] else "BROKEN"
         lines.append(f"{name:32}{rule['checked']:>9}{rule['broken']:>8}  {verdict}")
         lines += [f"     {text}" for text in rule["told"][:5]]
-    head = (
+    heads = (
         "class",
         "asked",
         "in time",
@@ -47,11 +47,11 @@
         "p99 ms",
         "at replicas",
     )
-    columns: list[str] = list(head[1:])
-    lines += ["", f"{head[0]:14}" + "".join(f"{name:>12}" for name in columns)]
+    columns: list[str] = list(heads[1:])
+    lines += ["", f"{heads[0]:14}" + "".join(f"{name:>12}" for name in columns)]
     for name, row in result["classes"].items():
-        where = result["reads"].get(name)
-        share = f"{where['replicas'] / max(1, sum(where.values())):.0%}" if where else "-"
+        sides = result["reads"].get(name)
+        share = f"{sides['replicas'] / max(1, sum(sides.values())):.0%}" if sides else "-"
         figures = [row[k] for k in ("asked", "in_time", "late", "refused", "failed", "other")]
         times = ["-" if row[k] is None else f"{row[k]:.1f}" for k in ("p50_ms", "p99_ms")]
         lines.append(f"{name:14}" + "".join(f"{value!s:>12}" for value in [*figures, *times, share]))
@@ -68,7 +68,7 @@
 
 
 def fleet_table(result: dict[str, Any]) -> str:
-    """The result as a person reads it."""
+    """Return the text report of a fleet scenario."""
     heads = ("trouble", "zone", "at s", "left by", "first s", "last s", "95% away s", "in vain", "back s")
     widths = (10, 10, 7, 8, 9, 9, 11, 8, 8)
     lines = [
--- a/sedgepitch/scenarios/traffic.py
+++ b/sedgepitch/scenarios/traffic.py
@@ -1,4 +1,4 @@
-"""The clients' traffic of a scenario: kinds of requests, sessions, and a tally of what became of them."""
+"""The client traffic of a scenario: request classes, sessions, and a count of the outcomes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestKind:
-    """One class of the day's requests."""
+    """One request class: its share of the traffic, and times in seconds; `aim` is the latency objective."""
 
     name: str
     share: float
@@ -28,12 +28,12 @@
 
     @property
     def writes(self) -> bool:
-        """Whether its requests are writes."""
+        """Return whether the requests of this class are writes."""
         return self.freshness == "write"
 
     @property
     def keyed(self) -> bool:
-        """Whether its requests carry an idempotency key."""
+        """Return whether the requests of this class carry an idempotency key."""
         return self.effect == "keyed"
 
 
@@ -48,7 +48,7 @@
 
 
 def scenario_settings() -> dict[str, Any]:
-    """The settings of drivers and fleet: the example, with times that suit a short day."""
+    """Return the settings of proxies and emulator: the example settings, with times for a short scenario."""
     settings: dict[str, Any] = yaml.safe_load(
         files("sedgepitch.config").joinpath("example.yaml").read_text(encoding="utf-8")
     )
@@ -66,7 +66,7 @@
 
 @dataclass
 class Session:
-    """One station's session: its id, its key count, and its last acknowledged write."""
+    """A client session: its id, the number of keys used, and its last acknowledged write."""
 
     lsid: bson.Binary
     number: int = 0
@@ -76,7 +76,7 @@
 
 @dataclass
 class Tally:
-    """What became of one class's requests (client retries counted with their first try)."""
+    """Outcomes of the requests of one class; a request and its client retries count as one."""
 
     asked: int = 0
     in_time: int = 0
@@ -87,7 +87,7 @@
     times: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
 
     def as_dict(self) -> dict[str, Any]:
-        """Return it for a report; times in milliseconds."""
+        """Return the counts for a report; times in milliseconds."""
         out = {n: getattr(self, n) for n in ("asked", "in_time", "late", "refused", "failed", "other")}
         for name, share in (("p50_ms", 50.0), ("p99_ms", 99.0)):
             out[name] = self.times.get_value_at_percentile(share) / 1000.0 if self.times.total_count else None
--- a/sedgepitch/scenarios/zone_report.py
+++ b/sedgepitch/scenarios/zone_report.py
@@ -1,4 +1,4 @@
-"""What the records of a fleet scenario say of zones: who left one and returned when, and what it cost."""
+"""Zone report of a fleet scenario: when proxies left a zone and returned, and what was lost."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 ZONE_EVENT = re.compile(r'"event": "zone\.state_changed"')
 ZONE_FAULTS = ("lose", "crash", "cut", "slow", "leave")
-DEFAULT_DURATION_S = 4.0  # of a fault whose step states none
-BEFORE_S = 4.0  # compared with the time of the fault
-AFTER_S = 6.0
+DEFAULT_DURATION_S = 4.0  # duration of a fault whose step states none
+BEFORE_S = 4.0  # interval before the fault, for comparison
+AFTER_S = 6.0  # interval after its end
 FORWARDED_QUANTILE = 0.95
 
 
@@ -27,18 +27,18 @@
 
 
 def share_in_time(outcomes: Iterable[WeightedOutcome], begin: float, end: float) -> float:
-    """Return the share, by priority weight, of requests begun between two times that were served in time."""
+    """Return the share, by priority weight, of requests begun in [begin, end) that were served in time."""
     within = [outcome for outcome in outcomes if begin <= outcome.began_at < end]
     total = sum(outcome.weight for outcome in within)
     return sum(outcome.weight for outcome in within if outcome.in_time) / total if total else 0.0
 
 
 def zone_events(directory: Path) -> list[dict[str, Any]]:
-    """Return what the proxies logged of zones, in order; times on the machine's monotonic clock."""
+    """Return the zone events of the proxies' logs in time order; times are those of the monotonic clock."""
     events = []
     for log in sorted(directory.glob("driver-*.log")):
         for line in log.read_text(encoding="utf-8", errors="replace").splitlines(keepends=True):
-            if ZONE_EVENT.search(line) and line.endswith("\n"):  # the last may be half written
+            if ZONE_EVENT.search(line) and line.endswith("\n"):  # the last line may be incomplete
                 events.append({**json.loads(line), "driver": log.stem})
     return sorted(events, key=lambda event: event["at"])
 
@@ -50,7 +50,7 @@
     outcomes: list[WeightedOutcome],
     began: float,
 ) -> list[dict[str, Any]]:
-    """Return a row for each fault of a zone; `zone_at` gives the zone of each server."""
+    """Return a report row for each fault of a zone; `zone_at` maps each server to its zone."""
     lost = [
         (record["t"], zone_at[record["m"]])
         for record in _records(directory / "members.jsonl")
@@ -85,7 +85,7 @@
         for event in events
         if event["zone"] == zone and event["state"] == "normal" and event["at"] >= end
     ]
-    sent = sorted(at - begin for at, where in lost if where == zone and begin <= at < end)
+    sent = sorted(at - begin for at, lost_zone in lost if lost_zone == zone and begin <= at < end)
     return {
         "do": step["do"],
         "zone": zone,
@@ -103,10 +103,10 @@
 
 
 def _records(path: Path) -> list[dict[str, Any]]:
-    out = []
+    records = []
     for line in path.read_text(encoding="utf-8").splitlines():
         try:
-            out.append(json.loads(line))
+            records.append(json.loads(line))
         except ValueError:
-            continue  # the last line of a process that was killed
-    return out
+            continue  # an incomplete last line of a process that was killed
+    return records
