--- a/sedgepitch/scenarios/soak/__init__.py
+++ b/sedgepitch/scenarios/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the platform's program: restarts, signals, crowds and faults drawn from a seed, then an audit."""
+"""Soak test of the proxy program: restarts, signals, client crowds and faults from a seed, with an audit."""
--- a/sedgepitch/scenarios/soak/clients.py
+++ b/sedgepitch/scenarios/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: each keeps a connection and uses it for as long as it stays open."""
+"""Soak clients: each sends one request after another on a connection that it keeps open."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 
 THINK_MEAN_S = 0.06
 RECONNECT_PAUSE_S = 0.02
-GIVE_UP_AFTER_S = 2.0  # past its time, when a request is lost for good
-LEAVE_SHARE = 0.03  # of requests whose client closes its connection without waiting
-LEAVE_AFTER_S = 0.03
-KEEP_REQUESTS = (5, 400)  # that a client sends on one connection before it takes another
-REJECTED_CODES = ("53300", "57P03")
+GIVE_UP_AFTER_S = 2.0  # past the deadline, after which a request counts as lost
+LEAVE_SHARE = 0.03  # share of requests whose client closes the connection before the response
+LEAVE_AFTER_S = 0.03  # longest wait before that close
+KEEP_REQUESTS = (5, 400)  # range of requests on one connection before the client opens another
+REJECTED_CODES = ("53300", "57P03")  # SQLSTATEs of a rejection: nothing ran
 
 Record = Callable[..., None]
 
 
 class ConnectionEndedError(Exception):
-    """The proxy closed the connection before a complete answer."""
+    """The proxy closed the connection before a complete response."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """One answer."""
+    """One response."""
 
     verdict: str  # served, refused or failed
     value: bytes = b""
-    at: float = 0.0
+    at: float = 0.0  # monotonic clock
 
 
 @dataclass(slots=True)
 class Crossing:
-    """A request that met the close of a kept connection, and was sent once more."""
+    """A request whose connection the proxy closed before a response."""
 
     rid: str
     ask: dict[str, Any]
@@ -50,26 +50,26 @@
 
 @dataclass(slots=True)
 class SharedState:
-    """What all clients of a run share."""
+    """State that all clients of a run share."""
 
     rng: random.Random
     record: Record
     longest_deadline: float
     port: Callable[[], int]
-    crossings: list[Crossing] = field(default_factory=list)
-    refused_unread: list[Crossing] = field(default_factory=list)  # first requests of a connection
+    crossings: list[Crossing] = field(default_factory=list)  # on a reused connection; sent once more
+    closed_on_first: list[Crossing] = field(default_factory=list)  # on the first request of a connection
     wrong_values: list[str] = field(default_factory=list)
     next_id: int = 1
     stopping: bool = False
 
     def new_id(self) -> str:
-        """Return an id that no request had before."""
+        """Return a new, unique request id."""
         self.next_id += 1
         return f"{self.next_id:x}"
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Read up to ReadyForQuery; raises ConnectionEndedError where the connection ends before."""
+    """Read up to ReadyForQuery; raise ConnectionEndedError if the connection ends before that."""
     reply = Reply("failed")
     try:
         while True:
@@ -89,7 +89,7 @@
 
 
 def statement(cls: TrafficClass, rid: str, deadline: float, key: str) -> bytes:
-    """Return a request's statement."""
+    """Return the SQL statement of a request."""
     comment = f"id={rid},c={cls.name},d={round(deadline * codec.MS_PER_S)}"
     if cls.effect == "deduplicated":
         comment += f",k={key}"
@@ -101,15 +101,15 @@
 
 
 class SoakClient:
-    """One client, from the beginning to the end of the load."""
+    """One client, which sends requests until the load ends."""
 
     def __init__(self, shared: SharedState) -> None:
-        """Begin without a connection."""
+        """Create a client without a connection."""
         self._shared = shared
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._answered = 0  # requests on this connection
-        self._keep = 0
+        self._answered = 0  # requests answered on this connection
+        self._keep = 0  # requests after which the connection is replaced
 
     async def run(self) -> None:
         """Send one request after another until the load ends."""
@@ -126,7 +126,7 @@
         self._close()
 
     async def _connect(self) -> bool:
-        """Have a connection; returns whether there is one."""
+        """Connect unless connected; return whether there is a connection."""
         if self._writer is not None and self._reader is not None and not self._reader.at_eof():
             return True
         self._close()
@@ -140,7 +140,7 @@
         self._keep = self._shared.rng.randint(*KEEP_REQUESTS)
         try:
             await asyncio.wait_for(self._read(), self._shared.longest_deadline + GIVE_UP_AFTER_S)
-        except (ConnectionEndedError, TimeoutError):  # nothing was asked yet
+        except (ConnectionEndedError, TimeoutError):  # no request has been sent yet
             self._close()
             return False
         return True
@@ -176,27 +176,27 @@
             shared.record("ask", **ask)
             self._close()
         except ConnectionEndedError:
-            await self._ended(cls, ask, may_repeat)
+            await self._on_connection_ended(cls, ask, may_repeat)
         else:
             shared.record("ask", **ask)
             self._answered += 1
-            self._take(rid, reply)
+            self._record_reply(rid, reply)
 
     async def _leave(self, ask: dict[str, Any]) -> None:
-        """Close the connection without waiting for the answer."""
+        """Close the connection without waiting for the response."""
         await asyncio.sleep(self._shared.rng.uniform(0.0, LEAVE_AFTER_S))
         self._shared.record("ask", **ask)
         self._shared.record("left", rid=ask["rid"])
         self._close()
 
-    async def _ended(self, cls: TrafficClass, ask: dict[str, Any], may_repeat: bool) -> None:
-        """A close that crossed a request on a kept connection: it is sent once more on a new one."""
+    async def _on_connection_ended(self, cls: TrafficClass, ask: dict[str, Any], may_repeat: bool) -> None:
+        """Handle a close before the response; if the connection was reused, send the request once more."""
         shared = self._shared
-        kept = self._answered > 0
+        reused = self._answered > 0
         self._close()
         crossing = Crossing(ask["rid"], ask, time.monotonic())
-        if not kept:
-            shared.refused_unread.append(crossing)
+        if not reused:
+            shared.closed_on_first.append(crossing)
             return
         if not may_repeat:
             shared.record("ask", **ask)
@@ -208,7 +208,7 @@
                 await self._request(cls, ask["op"], may_repeat=False)
                 return
 
-    def _take(self, rid: str, reply: Reply) -> None:
+    def _record_reply(self, rid: str, reply: Reply) -> None:
         server, index = None, None
         if reply.verdict == "served":
             parts = reply.value.decode(errors="replace").split(".")
--- a/sedgepitch/scenarios/soak/crowd.py
+++ b/sedgepitch/scenarios/soak/crowd.py
@@ -1,4 +1,4 @@
-"""A crowd of clients beside the soak's own: idle ones, bursts, and clients that leave or stop half-way."""
+"""A connection storm beside the regular clients: idle, bursting, disconnecting and stalled connections."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from sedgepitch.scenarios.soak.clients import statement
 from sedgepitch.scenarios.soak.traffic import CLASSES
 
-IDLE_CLIENTS = 300  # more than the descriptors that the proxy may hold
-OTHER_CLIENTS = 20  # of each kind
-PIPELINED = 25  # statements that one client sends at once
+IDLE_CLIENTS = 300  # more than the file descriptors that the proxy may use
+OTHER_CLIENTS = 20  # of each other kind
+PIPELINED = 25  # statements that one client sends without waiting for responses
 DEADLINE_S = 0.5
-FIRST_ID = 1 << 40  # ids of a crowd's requests, which the audit does not know
+FIRST_ID = 1 << 40  # first request id; the audit ignores these requests
 
 
 class Crowd:
-    """Opens its connections at once and closes them after its duration."""
+    """Opens all its connections within 0.5 s and closes them after its duration."""
 
     def __init__(self, port: Callable[[], int], rng: random.Random) -> None:
-        """Prepare a crowd; `port` gives where the proxy listens now."""
+        """Prepare a crowd; `port` returns the proxy's current port."""
         self._port = port
         self._rng = rng
         self._next_id = FIRST_ID
 
     async def play(self, duration: float) -> None:
-        """Play the crowd for so many seconds."""
+        """Run the crowd for `duration` seconds."""
         clients = [self._idle(duration) for _ in range(IDLE_CLIENTS)]
-        for behave in (self._burst, self._leave_at_once, self._stop_half_way):
-            clients += [behave(duration) for _ in range(OTHER_CLIENTS)]
+        for behaviour in (self._burst, self._disconnect_at_once, self._send_half_a_statement):
+            clients += [behaviour(duration) for _ in range(OTHER_CLIENTS)]
         self._rng.shuffle(clients)
         await asyncio.gather(*clients)
 
@@ -57,13 +57,13 @@
             writer.write(b"".join(self._statement() for _ in range(PIPELINED)))
         await self._finish(writer, duration)
 
-    async def _leave_at_once(self, duration: float) -> None:  # noqa: ARG002  # as the other kinds
+    async def _disconnect_at_once(self, duration: float) -> None:  # noqa: ARG002  # same signature as the other kinds
         writer = await self._open()
         if writer is not None:
             writer.write(self._statement())
         await self._finish(writer, 0.0)
 
-    async def _stop_half_way(self, duration: float) -> None:
+    async def _send_half_a_statement(self, duration: float) -> None:
         writer = await self._open()
         if writer is not None:
             text = self._statement()
--- a/sedgepitch/scenarios/soak/emulated_platform.py
+++ b/sedgepitch/scenarios/soak/emulated_platform.py
@@ -1,4 +1,4 @@
-"""The platform around the proxy in a soak: servers, two discovery agents with one list, and their faults."""
+"""The emulated platform of a soak: servers, two discovery agents with the same list, and their faults."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from sedgepitch.scenarios.soak.script import SERVERS, Action, Step
 
 LIST_BURST_VERSIONS = 20
-NOTIFIED_WITHIN_S = 6.0  # of a change, or of the end of an outage, a proxy counts as notified
-PROMPT_AFTER_S = 6.0  # without outage or new configuration: a change counts as notified at once
+NOTIFIED_WITHIN_S = 6.0  # a proxy counts as notified this long after a delay has ended
+IMMEDIATE_AFTER_S = 6.0  # this long after an outage or a reload, a change counts as notified at once
 AGENT_MODES = {
     Action.DISCOVERY_SILENT: AgentMode.SILENT,
     Action.DISCOVERY_REFUSED: AgentMode.REFUSED,
@@ -25,22 +25,24 @@
 
 
 class EmulatedPlatform:
-    """Servers and discovery of one run."""
+    """The servers and discovery agents of one run."""
 
     def __init__(self, record: Record, rng: random.Random) -> None:
-        """Prepare them; nothing listens yet."""
+        """Create servers and agents; `start` makes them listen."""
         log = ReplicatedLog()
         self.servers = [PostgresServer(n, log, record, rng) for n in range(1, SERVERS + 1)]
         self.agents = [DiscoveryAgent(self.complete_list) for _ in range(2)]
-        self.agent_index = 0  # the one that the configuration names
+        self.agent_index = 0  # the agent that the proxy's configuration names
         self.revision = 1
         self._phases = {server.name: "up" for server in self.servers}
-        self.notified: list[dict[str, Any]] = []  # records of what the proxy counts as notified of, and when
+        self.notified: list[
+            dict[str, Any]
+        ] = []  # audit records: endpoint states and when the proxy counts as notified
         self._record = record
         self._delayed_until = 0.0
 
     async def start(self) -> None:
-        """Listen everywhere."""
+        """Start servers and agents, and record the first primary."""
         for server in self.servers:
             await server.start()
         for agent in self.agents:
@@ -48,13 +50,13 @@
         self._record("role", g=GROUP, m=1)
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop agents and servers."""
         for agent in self.agents:
             agent.stop()
         for server in self.servers:
             server.crash()
 
-    # The list
+    # The endpoint list
 
     def _entry(self, server: PostgresServer) -> dict[str, Any]:
         return {
@@ -69,39 +71,39 @@
         }
 
     def complete_list(self) -> ListVersion:
-        """Return the present list."""
+        """Return the current endpoint list."""
         members = [self._entry(s) for s in self.servers if self._phases[s.name] != "removed"]
         return {"revision": self.revision, "complete": True, "members": members}
 
     def _publish(self, server: PostgresServer) -> None:
-        """Publish one server's entry, and note when the proxy counts as notified of it."""
+        """Publish one server's entry, and record when the proxy counts as notified of it."""
         self.revision += 1
         change = {"revision": self.revision, "complete": False, "members": [self._entry(server)]}
         for agent in self.agents:
             agent.send(change)
         now = time.monotonic()
-        prompt = now >= self._delayed_until
-        notified_at = now if prompt else self._delayed_until + NOTIFIED_WITHIN_S
+        immediate = now >= self._delayed_until
+        notified_at = now if immediate else self._delayed_until + NOTIFIED_WITHIN_S
         phase = self._phases[server.name]
-        if phase == "up":  # a drain that the proxy does not count as notified of by now, it need not know
+        if phase == "up":  # drop drains that end before the proxy counts as notified of them
             self.notified = [n for n in self.notified if n["m"] != server.number or n["t"] <= now]
             notified_at = now
         self.notified.append({"e": "told", "t": notified_at, "d": PROXY, "m": server.number, "state": phase})
 
     def delay_notifications(self, duration: float = 0.0) -> None:
-        """Note an outage, a restart or a new configuration: changes count as notified later for a while."""
-        until = time.monotonic() + duration + PROMPT_AFTER_S
+        """Count changes as notified later for a while, after an outage, a restart or a reload."""
+        until = time.monotonic() + duration + IMMEDIATE_AFTER_S
         self._delayed_until = max(self._delayed_until, until)
 
     def move_discovery(self) -> None:
-        """Have the configuration name the other agent."""
+        """Switch the configuration to the other agent."""
         self.agent_index = 1 - self.agent_index
         self.delay_notifications()
 
     # Faults
 
     async def inject(self, step: Step) -> None:
-        """Carry out one fault of a server or of discovery, to its end."""
+        """Inject one fault of a server or of discovery, and return when it has ended."""
         server = self.servers[step.server - 1]
         handlers: dict[Action, Callable[[], Coroutine[Any, Any, None]]] = {
             Action.DRAIN: lambda: self._drain(server, "draining", step.duration),
--- a/sedgepitch/scenarios/soak/proxy_processes.py
+++ b/sedgepitch/scenarios/soak/proxy_processes.py
@@ -1,4 +1,4 @@
-"""The proxy's processes in a soak: configuration file, starts, signals, the kill at the earliest moment."""
+"""The proxy processes of a soak: configuration file, starts, signals, and the kill after the grace period."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 READY_TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.005
-KILL_MARGIN_S = 0.7  # past the longest deadline, when the platform kills at the earliest
-MAX_DEADLINE_S = 3.0  # a longer deadline counts as this
-LEVEL_AFTER_S = 2.5  # past ready, when memory and descriptors are looked at
+KILL_MARGIN_S = 0.7  # past the longest deadline: the platform's earliest SIGKILL after SIGTERM
+MAX_DEADLINE_S = 3.0  # a longer deadline does not extend the grace period
+LEVEL_AFTER_S = 2.5  # after ready, when memory and descriptors are measured
 LIMIT_SOCKETS = 256
 LIMIT_MEMORY_MB = 192
-FILE_REPAIRED_AFTER_S = 0.08  # a half-written or missing file is complete again
+FILE_REPAIRED_AFTER_S = 0.08  # until a half-written or missing file is complete again
 _LAG = re.compile(r"max_lag_ms=([0-9.]+)")
 
 
 def free_port() -> int:
-    """Return a port that nobody listens at."""
+    """Return a free port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class ResourceLevel:
-    """What one process held some seconds after it was ready."""
+    """Resource usage of one process, LEVEL_AFTER_S after it was ready."""
 
     descriptors: int
     memory_mb: float
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class ProxyProcess:
-    """One process of the program."""
+    """One proxy process. Times are on the monotonic clock, 0 for not yet."""
 
     number: int
     process: subprocess.Popen[bytes]
@@ -58,25 +58,25 @@
     level: ResourceLevel | None = None
 
     @property
-    def runs(self) -> bool:
-        """Whether it has not ended."""
+    def running(self) -> bool:
+        """Return whether the process is running."""
         return self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send it a signal, if it has not ended."""
-        if self.runs:
+        """Send the process a signal if it is running."""
+        if self.running:
             self.process.send_signal(number)
 
     def text(self) -> str:
-        """Return its log so far."""
+        """Return the log so far."""
         return self.log.read_text(encoding="utf-8", errors="replace")
 
     def longest_lag(self) -> float:
-        """Return the longest event loop lag that it logged, in seconds."""
+        """Return the longest event loop lag in the log, in seconds."""
         return max((float(found) for found in _LAG.findall(self.text())), default=0.0) / 1000.0
 
     def measure(self) -> None:
-        """Note how many descriptors and how much memory it holds."""
+        """Measure open descriptors and resident memory."""
         try:
             descriptors = len(os.listdir(f"/proc/{self.process.pid}/fd"))
             status = Path(f"/proc/{self.process.pid}/status").read_text(encoding="ascii")
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class ProxyProcesses:
-    """All processes of one run; the last one is the present one. `command` starts the program."""
+    """All proxy processes of one run; the last one is current. `command` starts the program."""
 
     directory: Path
     command: list[str]
@@ -101,7 +101,7 @@
     file_repairs: set[asyncio.Task[None]] = field(default_factory=set)
 
     @property
-    def present(self) -> ProxyProcess:
+    def current(self) -> ProxyProcess:
         """Return the process that was started last."""
         return self.processes[-1]
 
@@ -111,7 +111,7 @@
         return self.directory / "config.json"
 
     def write_configuration(self) -> None:
-        """Replace the configuration file whole."""
+        """Replace the configuration file atomically."""
         temporary = self.path.with_suffix(".new")
         temporary.write_text(json.dumps(self.configuration()), encoding="utf-8")
         temporary.replace(self.path)
@@ -119,7 +119,7 @@
     # Starting
 
     def start(self) -> ProxyProcess:
-        """Start the next process; raises ScenarioError where that cannot be done."""
+        """Start the next process; raise ScenarioError if it cannot be started."""
         self.write_configuration()
         number = len(self.processes) + 1
         log = self.directory / f"proxy-{number}.log"
@@ -130,22 +130,22 @@
         except OSError as error:
             raise ScenarioError(f"proxy process {number}: {self.command[0]}: {error.strerror}") from None
         self.processes.append(ProxyProcess(number, process, log, time.monotonic()))
-        return self.present
+        return self.current
 
     async def wait_ready(self, proxy: ProxyProcess) -> None:
-        """Wait until a process listens; one that does not is a finding."""
+        """Wait until a process listens; add a finding if it does not."""
         end = proxy.started_at + READY_TIMEOUT_S
         while "listening address=" not in proxy.text():
-            if not proxy.runs or time.monotonic() > end:
+            if not proxy.running or time.monotonic() > end:
                 if not proxy.terminated_at:
-                    last = proxy.text().strip().splitlines()[-1:]
-                    self.findings.append(f"process {proxy.number} never listened: {''.join(last)}")
+                    last_line = proxy.text().strip().splitlines()[-1:]
+                    self.findings.append(f"process {proxy.number} never listened: {''.join(last_line)}")
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
         proxy.ready_at = time.monotonic()
 
     async def watch_level(self, proxy: ProxyProcess) -> None:
-        """Measure a process some seconds after it was ready."""
+        """Measure a process LEVEL_AFTER_S after it is ready."""
         await self.wait_ready(proxy)
         await asyncio.sleep(LEVEL_AFTER_S)
         proxy.measure()
@@ -153,8 +153,8 @@
     # Signals
 
     async def restart(self, plan: RestartPlan, on_started: Callable[[ProxyProcess], None]) -> None:
-        """Tell the present process to end, kill it at the platform's earliest, and start the next one."""
-        old = self.present
+        """Terminate the current process, kill it after the grace period, and start its successor."""
+        old = self.current
         if plan.reload_before:
             old.signal(signal.SIGHUP)
             await asyncio.sleep(plan.reload_before)
@@ -162,7 +162,7 @@
             old.signal(signal.SIGSTOP)
         old.signal(signal.SIGTERM)
         old.terminated_at = time.monotonic()
-        kill = asyncio.create_task(self._kill_at_earliest(old))
+        kill = asyncio.create_task(self._kill_after_grace_period(old))
         if plan.suspension:
             await asyncio.sleep(plan.suspension)
             old.signal(signal.SIGCONT)
@@ -177,23 +177,23 @@
         on_started(self.start())
         await kill
 
-    async def _kill_at_earliest(self, proxy: ProxyProcess) -> None:
-        """Wait for a process's end, until the moment at which the platform may kill it."""
+    async def _kill_after_grace_period(self, proxy: ProxyProcess) -> None:
+        """Wait for a process to exit, and kill it at the earliest time at which the platform may."""
         end = proxy.terminated_at + min(self.longest_deadline, MAX_DEADLINE_S) + KILL_MARGIN_S
-        while proxy.runs and time.monotonic() < end:
+        while proxy.running and time.monotonic() < end:
             await asyncio.sleep(POLL_INTERVAL_S)
-        if proxy.runs:
+        if proxy.running:
             proxy.killed = True
             proxy.process.kill()
         proxy.process.wait()
 
     async def reload_series(self, reloads: tuple[Reload, ...], move: Callable[[], None]) -> None:
-        """Send SIGHUP after SIGHUP; `move` changes what the configuration says before each."""
+        """Send a series of SIGHUPs; `move` changes the configuration before each."""
         for reload in reloads:
             await asyncio.sleep(reload.gap)
             move()
             self._write_in_state(reload.file)
-            self.present.signal(signal.SIGHUP)
+            self.current.signal(signal.SIGHUP)
 
     def _write_in_state(self, state: FileState) -> None:
         self.write_configuration()
@@ -212,19 +212,19 @@
         await asyncio.sleep(FILE_REPAIRED_AFTER_S)
         self.write_configuration()
 
-    # The end
+    # Stopping
 
     async def stop(self) -> None:
-        """End the present process as a restart does, and whatever else still runs."""
-        if self.processes and self.present.runs:
-            self.present.signal(signal.SIGTERM)
-            self.present.terminated_at = time.monotonic()
-            await self._kill_at_earliest(self.present)
+        """Terminate the current process as a restart does, and kill any other that still runs."""
+        if self.processes and self.current.running:
+            self.current.signal(signal.SIGTERM)
+            self.current.terminated_at = time.monotonic()
+            await self._kill_after_grace_period(self.current)
         self.kill_all()
 
     def kill_all(self) -> None:
-        """Kill what still runs."""
+        """Kill all processes that still run."""
         for proxy in self.processes:
-            if proxy.runs:
+            if proxy.running:
                 proxy.process.kill()
                 proxy.process.wait()
--- a/sedgepitch/scenarios/soak/runner.py
+++ b/sedgepitch/scenarios/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays the script of one soak: the platform's program in processes of its own, load, faults, the verdict."""
+"""Runs the script of one soak: the proxy program as processes, the load, the faults, and the verdict."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 from sedgepitch.scenarios.soak.verdict import SoakResult, Verdict
 
 CLIENTS = 12
-LAG_INTERVAL_S = 0.02  # between looks at how late this process is itself
-RELOADED_WITHIN_S = 6.0  # of the last SIGHUP, a watch at the configured agent
-DRAINED_AFTER_S = 1.0  # past the longest deadline, for the last answers
+LAG_INTERVAL_S = 0.02  # between measurements of this process's own event loop lag
+RELOADED_WITHIN_S = 6.0  # after the last SIGHUP, the proxy must have a watch at the configured agent
+DRAINED_AFTER_S = 1.0  # past the longest deadline, to wait for the last responses
 PROGRAM = [sys.executable, "-m", "sedgepitch.node"]
 BUSY = "import os; parent = os.getppid()\nwhile os.getppid() == parent: pass"
 
 
 class SoakRun:
-    """One run. `command` starts the program; others than the platform's are to try the soak itself."""
+    """One run. `command` starts the proxy program; tests of the soak itself pass a faulty program."""
 
     def __init__(self, script: SoakScript, directory: Path, command: list[str] | None = None) -> None:
-        """Prepare a run that keeps its records and logs in a directory."""
+        """Prepare a run; records and logs are written to `directory`."""
         rng = random.Random(f"soak run/{script.seed}")
         self._script = script
         self._directory = directory
@@ -56,10 +56,10 @@
         self._played: list[Step] = []
         self._tasks: set[asyncio.Task[Any]] = set()
         self._task_errors: list[str] = []
-        self._moves = 0  # of discovery, by reloads
+        self._moves = 0  # changes of the configured discovery agent, by reloads
 
     def run(self) -> SoakResult:
-        """Play the script; raises ScenarioError where it cannot be played."""
+        """Run the script; raise ScenarioError if the proxy cannot be started."""
         self._directory.mkdir(parents=True, exist_ok=True)
         return asyncio.run(self._play())
 
@@ -95,17 +95,17 @@
                 process.kill()
                 process.wait()
         result = self._judge(began)
-        self._keep(result)
+        self._write_result(result)
         return result
 
     async def _load(self, began: float) -> None:
         self._spawn(self._watch_own_delay())
-        self._spawn(self._processes.watch_level(self._processes.present))
+        self._spawn(self._processes.watch_level(self._processes.current))
         clients = [asyncio.create_task(SoakClient(self._shared).run()) for _ in range(CLIENTS)]
         for step in self._script.steps:
             await asyncio.sleep(max(0.0, began + step.at - time.monotonic()))
             self._played.append(step)
-            self._spawn(self._do(step))
+            self._spawn(self._run_step(step))
         await asyncio.sleep(max(0.0, began + self._script.length - time.monotonic()))
         self._shared.stopping = True
         await asyncio.wait(clients, timeout=self._script.longest_deadline + DRAINED_AFTER_S)
@@ -123,7 +123,7 @@
     def _task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if _failed(task):
-            self._task_errors.append(f"the soak itself: {task.exception()!r}")
+            self._task_errors.append(f"the soak runner: {task.exception()!r}")
 
     async def _watch_own_delay(self) -> None:
         while True:
@@ -133,7 +133,7 @@
 
     # Steps
 
-    async def _do(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         handlers: dict[Action, Callable[[Step], Coroutine[Any, Any, None]]] = {
             Action.RESTART: self._restart,
             Action.RELOAD_SERIES: self._reload_series,
@@ -151,7 +151,7 @@
         await self._processes.restart(step.restart, started)
 
     async def _reload_series(self, step: Step) -> None:
-        proxy = self._processes.present
+        proxy = self._processes.current
 
         def move() -> None:
             self._moves += 1
@@ -161,14 +161,14 @@
         moves = self._moves
         await asyncio.sleep(RELOADED_WITHIN_S)
         agent = self._platform.agents[self._platform.agent_index]
-        undisturbed = moves == self._moves and proxy is self._processes.present and not proxy.terminated_at
+        undisturbed = moves == self._moves and proxy is self._processes.current and not proxy.terminated_at
         if undisturbed and agent.mode == "normal" and not agent.watch_count:
             self._processes.findings.append(
                 f"process {proxy.number} has no watch at its new discovery agent; after {step.describe()}"
             )
 
     async def _suspend(self, step: Step) -> None:
-        proxy = self._processes.present
+        proxy = self._processes.current
         if proxy.terminated_at:
             return
         self._record("frozen", d="n1")
@@ -187,8 +187,8 @@
         result.steps_played = self._played
         return result
 
-    def _keep(self, result: SoakResult) -> None:
-        """Write records and result beside the processes' logs."""
+    def _write_result(self, result: SoakResult) -> None:
+        """Write records and result to the directory of the logs."""
         lines = (json.dumps(record) for record in self._records)
         (self._directory / "records.jsonl").write_text("\n".join(lines) + "\n", encoding="utf-8")
         (self._directory / "result.json").write_text(json.dumps(result.as_dict(), indent=1), encoding="utf-8")
--- a/sedgepitch/scenarios/soak/script.py
+++ b/sedgepitch/scenarios/soak/script.py
@@ -1,4 +1,4 @@
-"""The script of one soak, drawn from its seed alone: the same seed and length give the same steps."""
+"""The script of a soak, generated from its seed: the same seed and length give the same steps."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 LENGTH_MIN_S, LENGTH_MAX_S = 10.0, 3600.0
 SERVERS = 4  # server 1 is the first primary
-LONGEST_DEADLINES_S = (1.0, 2.0, 3.0)  # of the classes of one run
+LONGEST_DEADLINES_S = (1.0, 2.0, 3.0)  # longest deadline of the classes of one run
 FIRST_RESTART_S = (4.0, 7.0)
-RESTART_INTERVAL_S = (7.0, 12.0)  # more than the longest shutdown, so that two processes are enough
-LAST_STEP_BEFORE_END_S = 6.0  # for the last shutdown to end within the run
-NEAR_RESTART_S = 1.0  # most faults come that close to a restart
+RESTART_INTERVAL_S = (7.0, 12.0)  # more than the longest shutdown, so that at most two processes run
+LAST_STEP_BEFORE_END_S = 6.0  # so that the last shutdown ends within the run
+NEAR_RESTART_S = 1.0  # most faults are at most this far from a restart
 FAULTS_BY_RESTART = (2, 4)
-CROWD_EVERY = 3  # of three seeds one has a crowd
-BUSY_EVERY = 4  # of four seeds one has busy processes beside it
+CROWD_EVERY = 3  # one seed in three has a crowd
+BUSY_EVERY = 4  # one seed in four runs beside busy processes
 BUSY_PROCESSES = 6
 SIGNAL_GAP_S = (0.01, 0.2)
 SIGNALS_IN_SERIES = (2, 6)
-SUSPENSION_S = (0.02, 0.15)  # around a signal of a restart
+SUSPENSION_S = (0.02, 0.15)  # range of a suspension during a restart
 LONG_SUSPENSIONS_S = (1.0, 2.0)
-LONG_SUSPENSION_CLEARANCE_S = 4.5  # none so close before a restart: its shutdown is not excused
+LONG_SUSPENSION_CLEARANCE_S = 4.5  # after a restart: a shutdown delayed by a suspension is a violation
 HANG_S = (0.5, 5.0)
 OUTAGE_S = (1.0, 4.0)
 DRAIN_S = (2.0, 6.0)
@@ -34,8 +34,8 @@
 class Action(StrEnum):
     """What a step does."""
 
-    RESTART = "restart"  # SIGTERM, then SIGKILL at the platform's earliest; the next process starts meanwhile
-    RELOAD_SERIES = "reload_series"  # SIGHUP after SIGHUP, the configuration moving between two agents
+    RESTART = "restart"  # SIGTERM, then SIGKILL after the grace period; the successor overlaps
+    RELOAD_SERIES = "reload_series"  # several SIGHUPs; the configuration alternates between two agents
     SUSPEND = "suspend"
     DRAIN = "drain"
     REMOVE = "remove"
@@ -67,7 +67,7 @@
 
 
 class FileState(StrEnum):
-    """What a process that is told to reload finds in the place of its configuration file."""
+    """State of the configuration file at a SIGHUP."""
 
     COMPLETE = "complete"
     HALF_WRITTEN = "half_written"
@@ -76,13 +76,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RestartPlan:
-    """How one restart goes. Times in seconds."""
+    """Signals and timing of one restart. Times in seconds; 0 for none."""
 
-    successor_at_once: bool = True  # else when the old process has ended
-    reload_before: float = 0.0  # a SIGHUP so long before SIGTERM; 0 for none
-    reload_after: float = 0.0
-    repeat_after: float = 0.0  # a second SIGTERM
-    suspension: float = 0.0  # SIGSTOP just before SIGTERM, SIGCONT so long after
+    successor_at_once: bool = True  # else after the old process has exited
+    reload_before: float = 0.0  # SIGHUP this long before SIGTERM
+    reload_after: float = 0.0  # SIGHUP this long after SIGTERM
+    repeat_after: float = 0.0  # a second SIGTERM this long after those
+    suspension: float = 0.0  # SIGSTOP just before SIGTERM, SIGCONT this long after it
 
 
 DEFAULT_RESTART = RestartPlan()
@@ -90,15 +90,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Reload:
-    """One SIGHUP of a series, and the file that it finds."""
+    """One SIGHUP of a series, and the state of the configuration file at that time."""
 
-    gap: float  # s since the one before
+    gap: float  # s since the SIGHUP before
     file: FileState
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One step. `at` is seconds since the load began."""
+    """One step. `at` is in seconds since the load began."""
 
     at: float
     action: Action
@@ -108,7 +108,7 @@
     reloads: tuple[Reload, ...] = ()
 
     def describe(self) -> str:
-        """Return the step in a few words."""
+        """Return a short description of the step."""
         server = f" server {self.server}" if self.server else ""
         duration = f" for {self.duration:.2f} s" if self.duration else ""
         return f"{self.action}{server}{duration} at {self.at:.2f} s"
@@ -126,16 +126,16 @@
     steps: tuple[Step, ...]
 
     def until(self, count: int) -> SoakScript:
-        """Return the script with its first steps alone."""
+        """Return the script cut down to its first `count` steps."""
         if count < 1:
             raise ScenarioError("a script needs at least one step")
         return replace(self, steps=self.steps[:count])
 
 
 def draw_script(seed: int, length: float, force_crowd: bool = False) -> SoakScript:
-    """Draw the script of a seed; raises ScenarioError for a length that cannot be used."""
+    """Generate the script of a seed; raise ScenarioError if the length is out of range."""
     if not LENGTH_MIN_S <= length <= LENGTH_MAX_S:
-        raise ScenarioError(f"a soak takes {LENGTH_MIN_S:g} to {LENGTH_MAX_S:g} s")
+        raise ScenarioError(f"the length of a soak must be {LENGTH_MIN_S:g} to {LENGTH_MAX_S:g} s")
     rng = random.Random(f"soak/{seed}")
     crowd = force_crowd or seed % CROWD_EVERY == 0
     longest_deadline = rng.choice(LONGEST_DEADLINES_S)
@@ -206,7 +206,7 @@
 
 
 def _long_suspensions(rng: random.Random, restarts: list[float]) -> list[Step]:
-    """One suspension of a second or two, where no shutdown falls into it."""
+    """Return one suspension of 1 or 2 s between two restarts with no shutdown during it, if there is room."""
     for before, after in pairwise(restarts):
         at = before + LONG_SUSPENSION_CLEARANCE_S
         duration = rng.choice(LONG_SUSPENSIONS_S)
--- a/sedgepitch/scenarios/soak/traffic.py
+++ b/sedgepitch/scenarios/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Request classes of a soak, the settings that state them, and what the audit expects of each."""
+"""Request classes of a soak, the proxy settings for them, and the guarantees that the audit checks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 MAX_STALENESS_S = 1.0
 DEDUPLICATION_WINDOW_S = 10.0
 DRAIN_GRACE_S = 0.5
-LATE_ANSWER_S = 0.5  # after its time a request is not lost yet
+LATE_ANSWER_S = 0.5  # past its deadline, before a request counts as lost
 CONNECT_TIMEOUT_S = 1.0
 IDLE_CLOSE_S = 60.0
 MAX_RETRY_AFTER_S = 2.0
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TrafficClass:
-    """One class. `deadline_share` is of the longest deadline of the run."""
+    """One request class. `deadline_share` is its deadline as a share of the longest deadline of the run."""
 
     name: str
-    weight: float  # of the traffic
+    weight: float  # relative share of the traffic
     writes: bool
     effect: str
     freshness: str
-    idempotency: str  # as the audit names it
+    idempotency: str  # in the audit's terms, as is audited_freshness
     audited_freshness: str
     deadline_share: float
 
@@ -39,15 +39,15 @@
 
 
 def class_settings(longest_deadline: float) -> list[dict[str, Any]]:
-    """Return the classes as the platform's settings state them."""
-    stated = []
+    """Return the classes in the form of the platform's settings."""
+    rows = []
     for cls in CLASSES:
         deadline = cls.deadline_share * longest_deadline
         row = {"name": cls.name, "objectiveS": deadline / 2.0, "deadlineS": deadline, "effect": cls.effect}
         if cls.effect == "deduplicated":
             row |= {"keyScope": "cell", "windowS": DEDUPLICATION_WINDOW_S}
-        stated.append(row)
-    return stated
+        rows.append(row)
+    return rows
 
 
 def platform_settings(longest_deadline: float) -> dict[str, Any]:
@@ -78,7 +78,7 @@
 
 
 def guarantees() -> dict[str, ClassGuarantees]:
-    """Return what the audit holds each class to."""
+    """Return the guarantees of each class that the audit checks."""
     return {
         cls.name: ClassGuarantees(
             cls.audited_freshness, MAX_STALENESS_S, cls.idempotency, DEDUPLICATION_WINDOW_S
@@ -88,7 +88,7 @@
 
 
 def rule_parameters(own_delay: float) -> RuleParameters:
-    """Return the audit's parameters; `own_delay` is how late the soak itself was at most, in seconds."""
+    """Return the audit's parameters; `own_delay` is the longest event loop lag of the soak itself, in s."""
     return RuleParameters(
         drain_grace=DRAIN_GRACE_S,
         overload_factor=1.0,
--- a/sedgepitch/scenarios/soak/verdict.py
+++ b/sedgepitch/scenarios/soak/verdict.py
@@ -1,4 +1,4 @@
-"""What a soak finds: the audit of its records, and what became of the proxy's processes."""
+"""The result of a soak: the audit of its records, and checks of the proxy processes."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
 from sedgepitch.scenarios.soak.traffic import guarantees, rule_parameters
 
 NO_ATTEMPT_AFTER_LEAVING_S = 0.1
+# Allowed growth of a process over the first one: the factor, plus the absolute allowance.
 LEVEL_FACTOR = 1.5
 LEVEL_MEMORY_MB = 8.0
 LEVEL_DESCRIPTORS = 60
-CROWD_MARGIN_S = 1.0  # around a crowd, when connections may be shut unread for want of descriptors
+CROWD_MARGIN_S = 1.0  # around a crowd, when the proxy may close connections unread for lack of descriptors
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """One soak. Times in seconds."""
+    """The result of one soak. Times in seconds."""
 
     script: SoakScript
     requests: int
     served: int
     restarts: int
     findings: list[Finding]
-    violations: list[str]  # beside the five rules
+    violations: list[str]  # other than of the five audit rules
     proxy_delay: float
     own_delay: float
-    unread: int = 0  # first requests whose connection was shut unread while a crowd held the descriptors
-    crossed: int = 0  # requests that met the close of a kept connection
+    unread: int = 0  # first requests on connections closed unread while a crowd used the descriptors
+    crossed: int = 0  # requests sent on a reused connection as the proxy closed it
     steps_played: list[Step] = field(default_factory=list)
 
     @property
     def passed(self) -> bool:
-        """Whether no rule was broken and nothing else was found."""
+        """Return whether no rule was broken and there is no other violation."""
         return not self.violations and not any(finding.broken for finding in self.findings)
 
     def as_dict(self) -> dict[str, Any]:
-        """Return it for a report."""
+        """Return the result for a report."""
         return {
             "seed": self.script.seed,
             "crowd": self.script.crowd,
@@ -62,10 +63,10 @@
 
 
 class Verdict:
-    """Judges one run. `began` is when its load began, on the clock of the records."""
+    """Evaluates one run. `began` is the start of the load on the clock of the records."""
 
     def __init__(self, script: SoakScript, records: list[Record], shared: SharedState, began: float) -> None:
-        """Take what the run left."""
+        """Index the records of a run."""
         self._script = script
         self._records = sorted(records, key=lambda record: record["t"])
         self._shared = shared
@@ -102,14 +103,14 @@
     # Connections that the proxy closed
 
     def _closed_connections(self) -> tuple[list[str], int]:
-        """Return requests lost by a close, and how many first ones were shut unread in a crowd."""
+        """Return requests lost by a close, and the number of connections closed unread during a crowd."""
         lost = [
-            self._described("read by the proxy, and its connection closed without an answer", crossing)
+            self._described("read by the proxy, then its connection closed without an answer", crossing)
             for crossing in self._shared.crossings
             if crossing.rid in self._received
         ]
         unread = 0
-        for crossing in self._shared.refused_unread:
+        for crossing in self._shared.closed_on_first:
             if crossing.rid not in self._received and self._in_crowd(crossing.ask["t"]):
                 unread += 1
             else:
@@ -126,54 +127,54 @@
         return f"{crossing.rid} ({crossing.ask['cls']}): {what}; {self._step_before(crossing.closed_at)}"
 
     def _late_attempts(self, own_delay: float) -> list[str]:
-        left = {record["rid"]: record["t"] for record in self._records if record["e"] == "left"}
+        left_at = {record["rid"]: record["t"] for record in self._records if record["e"] == "left"}
         allowed = NO_ATTEMPT_AFTER_LEAVING_S + own_delay
         return [
-            f"{record['rid']}: sent on {record['t'] - left[record['rid']]:.3f} s after its client left; "
+            f"{record['rid']}: sent on {record['t'] - left_at[record['rid']]:.3f} s after its client left; "
             f"{self._step_before(record['t'])}"
             for record in self._records
-            if record["e"] == "recv" and record["t"] - left.get(record["rid"], record["t"]) > allowed
+            if record["e"] == "recv" and record["t"] - left_at.get(record["rid"], record["t"]) > allowed
         ]
 
     # Processes
 
     def _process_violations(self, proxy: ProxyProcess) -> list[str]:
         name = f"process {proxy.number}"
-        found = []
+        violations = []
         if proxy.killed:
-            found.append(f"{name} had not ended when the platform may kill it")
+            violations.append(f"{name} had not exited by the platform's earliest kill")
         elif proxy.process.returncode != 0:
-            found.append(f"{name} ended with exit code {proxy.process.returncode}")
+            violations.append(f"{name} ended with exit code {proxy.process.returncode}")
         text = proxy.text()
         if "Traceback" in text:
-            found.append(f"{name} logged a traceback")
+            violations.append(f"{name} logged a traceback")
         if proxy.ready_at and not proxy.killed and "requests_pending=0" not in text:
-            found.append(f"{name} did not end with no request pending")
-        return found
+            violations.append(f"{name} exited without logging requests_pending=0")
+        return violations
 
     @staticmethod
     def _levels(processes: list[ProxyProcess]) -> list[str]:
         levels = [(proxy.number, proxy.level) for proxy in processes if proxy.level is not None]
-        found = []
+        violations = []
         for number, level in levels[1:]:
             first = levels[0][1]
             memory_max = LEVEL_FACTOR * first.memory_mb + LEVEL_MEMORY_MB
             descriptors_max = LEVEL_FACTOR * first.descriptors + LEVEL_DESCRIPTORS
             if level.memory_mb > memory_max or level.descriptors > descriptors_max:
-                found.append(
-                    f"process {number} holds {level.memory_mb:.0f} MB and {level.descriptors} descriptors, "
-                    f"the first one held {first.memory_mb:.0f} and {first.descriptors}"
+                violations.append(
+                    f"process {number} uses {level.memory_mb:.0f} MB and {level.descriptors} descriptors, "
+                    f"the first one used {first.memory_mb:.0f} and {first.descriptors}"
                 )
-        return found
+        return violations
 
-    # Naming the step
+    # The step before a violation
 
     def _step_before(self, moment: float) -> str:
         before = [step for step in self._script.steps if step.at <= moment - self._began]
         return f"after {before[-1].describe()}" if before else "before the first step"
 
     def _with_steps(self, finding: Finding) -> Finding:
-        """Name the step before each violation that begins with a request's id."""
+        """Add the step before it to each violation that begins with a request's id."""
         asked = {record["rid"]: record["t"] for record in self._records if record["e"] == "ask"}
         finding.violations = [
             f"{text}; {self._step_before(asked[rid])}" if (rid := text.partition(":")[0]) in asked else text
--- a/tests/support/faulty_nodes.py
+++ b/tests/support/faulty_nodes.py
@@ -1,6 +1,6 @@
-"""The platform's program with one fault each, which the soak must convict.
+"""The proxy program with one fault each, which the soak must detect.
 
-Run as `python -m tests.support.faulty_nodes FAULT`; by test_soak.py.
+Run by test_soak.py as `python -m tests.support.faulty_nodes FAULT`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def close_held_connections() -> None:
-    """At SIGTERM all clients' connections are closed, whatever they carry."""
+    """At SIGTERM, close all client connections, also those with a request in flight."""
 
     def begin_shutdown(self: ClientListener, _schedule: ShutdownSchedule) -> None:
         for connection in list(self.connections):
@@ -30,14 +30,14 @@
 
 
 def forward_until_the_exit() -> None:
-    """What is read during a shutdown is forwarded to the last, and its answers are not waited for."""
+    """Forward requests until the end of a shutdown, and exit without waiting for the responses."""
     ClientListener.begin_shutdown = lambda self, schedule: None
     Engine.answer_all_by = lambda self, moment: None
     ShutdownSchedule.may_exit = lambda self, now, **state: now >= self.exit_deadline
 
 
 def lose_the_second_reload() -> None:
-    """Only the first SIGHUP is acted on."""
+    """Ignore every SIGHUP but the first."""
     handle = SignalActions.handle
 
     def handle_first(self: SignalActions, number: int) -> None:
--- a/tests/support/faulty_proxies.py
+++ b/tests/support/faulty_proxies.py
@@ -1,9 +1,7 @@
-"""Proxies with one guard removed each, which the audit must convict.
+"""Proxies with one guard removed each, which the audit must detect.
 
-Run as `python -m tests.support.faulty_proxies serve ...`.
-
-The environment variable CULPRIT numbers the guard that is gone; 1 to 5 are the rules'. Run by
-test_fault_scenario.py.
+Run by test_fault_scenario.py as `python -m tests.support.faulty_proxies serve ...`. The environment variable
+PROXY_FAULT is the number of the guard to remove; 1 to 5 are the numbers of the audit rules.
 """
 
 from __future__ import annotations
@@ -25,13 +23,13 @@
 
 
 def lose_requests() -> None:
-    """Rule 1: a rejection never leaves, and the last guard is gone."""
+    """Rule 1: rejections are not sent, and neither is the answer at the deadline."""
     Deadlines._answer_last = lambda self, pending: None
     Completion.reject = lambda self, action: None
 
 
 def retry_anything() -> None:
-    """Rule 2: what may have run is retried, whatever the class says."""
+    """Rule 2: requests that may have run are retried, whatever their class allows."""
 
     def may_attempt(self, request, endpoint):
         return not request.done and not request.in_flight and len(request.attempts) < 3
@@ -42,23 +40,25 @@
 
 
 def ignore_draining() -> None:
-    """Rule 3: what the list says of draining endpoints is ignored."""
-    told = engine.Engine.list_changed
+    """Rule 3: draining endpoints in the endpoint list are ignored."""
+    true_list_changed = engine.Engine.list_changed
 
     def list_changed(self, event):
         kept = tuple(entry for entry in event.entries if entry.state is EndpointState.UP)
-        told(self, engine.api.EndpointListUpdate(kept, complete=False, remembered=event.remembered))
+        true_list_changed(
+            self, engine.api.EndpointListUpdate(kept, complete=False, remembered=event.remembered)
+        )
 
     engine.Engine.list_changed = list_changed
 
 
 def skip_slow_start() -> None:
-    """Rule 4: an endpoint that has just started is sent as much as any other, and none is ejected."""
+    """Rule 4: an endpoint that has just started gets as much load as any other, and none is ejected."""
     OutlierDetection.eject = lambda self, endpoint, reason: None
     SlowStart.accepts = lambda self, endpoint, request: endpoint.state is EndpointState.UP
     SlowStart.capacity_share = lambda self, endpoint: 1.0
     Eligibility.may_send = lambda self, endpoint, request, limit_share=1.0: endpoint.state is EndpointState.UP
-    Selection.load = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the newest first
+    Selection.load = lambda self, endpoint: (-endpoint.warming_since, 0.0)  # the most recently started first
 
 
 def read_anywhere() -> None:
@@ -67,7 +67,7 @@
 
 
 def answer_late() -> None:
-    """Rule 1: answers wait in a queue of the proxy's own, and no deadline accounts for it."""
+    """Rule 1: responses wait in the proxy for 2.2 s, which no deadline accounts for."""
 
     def response_callback(self, connection, command):
         respond = true_response_callback(self, connection, command)
@@ -78,7 +78,7 @@
 
 
 def send_after_the_answer() -> None:
-    """Rule 1: what was decided before the answer is still sent long after it."""
+    """Rule 1: a read is sent once more 1.6 s after its final answer."""
 
     def respond(self, pending, response):
         upstream = self.engine.upstream
@@ -92,22 +92,22 @@
 
 
 def forget_own_delay() -> None:
-    """Rule 5: ages are judged as of a turn that began long ago, as if no time had passed in the proxy."""
+    """Rule 5: freshness is judged as of 0.8 s ago, as if no time had passed in the proxy."""
 
     def fresh_enough(self, endpoint, request):
         now, self.state.now = self.state.now, self.state.now - 0.8
         try:
-            return true_fresh(self, endpoint, request)
+            return true_fresh_enough(self, endpoint, request)
         finally:
             self.state.now = now
 
-    true_fresh = FreshnessRules.fresh_enough
+    true_fresh_enough = FreshnessRules.fresh_enough
     FreshnessRules.fresh_enough = fresh_enough
 
 
-GUARDS = (lose_requests, retry_anything, ignore_draining, skip_slow_start, read_anywhere)
-MORE = (answer_late, send_after_the_answer, forget_own_delay)
+RULE_FAULTS = (lose_requests, retry_anything, ignore_draining, skip_slow_start, read_anywhere)
+OTHER_FAULTS = (answer_late, send_after_the_answer, forget_own_delay)
 
 if __name__ == "__main__":
-    (GUARDS + MORE)[int(os.environ["CULPRIT"]) - 1]()
+    (RULE_FAULTS + OTHER_FAULTS)[int(os.environ["PROXY_FAULT"]) - 1]()
     main()
--- a/tests/test_fault_scenario.py
+++ b/tests/test_fault_scenario.py
@@ -1,4 +1,4 @@
-"""The bad day, short; and the audit's power to convict, planted culprits for each rule."""
+"""The default fault scenario in short, and proxies with one guard removed that the audit must detect."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import pytest
 import yaml
 
-SLACK = 1.0  # s; machines are shared, and a slow one must not change the verdict
-DAYS = {
+SLACK = 1.0  # s; a slow, shared machine must not change the verdict
+SCENARIOS = {
     1: {"troubles": [{"at": 0.2, "do": "drain", "member": n, "for": 60} for n in range(1, 7)]},
     2: {"troubles": [{"at": 0.2, "do": "reset", "member": "primary", "when": "write", "count": 40}]},
     3: {"troubles": [{"at": 0.1, "do": "drain", "member": "replica", "nth": 1, "for": 60}]},
@@ -35,14 +35,18 @@
         ]
     },
 }
-BREAKS = {6: 1, 7: 1, 8: 5}  # the rule that a later culprit breaks; the first five go by their rule
-STRICT = {8: 0.25}  # s of slack, where a read's own patience leaves no room for SLACK
+BROKEN_RULE = {
+    6: 1,
+    7: 1,
+    8: 5,
+}  # the rule that proxy fault 6 to 8 breaks; faults 1 to 5 break the rule of that number
+STRICT_SLACK = {8: 0.25}  # s; with SLACK, the reads' time-outs would hide the violation
 
 
-def play(
-    tmp_path: Path, day: dict | None, length: float, slack: float = SLACK, **environment: str
+def run_scenario(
+    tmp_path: Path, script: dict | None, length: float, slack: float = SLACK, **environment: str
 ) -> tuple[int, dict]:
-    """Play a day in a process of its own; returns its exit code and result."""
+    """Run a fault scenario in its own process; return its exit code and result."""
     arguments = [
         "fault-scenario",
         "--length",
@@ -50,65 +54,65 @@
         "--slack",
         str(slack),
         "--keep",
-        str(tmp_path / "day"),
+        str(tmp_path / "scenario"),
     ]
-    if day is not None:
-        script = tmp_path / "script.yaml"
-        script.write_text(yaml.safe_dump(day))
-        arguments += ["--script", str(script)]
+    if script is not None:
+        script_file = tmp_path / "script.yaml"
+        script_file.write_text(yaml.safe_dump(script))
+        arguments += ["--script", str(script_file)]
     if environment:
         arguments += ["--driver-module", "tests.support.faulty_proxies"]
     result = tmp_path / "result.json"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "sedgepitch", *arguments, "--json", str(result)],
         env={**os.environ, **environment},
         capture_output=True,
         text=True,
         timeout=300,
     )
-    assert result.exists(), done.stderr
-    return done.returncode, json.loads(result.read_text())
+    assert result.exists(), completed.stderr
+    return completed.returncode, json.loads(result.read_text())
 
 
-CASES = [(None, False), *((rule, True) for rule in DAYS), *((rule, False) for rule in (2, 4, 5))]
+CASES = [(None, False), *((rule, True) for rule in SCENARIOS), *((rule, False) for rule in (2, 4, 5))]
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory):
-    """All days, side by side: each takes its whole length, and little of the machine."""
-
-    def one(case: tuple[int | None, bool]) -> tuple[int, dict, Path]:
-        rule, culprit = case
-        place = places[case]
-        environment = {"CULPRIT": str(rule)} if culprit else {}
-        day = DAYS[rule] if rule else None
-        slack = STRICT.get(rule, SLACK)
-        return *play(place, day, 7.0 if rule else 14.0, slack, **environment), place
-
-    places = {case: tmp_path_factory.mktemp("day") for case in CASES}
+def results(tmp_path_factory):
+    """Run all scenarios, three at a time: each takes its full length, but little processor time."""
+
+    def run_case(case: tuple[int | None, bool]) -> tuple[int, dict, Path]:
+        rule, faulty = case
+        folder = folders[case]
+        environment = {"PROXY_FAULT": str(rule)} if faulty else {}
+        script = SCENARIOS[rule] if rule else None
+        slack = STRICT_SLACK.get(rule, SLACK)
+        return *run_scenario(folder, script, 7.0 if rule else 14.0, slack, **environment), folder
+
+    folders = {case: tmp_path_factory.mktemp("scenario") for case in CASES}
     with ThreadPoolExecutor(3) as pool:
-        return dict(zip(CASES, pool.map(one, CASES), strict=True))
+        return dict(zip(CASES, pool.map(run_case, CASES), strict=True))
 
 
-def test_the_bad_day_keeps_all_rules(played):
-    code, result, place = played[None, False]
+def test_the_default_scenario_breaks_no_rule(results):
+    code, result, folder = results[None, False]
     assert [rule["told"] for rule in result["rules"]] == [[], [], [], [], []]
     assert code == 0
     assert all(rule["checked"] for rule in result["rules"])
     assert sum(row["in_time"] for row in result["classes"].values()) > 0
-    for log in (place / "day").glob("*.log"):
+    for log in (folder / "scenario").glob("*.log"):
         assert "Traceback" not in log.read_text(), log.name
 
 
-@pytest.mark.parametrize("rule", sorted(DAYS))
-def test_the_audit_convicts_a_driver_without_the_guard(played, rule):
-    code, result, _ = played[rule, True]
+@pytest.mark.parametrize("rule", sorted(SCENARIOS))
+def test_the_audit_detects_a_proxy_without_the_guard(results, rule):
+    code, result, _ = results[rule, True]
     assert code == 1
-    assert result["rules"][BREAKS.get(rule, rule) - 1]["broken"] > 0
+    assert result["rules"][BROKEN_RULE.get(rule, rule) - 1]["broken"] > 0
 
 
 @pytest.mark.parametrize("rule", [2, 4, 5])
-def test_the_audit_acquits_the_true_driver_on_the_same_day(played, rule):
-    code, result, _ = played[rule, False]
+def test_the_audit_passes_the_unmodified_proxy_in_the_same_scenario(results, rule):
+    code, result, _ = results[rule, False]
     assert [r["told"] for r in result["rules"]] == [[], [], [], [], []]
     assert code == 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
-"""The soak: its script, a short run on fixed seeds, and faulty programs that it must convict.
+"""The soak: script generation, short runs on fixed seeds, and faulty programs that it must detect.
 
-The long run, 50 seeds of 60 s, is started by hand: `sedgepitch soak --seeds 1-50 --at-once 5 --keep DIR`.
+The long run of 50 seeds of 60 s is started by hand: `sedgepitch soak --seeds 1-50 --at-once 5 --keep DIR`.
 """
 
 from __future__ import annotations
@@ -25,83 +25,87 @@
 RESTART = Step(4.0, Action.RESTART)
 TWO_RELOADS = Step(2.0, Action.RELOAD_SERIES, reloads=(Reload(0.1, FileState.COMPLETE),) * 2)
 HANG_AT_SIGTERM = tuple(Step(3.5, Action.HANG, server, 1.0) for server in range(1, 5))
-CONVICTING = {
+FAULT_SCRIPTS = {
     "close_held_connections": (*HANG_AT_SIGTERM, RESTART),
     "forward_until_the_exit": (*HANG_THROUGH_SHUTDOWN, RESTART),
     "lose_the_second_reload": (TWO_RELOADS,),
 }
 
 
-def play(script: SoakScript, folder: Path, fault: str = "") -> dict:
-    """Play one script, on the program as it ships or with a fault."""
+def run_script(script: SoakScript, folder: Path, fault: str = "") -> dict:
+    """Run one script on the released program, or on one with a fault."""
     command = [sys.executable, "-m", "tests.support.faulty_nodes", fault] if fault else None
     return SoakRun(script, folder, command).run().as_dict()
 
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory) -> dict[str, dict]:
-    """All runs of this file, side by side."""
+    """Run all scripts of this file, four at a time."""
     scripts = {str(seed): draw_script(seed, SHORT_S) for seed in (CROWD_SEED, SIGNALS_SEED, KILL_SEED)}
-    for name, steps in CONVICTING.items():
+    for name, steps in FAULT_SCRIPTS.items():
         scripts[name] = SoakScript(1, 12.0, 2.0, False, 0, steps)
     scripts["no fault"] = SoakScript(1, 12.0, 2.0, False, 0, (TWO_RELOADS, *HANG_THROUGH_SHUTDOWN, RESTART))
     with ProcessPoolExecutor(4) as pool:
-        playing = {
-            name: pool.submit(play, script, tmp_path_factory.mktemp("soak"), name if name in FAULTS else "")
+        futures = {
+            name: pool.submit(
+                run_script, script, tmp_path_factory.mktemp("soak"), name if name in FAULTS else ""
+            )
             for name, script in scripts.items()
         }
-        return {name: future.result() for name, future in playing.items()}
+        return {name: future.result() for name, future in futures.items()}
 
 
-def told(result: dict) -> list[str]:
-    """All that a run found, in words."""
+def violations_of(result: dict) -> list[str]:
+    """Return all violations of a run."""
     return [text for rule in result["rules"] for text in rule["told"]] + result["violations"]
 
 
 @pytest.mark.parametrize("seed", [CROWD_SEED, SIGNALS_SEED, KILL_SEED])
 def test_a_short_soak_of_the_program_finds_nothing(results, seed):
     result = results[str(seed)]
-    assert result["passed"], told(result)
+    assert result["passed"], violations_of(result)
     assert result["requests"] > 300 and result["restarts"] >= 1
 
 
-def test_the_seeds_of_the_short_soak_have_a_crowd_a_series_of_signals_and_a_kill_at_the_earliest():
+def test_the_short_seeds_include_a_crowd_a_reload_series_and_a_restart():
     assert any(step.action is Action.CROWD for step in draw_script(CROWD_SEED, SHORT_S).steps)
     assert any(step.action is Action.RELOAD_SERIES for step in draw_script(SIGNALS_SEED, SHORT_S).steps)
     assert any(step.action is Action.RESTART for step in draw_script(KILL_SEED, SHORT_S).steps)
 
 
 @pytest.mark.parametrize(
-    "fault, words",
+    "fault, text",
     [
         ("close_held_connections", "connection closed without an answer"),
         ("forward_until_the_exit", "connection closed without an answer"),
         ("lose_the_second_reload", "no watch at its new discovery agent"),
     ],
 )
-def test_a_faulty_program_is_convicted(results, fault, words):
+def test_a_faulty_program_is_detected(results, fault, text):
     assert not results[fault]["passed"]
-    assert any(words in text for text in told(results[fault])), told(results[fault])
+    assert any(text in violation for violation in violations_of(results[fault])), violations_of(
+        results[fault]
+    )
 
 
-def test_the_program_without_the_faults_passes_the_scripts_that_convict_them(results):
-    assert results["no fault"]["passed"], told(results["no fault"])
+def test_the_program_without_faults_passes_the_same_scripts(results):
+    assert results["no fault"]["passed"], violations_of(results["no fault"])
 
 
-def test_a_verdict_names_the_step_before_it(results):
-    assert any("after restart at 4.00 s" in text for text in told(results["close_held_connections"]))
+def test_a_violation_names_the_step_before_it(results):
+    assert any("after restart at 4.00 s" in text for text in violations_of(results["close_held_connections"]))
 
 
 # The script
 
 
-def test_the_same_seed_gives_the_same_script_and_another_seed_another():
+def test_scripts_depend_on_the_seed_alone():
     assert draw_script(5, 60.0) == draw_script(5, 60.0)
     assert draw_script(5, 60.0).steps != draw_script(6, 60.0).steps
     assert draw_script(5, 60.0).until(3).steps == draw_script(5, 60.0).steps[:3]
 
 
-def test_fifty_scripts_have_each_kind_of_step_and_leave_each_shutdown_its_time():
+def test_fifty_scripts_have_every_action_and_leave_time_for_each_shutdown():
     scripts = [draw_script(seed, 60.0) for seed in range(1, 51)]
     assert {step.action for script in scripts for step in script.steps} == set(Action)
     assert sum(script.crowd for script in scripts) == 16 and sum(s.busy_processes > 0 for s in scripts) == 12
@@ -112,7 +116,7 @@
 
 
 @pytest.mark.parametrize("length", [1.0, 1e9])
-def test_a_length_that_cannot_be_used_is_refused(length):
+def test_a_length_out_of_range_is_rejected(length):
     with pytest.raises(ScenarioError):
         draw_script(1, length)
 
@@ -120,14 +124,16 @@
 @pytest.mark.parametrize(
     "arguments", [["--seeds", "x"], ["--seeds", "5-1"], ["--length", "1"], ["--seeds", "1", "--until", "0"]]
 )
-def test_bad_input_ends_with_2_and_one_line_that_names_it(arguments):
-    ran = subprocess.run(
+def test_bad_arguments_exit_with_2_and_a_one_line_message(arguments):
+    completed = subprocess.run(
         [sys.executable, "-m", "sedgepitch", "soak", *arguments], capture_output=True, text=True, cwd=ROOT
     )
-    assert ran.returncode == 2 and "Traceback" not in ran.stderr
-    assert len(ran.stderr.strip().splitlines()) == 1 and ran.stderr.startswith("sedgepitch soak: ")
+    assert completed.returncode == 2 and "Traceback" not in completed.stderr
+    assert len(completed.stderr.strip().splitlines()) == 1 and completed.stderr.startswith(
+        "sedgepitch soak: "
+    )
 
 
-def test_a_soak_that_cannot_start_its_process_says_which_and_why(tmp_path):
+def test_a_process_that_cannot_be_started_is_named_with_the_reason(tmp_path):
     with pytest.raises(ScenarioError, match="proxy process 1: no-such-program"):
         SoakRun(draw_script(1, SHORT_S), tmp_path, ["no-such-program"]).run()
