--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Stages for the tests on sockets: one fleet and driver for those that leave them as they were."""
+"""Fixtures for tests on sockets: emulated fleets with proxies, and an emulated platform."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from sedgepitch.scenarios.processes import stage
 from tests.support.platform import running_platform
 
-# The same examples each time: a verdict must not depend on the day. New seeds are tried by hand, with
-# `--hypothesis-profile default --hypothesis-seed N`; what they find becomes a test of its own.
+# The same examples in each run, so that results are reproducible. To try new seeds, pass
+# `--hypothesis-profile default --hypothesis-seed N`; add a test for each failure that they find.
 settings.register_profile("fixed", derandomize=True, deadline=None)
 settings.load_profile("fixed")
 
 
 def example() -> dict:
-    """The example settings, members quick, so that tests are."""
+    """Return the example settings with short times, so that the emulated servers are fast."""
     settings = yaml.safe_load(files("sedgepitch.config").joinpath("example.yaml").read_text())
     settings["standins"] |= {
         "read_work": {"least": "0.5 ms", "most": "1 ms"},
@@ -32,21 +32,21 @@
 
 @pytest.fixture(scope="session")
 def calm(tmp_path_factory):
-    """A fleet without trouble and one driver before it."""
-    with stage(example(), tmp_path_factory.mktemp("calm")) as held:
-        held.driver("calm-1")
-        yield held
+    """A shared fleet with one proxy, for tests that inject no faults."""
+    with stage(example(), tmp_path_factory.mktemp("calm")) as fleet:
+        fleet.driver("calm-1")
+        yield fleet
 
 
 @pytest.fixture
 def rough(tmp_path):
-    """A fleet of this test's own, to be treated badly."""
-    with stage(example(), tmp_path) as held:
-        yield held
+    """A fleet for one test, which may inject faults."""
+    with stage(example(), tmp_path) as fleet:
+        yield fleet
 
 
 @pytest.fixture
 def platform(tmp_path):
-    """One proxy process on an emulated platform, its endpoint list known."""
-    with running_platform(tmp_path) as held:
-        yield held
+    """One proxy process on an emulated platform, with its endpoint list received."""
+    with running_platform(tmp_path) as running:
+        yield running
--- a/tests/support/platform.py
+++ b/tests/support/platform.py
@@ -21,7 +21,7 @@
 from sedgepitch.protocols.postgresql import codec
 
 ROOT = Path(__file__).parent.parent.parent
-TIMEOUT_S = 30.0  # generous: nothing waits that long unless something is broken
+TIMEOUT_S = 30.0  # long: only reached if something is broken
 SETTINGS = {
     "az": "a",
     "classes": [
@@ -64,16 +64,16 @@
     request_queue_size = 256
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Ignore it: peers that vanish are part of the tests."""
+        """Ignore errors: tests close connections on purpose."""
 
 
 class EmulatedEndpoint:
-    """An endpoint that answers each statement by its script, and keeps the statements it got."""
+    """An endpoint that answers statements by a script, and records them."""
 
     def __init__(self, name: str, role: str) -> None:
         self.name, self.role = name, role
         self.statements: list[str] = []
-        self.script: Callable[[str], bytes | None] = lambda statement: None  # None: the usual answer
+        self.script: Callable[[str], bytes | None] = lambda statement: None  # None: the default response
         self.closed_early = 0
         outer = self
 
@@ -94,40 +94,40 @@
         usage = f"x0={time.time():.3f},x1={int(self.role == 'writer')},queue=0"
         return codec.parameter("server_role", self.role) + codec.parameter("usage", usage) + codec.READY
 
-    def serve(self, held: socket.socket) -> None:
+    def serve(self, connection: socket.socket) -> None:
         """Serve one connection."""
-        stream = held.makefile("rb")
+        stream = connection.makefile("rb")
         length = struct.unpack("!i", stream.read(4))[0]
         stream.read(length - 4)
-        held.sendall(codec.WELCOME + codec.parameter("server_role", self.role) + codec.READY)
+        connection.sendall(codec.WELCOME + codec.parameter("server_role", self.role) + codec.READY)
         while head := stream.read(5):
             length = struct.unpack("!i", head[1:])[0]
             statement = stream.read(length - 4)[:-1].decode()
             if statement == "SHOW usage":
-                held.sendall(
+                connection.sendall(
                     self.row(f"x0={time.time():.3f},x1={int(self.role == 'writer')},queue=0".encode())
                 )
                 continue
             self.statements.append(statement)
-            told = self.script(statement)
-            held.sendall(self.row(value_of(statement)) if told is None else told)
-            if told is not None and told.endswith(b"HANG UP"):
-                held.close()
+            response = self.script(statement)
+            connection.sendall(self.row(value_of(statement)) if response is None else response)
+            if response is not None and response.endswith(b"HANG UP"):
+                connection.close()
                 return
 
     def close(self) -> None:
-        """Close it."""
+        """Close the server."""
         self.server.shutdown()
         self.server.server_close()
 
 
 def value_of(statement: str) -> bytes:
-    """Return the value that belongs to a statement."""
+    """Return the value with which an endpoint answers a statement by default."""
     return b"value of " + re.search(r"id=([^,]*)", statement)[1].encode()
 
 
 class DiscoveryAgent:
-    """The discovery agent: watches that send what the test passes to `send`."""
+    """A discovery agent: its watches send `first_object`, then what the test passes to `send`."""
 
     def __init__(self) -> None:
         self.first_object: bytes = b""
@@ -153,7 +153,7 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def send(self, data: bytes) -> None:
-        """Send to all watches."""
+        """Send data to all watches."""
         for watch in list(self.watches):
             try:
                 watch.sendall(chunk(data))
@@ -161,13 +161,13 @@
                 self.watches.remove(watch)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the server."""
         self.server.shutdown()
         self.server.server_close()
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one chunk of HTTP/1.1."""
+    """Return data as one chunk of an HTTP/1.1 chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
@@ -182,33 +182,33 @@
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
         self.process: subprocess.Popen[bytes] | None = None
         self.program = "sedgepitch.node"
-        self.environment: dict[str, str] = {}  # added to the process's
+        self.environment: dict[str, str] = {}  # added to the process's environment
         self.log = folder / "driver.txt"
 
     def entries(self, **changes: str) -> list[dict[str, Any]]:
-        """Return the endpoints as discovery lists them; `changes` are phases by name with _ for -."""
+        """Return the endpoint entries of discovery; `changes` sets phases by name, with _ for -."""
         return [
             {
-                "id": m.name,
-                "host_port": f"127.0.0.1:{m.port}",
+                "id": endpoint.name,
+                "host_port": f"127.0.0.1:{endpoint.port}",
                 "locality": "a",
                 "cell": 1,
-                "phase": changes.get(m.name.replace("-", "_"), "up"),
+                "phase": changes.get(endpoint.name.replace("-", "_"), "up"),
                 "size": 1.0,
                 "up_since_ms": 0,
-                "access": m.role,
+                "access": endpoint.role,
             }
-            for m in self.endpoints
+            for endpoint in self.endpoints
         ]
 
     def version(self, revision: int, complete: bool = True, **changes: str) -> bytes:
         """Return one list version as discovery sends it."""
-        told = {"revision": revision, "complete": complete, "members": self.entries(**changes)}
-        return json.dumps(told).encode() + b"\n"
+        update = {"revision": revision, "complete": complete, "members": self.entries(**changes)}
+        return json.dumps(update).encode() + b"\n"
 
     def configure(self, agent: DiscoveryAgent | None = None, **changes: Any) -> None:
         """Write the configuration file."""
-        told = {
+        configuration = {
             "name": "n1",
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{(agent or self.agent).port}",
@@ -219,7 +219,7 @@
             **changes,
         }
         path = self.folder / "config.json"
-        path.with_suffix(".new").write_text(json.dumps(told))
+        path.with_suffix(".new").write_text(json.dumps(configuration))
         path.with_suffix(".new").replace(path)
 
     def start(self) -> None:
@@ -237,7 +237,7 @@
             )
         try:
             self.port = int(self.wait_for(r"listening address=127\.0\.0\.1:(\d+)")[1])
-        except AssertionError:  # most callers have no way to close what has not started
+        except AssertionError:  # callers cannot close a platform whose start failed
             self.end_process()
             raise
 
@@ -253,7 +253,7 @@
         raise AssertionError(f"never logged {pattern!r}: {self.log.read_text()}")
 
     def client(self) -> Client:
-        """Return a client past its startup."""
+        """Return a client that has completed the startup."""
         return Client(self.port)
 
     def signal(self, number: int) -> None:
@@ -276,20 +276,20 @@
 
 @contextlib.contextmanager
 def running_platform(folder: Path, environment: dict[str, str] | None = None) -> Iterator[Platform]:
-    """A platform whose proxy process runs and knows the endpoint list; nothing of it is left afterwards."""
-    held = Platform(folder)
-    held.environment = environment or {}
+    """Start a platform, wait until its proxy has received the endpoint list, and close it at the end."""
+    running = Platform(folder)
+    running.environment = environment or {}
     try:
-        held.configure()
-        held.start()
-        held.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
-        yield held
+        running.configure()
+        running.start()
+        running.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
+        yield running
     finally:
-        held.close()
+        running.close()
 
 
 class Client:
-    """A blocking client."""
+    """A blocking PostgreSQL client."""
 
     def __init__(self, port: int, startup: bool = True) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
@@ -319,20 +319,20 @@
         return "closed", None
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.stream.close()
         self.socket.close()
 
 
 def read_statement(number: int, d: int = 15000) -> bytes:
-    """Return a read."""
+    """Return a read statement."""
     return (
         f"SELECT payload FROM entries WHERE ref = '7f3a' /* id={number:x},c=look,d={d},cluster=1 */".encode()
     )
 
 
 def write_statement(number: int, d: int = 15000) -> bytes:
-    """Return a write."""
+    """Return a write statement."""
     return (
         "INSERT INTO entries (ref, payload) VALUES ('7f3a', '\\x9f03') RETURNING payload "
         f"/* id={number:x},c=change,d={d},k=5c0f{number:x},cluster=1 */"
