--- a/tests/test_fleet_scenario.py
+++ b/tests/test_fleet_scenario.py
@@ -230,7 +230,7 @@
 
 
 def test_an_order_reaches_all_over_a_cut_and_is_taken_back(results):
-    """An operator command to leave a zone, and its revocation, reach all proxies despite a partial partition."""
+    """The commands to leave a zone and to return reach all proxies despite a partial partition."""
     result = results["order"]
     assert who(result, "leaving") == ALL and who(result, "returning") == ALL
     assert any("ordered by driver-1" in e["why"] for e in result["events"])
