--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -259,11 +259,11 @@
         started: float,
     ) -> ClientAttempt:
         """Return one attempt, with its client's time-out and, if the client leaves early, the time."""
-        patience = kind.deadline * self.random.uniform(0.4, 1.0)
+        timeout_s = kind.deadline * self.random.uniform(0.4, 1.0)
         if kind.keyed and may_have_run_before:
             # After the deduplication window the servers no longer recognize the key: an attempt that ran
             # then could take effect a second time.
-            patience = max(0.01, min(patience, kind.window - (now() - started)))
+            timeout_s = max(0.01, min(timeout_s, kind.window - (now() - started)))
         # Half of these clients disconnect at once, before the proxy can have read the request.
         disconnects = self.random.random() < DISCONNECT_SHARE
         return ClientAttempt(
@@ -272,7 +272,7 @@
             driver=proxy,
             class_name=kind.name,
             command=command,
-            patience=patience,
+            timeout_s=timeout_s,
             writes=kind.writes,
             keyed=kind.keyed,
             need=session.last_write if kind.freshness == "session" else None,
--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -222,21 +222,21 @@
 
     def _fault_zone(self, step: Step) -> None:
         """Inject the same fault into a share of a zone's endpoints, `each` seconds apart."""
-        members = self._endpoints_of(step.zone, step.part)
-        for index, member in enumerate(members):
+        endpoints = self._endpoints_of(step.zone, step.part)
+        for index, endpoint in enumerate(endpoints):
             self.reactor.callLater(
-                index * step.each, self._inject_fault, step.do, member, step.lasts, step.factor
+                index * step.each, self._inject_fault, step.do, endpoint, step.lasts, step.factor
             )
         if step.do == "lose" and self.told:  # the best case: discovery reports the loss at once
-            for member in members:
-                self._fault_in_thread("drain", member=member, **{"for": step.lasts})
+            for endpoint in endpoints:
+                self._fault_in_thread("drain", member=endpoint, **{"for": step.lasts})
 
     def _partition_endpoints(self, step: Step) -> None:
         """Cut the endpoints of one zone off from the proxies of another."""
         proxies = [name for name, zone in self.zone_of.items() if zone == step.origin]
-        for member in self._endpoints_of(step.to, step.part):
+        for endpoint in self._endpoints_of(step.to, step.part):
             for name in proxies:
-                self._fault_in_thread("cut", member=member, driver=name, **{"for": step.lasts})
+                self._fault_in_thread("cut", member=endpoint, driver=name, **{"for": step.lasts})
 
     def _set_link_fault_for_a_while(self, step: Step) -> None:
         self._set_link_fault(step, True)
@@ -272,12 +272,12 @@
             self.stage.drivers[name].process.send_signal(signal.SIGCONT)
             self.record("woken", d=name)
 
-    def _inject_fault(self, do: str, member: int, lasts: float, factor: float) -> None:
+    def _inject_fault(self, do: str, endpoint: int, lasts: float, factor: float) -> None:
         if do == "lose":
-            self._fault_in_thread("cut", member=member, driver="*", **{"for": lasts})
+            self._fault_in_thread("cut", member=endpoint, driver="*", **{"for": lasts})
         else:
             more = {} if do in ("crash", "drain") else {"factor": factor}
-            self._fault_in_thread(do, member=member, **more, **{"for": lasts})
+            self._fault_in_thread(do, member=endpoint, **more, **{"for": lasts})
 
     def _set_link_fault(self, step: Step, on: bool) -> None:
         """Start or end a fault on the links from one zone to another, or on all links."""
--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -33,12 +33,12 @@
     driver: str
     class_name: str
     command: dict[str, Any]
-    patience: float  # s; the time-out, sent as maxTimeMS
+    timeout_s: float  # sent as maxTimeMS
     writes: bool
     keyed: bool
     need: str | None = None  # rid of the session's last write, which the read must see
     leave_after: float | None = None  # s until the client disconnects without a response; 0 for at once
-    asked: float = 0.0
+    sent_at: float = 0.0
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
     left (the client disconnected) or lost (no response).
     """
 
-    ask: ClientAttempt
+    attempt: ClientAttempt
     verdict: str
     elapsed: float
     reply: dict[str, Any] = field(default_factory=dict)
@@ -67,7 +67,7 @@
         super().__init__()
         self.client = client
         self.number = 0
-        self.ask: ClientAttempt | None = None
+        self.attempt: ClientAttempt | None = None
         self.done: Callable[[ClientOutcome], None] | None = None
         self.timer: Any = None
         self.up = False
@@ -82,37 +82,48 @@
         client = {"application": {"name": self.client.app_name}}
         self.transport.write(codec.build(bson.encode({"hello": 1, "client": client, "$db": "admin"}), 0, 0))
 
-    def begin(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
+    def begin(self, attempt: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
         """Send one attempt, as soon as the connection is established."""
-        self.ask, self.done = ask, done
+        self.attempt, self.done = attempt, done
         if self.up:
             self._write()
 
     def _write(self) -> None:
-        ask = self.ask
-        if ask is None:
+        attempt = self.attempt
+        if attempt is None:
             return
         self.number += 1
-        command = {**ask.command, "maxTimeMS": max(1, round(ask.patience * 1000.0))}
+        command = {**attempt.command, "maxTimeMS": max(1, round(attempt.timeout_s * 1000.0))}
         message = codec.build(bson.encode(command), self.number, 0)
-        ask.asked = now()
-        record = {"rid": ask.rid, "op": ask.op, "d": ask.driver, "cls": ask.class_name, "w": ask.writes}
+        attempt.sent_at = now()
+        record = {
+            "rid": attempt.rid,
+            "op": attempt.op,
+            "d": attempt.driver,
+            "cls": attempt.class_name,
+            "w": attempt.writes,
+        }
         self.transport.write(message)
         self.client.record(
-            "ask", t=ask.asked, by=ask.asked + ask.patience, keyed=ask.keyed, need=ask.need, **record
+            "ask",
+            t=attempt.sent_at,
+            by=attempt.sent_at + attempt.timeout_s,
+            keyed=attempt.keyed,
+            need=attempt.need,
+            **record,
         )
-        if ask.leave_after == 0.0:
+        if attempt.leave_after == 0.0:
             self._leave()
-        elif ask.leave_after is not None:
-            self.timer = self.client.reactor.callLater(ask.leave_after, self._leave)
+        elif attempt.leave_after is not None:
+            self.timer = self.client.reactor.callLater(attempt.leave_after, self._leave)
         else:
             # An unanswered attempt is given up 2 s after its deadline, which the audit then reports as lost.
-            self.timer = self.client.reactor.callLater(ask.patience + 2.0, self._give_up)
+            self.timer = self.client.reactor.callLater(attempt.timeout_s + 2.0, self._give_up)
 
     def _leave(self) -> None:
         self.timer = None
-        if self.ask is not None:
-            self.client.record("left", rid=self.ask.rid)
+        if self.attempt is not None:
+            self.client.record("left", rid=self.attempt.rid)
             self._end("left", {})
         self.transport.abortConnection()
 
@@ -138,7 +149,7 @@
             self.up = True
             self._write()
             return
-        if self.ask is None or message.response_to != self.number:
+        if self.attempt is None or message.response_to != self.number:
             self.client.record("extra", d=self.client.driver)
             return
         labels = reply.get("errorLabels") or []
@@ -152,17 +163,17 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        ask, done, self.ask, self.done = self.ask, self.done, None, None
-        if ask is None or done is None:
+        attempt, done, self.attempt, self.done = self.attempt, self.done, None, None
+        if attempt is None or done is None:
             return
         member = reply.get("$member") or {}
         # The time of a reply is the arrival of its bytes; of any other end, the time at which it was noticed.
         at = self.transport.arrived if verdict in ("served", "refused", "failed") else now()
-        if ask.asked and verdict not in ("left", "lost"):
+        if attempt.sent_at and verdict not in ("left", "lost"):
             self.client.record(
-                "got", t=at, rid=ask.rid, verdict=verdict, m=member.get("id"), i=member.get("applied")
+                "got", t=at, rid=attempt.rid, verdict=verdict, m=member.get("id"), i=member.get("applied")
             )
-        done(ClientOutcome(ask, verdict, at - ask.asked if ask.asked else 0.0, reply))
+        done(ClientOutcome(attempt, verdict, at - attempt.sent_at if attempt.sent_at else 0.0, reply))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted's signature
         """End the attempt in flight: the proxy closed the connection."""
@@ -185,14 +196,14 @@
         self.idle: list[Connection] = []
         self.opened = 0
 
-    def send(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
+    def send(self, attempt: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
         """Make one attempt; `done` is called with its outcome."""
         if self.idle:
-            self.idle.pop().begin(ask, done)
+            self.idle.pop().begin(attempt, done)
             return
         self.opened += 1
         connection = Connection(self)
-        connection.begin(ask, done)
+        connection.begin(attempt, done)
         connect(self.reactor, *self.address, _SingleConnectionFactory(connection), 5.0)
 
     def close(self) -> None:
