--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -345,9 +345,8 @@
         events = zone_events(directory)
         zone_at = {member["id"]: member["zone"] for member in self.settings["members"]}
         result["zones"] = zone_rows(directory, events, zone_at, self.outcomes, self.began)
-        result["cores"] = round(
-            self.cores, 5
-        )  # cores used, the mean over the proxies that ran from start to end
+        # Processor cores used, the mean over the proxies that ran from start to end.
+        result["cores"] = round(self.cores, 5)
         result["events"] = [
             {k: e[k] for k in ("driver", "zone", "state", "share")}
             | {"why": e["reason"], "at": round(e["at"] - self.began, 3), "of": self.zone_of[e["driver"]]}
