--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -1,7 +1,7 @@
-"""Clients of a driver: open-loop requests over connections that carry one each, and a record of every answer.
+"""An open-loop load generator: one request at a time per connection, and a record of every response.
 
-A request is begun when its time has come, whether or not the ones before it have been answered; a connection
-that is free carries it, else a new one is opened. Times are those of the machine's monotonic clock.
+A request is sent at its planned time, whether or not earlier ones have been answered. It uses an idle
+connection, or opens a new one if there is none. Times are those of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,33 +26,37 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One try of one request."""
+    """One attempt of one request."""
 
     rid: str
-    op: str  # the operation: the same for all its tries
+    op: str  # id of the operation, the same for all attempts
     driver: str
     class_name: str
     command: dict[str, Any]
-    patience: float  # s
+    timeout_s: float  # sent as maxTimeMS
     writes: bool
     keyed: bool
-    need: str | None = None  # the rid of the session's last write that the read must see
-    leave_after: float | None = None  # s after which the client leaves without its answer; 0 for at once
-    asked: float = 0.0
+    need: str | None = None  # rid of the session's last write, which the read must see
+    leave_after: float | None = None  # s until the client disconnects without a response; 0 for at once
+    sent_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ClientOutcome:
-    """How a try ended: served, refused, failed, closed (no connection any more), unsent, or left."""
+    """How an attempt ended.
 
-    ask: ClientAttempt
+    The verdict is served, refused, failed, closed (the proxy closed the connection), unsent (not connected),
+    left (the client disconnected) or lost (no response).
+    """
+
+    attempt: ClientAttempt
     verdict: str
     elapsed: float
     reply: dict[str, Any] = field(default_factory=dict)
 
     @property
     def retry_after(self) -> float:
-        """When the driver asks to be asked again, in seconds; 0 for no advice."""
+        """Return the retry-after of the response in seconds; 0 if it has none."""
         return float(self.reply.get("retryAfterMS", 0)) / 1000.0
 
 
@@ -63,13 +67,13 @@
         super().__init__()
         self.client = client
         self.number = 0
-        self.ask: ClientAttempt | None = None
+        self.attempt: ClientAttempt | None = None
         self.done: Callable[[ClientOutcome], None] | None = None
         self.timer: Any = None
         self.up = False
 
     def connectionMade(self) -> None:
-        """Begin with what waits."""
+        """Send hello if there is an application name, else the pending attempt."""
         self.transport.set_no_delay()
         if not self.client.app_name:
             self.up = True
@@ -78,63 +82,74 @@
         client = {"application": {"name": self.client.app_name}}
         self.transport.write(codec.build(bson.encode({"hello": 1, "client": client, "$db": "admin"}), 0, 0))
 
-    def begin(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
-        """Carry one try."""
-        self.ask, self.done = ask, done
+    def begin(self, attempt: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
+        """Send one attempt, as soon as the connection is established."""
+        self.attempt, self.done = attempt, done
         if self.up:
             self._write()
 
     def _write(self) -> None:
-        ask = self.ask
-        if ask is None:
+        attempt = self.attempt
+        if attempt is None:
             return
         self.number += 1
-        command = {**ask.command, "maxTimeMS": max(1, round(ask.patience * 1000.0))}
+        command = {**attempt.command, "maxTimeMS": max(1, round(attempt.timeout_s * 1000.0))}
         message = codec.build(bson.encode(command), self.number, 0)
-        ask.asked = now()
-        record = {"rid": ask.rid, "op": ask.op, "d": ask.driver, "cls": ask.class_name, "w": ask.writes}
+        attempt.sent_at = now()
+        record = {
+            "rid": attempt.rid,
+            "op": attempt.op,
+            "d": attempt.driver,
+            "cls": attempt.class_name,
+            "w": attempt.writes,
+        }
         self.transport.write(message)
         self.client.record(
-            "ask", t=ask.asked, by=ask.asked + ask.patience, keyed=ask.keyed, need=ask.need, **record
+            "ask",
+            t=attempt.sent_at,
+            by=attempt.sent_at + attempt.timeout_s,
+            keyed=attempt.keyed,
+            need=attempt.need,
+            **record,
         )
-        if ask.leave_after == 0.0:
+        if attempt.leave_after == 0.0:
             self._leave()
-        elif ask.leave_after is not None:
-            self.timer = self.client.reactor.callLater(ask.leave_after, self._leave)
+        elif attempt.leave_after is not None:
+            self.timer = self.client.reactor.callLater(attempt.leave_after, self._leave)
         else:
-            # A client that is never answered gives up long after its time; the audit has then seen it.
-            self.timer = self.client.reactor.callLater(ask.patience + 2.0, self._never)
+            # An unanswered attempt is given up 2 s after its deadline, which the audit then reports as lost.
+            self.timer = self.client.reactor.callLater(attempt.timeout_s + 2.0, self._give_up)
 
     def _leave(self) -> None:
         self.timer = None
-        if self.ask is not None:
-            self.client.record("left", rid=self.ask.rid)
+        if self.attempt is not None:
+            self.client.record("left", rid=self.attempt.rid)
             self._end("left", {})
         self.transport.abortConnection()
 
-    def _never(self) -> None:
+    def _give_up(self) -> None:
         self.timer = None
         self._end("lost", {})
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes; how long they waited is this process's own delay."""
+        """Parse bytes, and record how long they waited in this process."""
         self.client.record.waited(now() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
-        """One reply."""
+        """Handle one reply."""
         try:
             message = codec.parse(frame)
             reply = bson.decode(message.body)
         except (MalformedMessage, bson.errors.BSONError):
             self.transport.abortConnection()
             return
-        if not self.up:  # hello is answered
+        if not self.up:  # the reply to hello
             self.up = True
             self._write()
             return
-        if self.ask is None or message.response_to != self.number:
+        if self.attempt is None or message.response_to != self.number:
             self.client.record("extra", d=self.client.driver)
             return
         labels = reply.get("errorLabels") or []
@@ -148,20 +163,20 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        ask, done, self.ask, self.done = self.ask, self.done, None, None
-        if ask is None or done is None:
+        attempt, done, self.attempt, self.done = self.attempt, self.done, None, None
+        if attempt is None or done is None:
             return
         member = reply.get("$member") or {}
-        # A reply is dated by the arrival of its bytes; anything else by when this process saw it.
+        # The time of a reply is the arrival of its bytes; of any other end, the time at which it was noticed.
         at = self.transport.arrived if verdict in ("served", "refused", "failed") else now()
-        if ask.asked and verdict not in ("left", "lost"):
+        if attempt.sent_at and verdict not in ("left", "lost"):
             self.client.record(
-                "got", t=at, rid=ask.rid, verdict=verdict, m=member.get("id"), i=member.get("applied")
+                "got", t=at, rid=attempt.rid, verdict=verdict, m=member.get("id"), i=member.get("applied")
             )
-        done(ClientOutcome(ask, verdict, at - ask.asked if ask.asked else 0.0, reply))
+        done(ClientOutcome(attempt, verdict, at - attempt.sent_at if attempt.sent_at else 0.0, reply))
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted's
-        """The driver hung up."""
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted's signature
+        """End the attempt in flight: the proxy closed the connection."""
         self.up = False
         if self in self.client.idle:
             self.client.idle.remove(self)
@@ -169,7 +184,7 @@
 
 
 class LoadClient(ClientFactory):
-    """All client connections to one driver."""
+    """All client connections to one proxy."""
 
     noisy = False
 
@@ -181,32 +196,32 @@
         self.idle: list[Connection] = []
         self.opened = 0
 
-    def send(self, ask: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
-        """Make one try; `done` hears how it ended."""
+    def send(self, attempt: ClientAttempt, done: Callable[[ClientOutcome], None]) -> None:
+        """Make one attempt; `done` is called with its outcome."""
         if self.idle:
-            self.idle.pop().begin(ask, done)
+            self.idle.pop().begin(attempt, done)
             return
         self.opened += 1
         connection = Connection(self)
-        connection.begin(ask, done)
-        connect(self.reactor, *self.address, _One(connection), 5.0)
+        connection.begin(attempt, done)
+        connect(self.reactor, *self.address, _SingleConnectionFactory(connection), 5.0)
 
     def close(self) -> None:
-        """Hang up what is idle."""
+        """Close the idle connections."""
         for connection in list(self.idle):
             connection.transport.loseConnection()
 
 
-class _One(ClientFactory):
+class _SingleConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
 
-    def buildProtocol(self, addr: Any) -> Connection:  # noqa: ARG002  # Twisted's
-        """The one connection."""
+    def buildProtocol(self, addr: Any) -> Connection:  # noqa: ARG002  # Twisted's signature
+        """Return the connection."""
         return self.connection
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002  # Twisted's
-        """The driver does not listen: the try was never made."""
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002  # Twisted's signature
+        """Report the attempt as unsent: the proxy does not listen."""
         self.connection._end("unsent", {})
