--- a/tests/support/faulty_nodes.py
+++ b/tests/support/faulty_nodes.py
@@ -55,4 +55,4 @@
 
 if __name__ == "__main__":
     FAULTS[sys.argv[1]]()
-    node.leave(node.main(SIGNALS))
+    node.exit_now(node.main(SIGNALS))
