--- a/sedgepitch/emulator/__init__.py
+++ b/sedgepitch/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated database servers on loopback, to test the proxy and its rules against."""
+"""Emulated database servers on loopback, against which the proxy and its rules are tested."""
--- a/sedgepitch/emulator/discovery_agent.py
+++ b/sedgepitch/emulator/discovery_agent.py
@@ -1,4 +1,4 @@
-"""An emulated discovery agent on an asyncio loop: complete lists, watches, and the ways in which it fails."""
+"""An emulated discovery agent on an asyncio loop: complete endpoint lists, watches, and outages."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     """How the agent behaves."""
 
     NORMAL = "normal"
-    SILENT = "silent"  # connections come about, and nothing is said
-    REFUSED = "refused"
-    SLOW = "slow"  # byte by byte
+    SILENT = "silent"  # accepts connections and sends nothing
+    REFUSED = "refused"  # does not listen
+    SLOW = "slow"  # sends one byte every SLOW_BYTE_INTERVAL_S
 
 
 def _chunk(data: bytes) -> bytes:
@@ -32,10 +32,10 @@
 
 
 class DiscoveryAgent:
-    """One agent. `complete_list` returns the present list as discovery sends it."""
+    """One agent. `complete_list` returns the current list in the discovery format."""
 
     def __init__(self, complete_list: Callable[[], ListVersion]) -> None:
-        """Prepare an agent that does not listen yet."""
+        """Create the agent; `start` opens its port."""
         self.port = 0
         self.mode = AgentMode.NORMAL
         self._complete_list = complete_list
@@ -49,24 +49,24 @@
         return len(self._watches)
 
     async def start(self) -> None:
-        """Listen, at the same port as before."""
+        """Listen; a restarted agent reuses its port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         if self._heartbeats is None:
             self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
     async def set_mode(self, mode: AgentMode) -> None:
-        """Change how the agent behaves; the end of an outage sends the complete list to open watches."""
-        before, self.mode = self.mode, mode
+        """Change the mode; returning to normal sends the complete list to all open watches."""
+        previous, self.mode = self.mode, mode
         if mode is AgentMode.REFUSED:
             self.close_port()
-        elif before is AgentMode.REFUSED:
+        elif previous is AgentMode.REFUSED:
             await self.start()
-        if mode is AgentMode.NORMAL and before is not AgentMode.NORMAL:
+        if mode is AgentMode.NORMAL and previous is not AgentMode.NORMAL:
             self.send(self._complete_list())
 
     def close_port(self) -> None:
-        """Refuse connections, and reset those that are open."""
+        """Stop listening and reset the open watches."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -74,13 +74,13 @@
             writer.transport.abort()
 
     def stop(self) -> None:
-        """End for good."""
+        """Stop the agent permanently."""
         self.close_port()
         if self._heartbeats is not None:
             self._heartbeats.cancel()
 
     def send(self, version: ListVersion) -> None:
-        """Send a version to all watches."""
+        """Send a list version to all watches."""
         self._send_line(json.dumps(version).encode() + b"\n")
 
     def _send_line(self, line: bytes) -> None:
--- a/sedgepitch/emulator/document_store.py
+++ b/sedgepitch/emulator/document_store.py
@@ -1,7 +1,7 @@
 """A small document store: documents by namespace and _id.
 
-Writes are worked out to effects (put or remove one document by its id), which are what the log carries, so a
-replica applies them without looking at the command again.
+A write is reduced to effects (put or remove one document by its id). The replication log carries the effects,
+so a replica applies them without evaluating the command again.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     updated,
 )
 
-Effect = tuple[str, Any, Document | None]  # namespace, key, the new document or None where it is removed
+Effect = tuple[str, Any, Document | None]  # namespace, key, new document (None: removed)
 
 
 class Store:
-    """The documents of one server as of what it has applied."""
+    """The documents of one server, up to the log entry that it applied last."""
 
     def __init__(self) -> None:
-        """Make an empty store."""
+        """Create an empty store."""
         self.spaces: dict[str, dict[Any, Document]] = {}  # namespace -> key -> document
 
     def apply(self, effects: Iterable[Effect]) -> None:
@@ -43,7 +43,7 @@
                 space[key] = document
 
     def select(self, namespace: str, query: Document) -> list[Document]:
-        """Return the documents that fit."""
+        """Return the documents that match the query."""
         space = self.spaces.get(namespace, {})
         identity = query.get("_id")
         if identity is not None and not isinstance(identity, dict):
@@ -52,7 +52,7 @@
         return [d for d in space.values() if matches(d, query)]
 
     def read(self, command: Document) -> tuple[str, list[Document]]:
-        """Answer find or aggregate: namespace and documents."""
+        """Run find, aggregate or listCollections; return the namespace and the documents."""
         name, database = next(iter(command)), command["$db"]
         if name == "listCollections":
             found = sorted(n.split(".", 1)[1] for n in self.spaces if n.startswith(database + "."))
@@ -67,10 +67,10 @@
             skip, limit = int(command.get("skip") or 0), abs(int(command.get("limit") or 0))
             documents = documents[skip : skip + limit if limit else None]
             return namespace, [projected(d, command.get("projection") or {}) for d in documents]
-        return namespace, self.staged(namespace, command["pipeline"])
+        return namespace, self.run_pipeline(namespace, command["pipeline"])
 
-    def staged(self, namespace: str, pipeline: list[Document]) -> list[Document]:
-        """Run an aggregate's reading stages."""
+    def run_pipeline(self, namespace: str, pipeline: list[Document]) -> list[Document]:
+        """Run the stages of an aggregate; $out and $merge are left to `write`."""
         documents = list(self.spaces.get(namespace, {}).values())
         for stage in pipeline:
             operator, spec = next(iter(stage.items()))
@@ -95,7 +95,7 @@
     # Writes
 
     def write(self, command: Document) -> tuple[Document, list[Effect]]:
-        """Work out a write: its reply and its effects. Nothing is applied here."""
+        """Return the reply and the effects of a write, without applying them."""
         name = next(iter(command))
         if name == "aggregate":
             return self._out(command)
@@ -139,8 +139,8 @@
                 modified += new != document
                 draft.put(new["_id"], new)
             if not found and spec.get("upsert"):
-                plain = {k: v for k, v in (spec.get("q") or {}).items() if not isinstance(v, dict)}
-                new = updated({**plain}, spec["u"])
+                equalities = {k: v for k, v in (spec.get("q") or {}).items() if not isinstance(v, dict)}
+                new = updated({**equalities}, spec["u"])
                 if new.get("_id") is None:
                     new["_id"] = bson.ObjectId()
                 draft.put(new["_id"], new)
@@ -170,7 +170,7 @@
         operator, target = next(iter(command["pipeline"][-1].items()))
         name = target if isinstance(target, str) else target.get("into") or target.get("coll")
         draft = _Draft(self, f"{command['$db']}.{name}")
-        documents = self.staged(namespace, command["pipeline"])
+        documents = self.run_pipeline(namespace, command["pipeline"])
         if operator == "$out":
             for identity in list(self.spaces.get(draft.namespace, {})):
                 draft.effects.append((draft.namespace, identity, None))
@@ -180,7 +180,7 @@
 
 
 class _Draft:
-    """A write in progress: the store with the effects so far applied to a view of it."""
+    """A write in progress: a view of the store with the effects collected so far."""
 
     def __init__(self, store: Store, namespace: str) -> None:
         self.store = store
@@ -200,7 +200,7 @@
         self.effects.append((self.namespace, key, document))
 
     def select(self, query: Document) -> list[Document]:
-        kept = [
+        unchanged = [
             d for d in self.store.select(self.namespace, query) if document_key(d["_id"]) not in self.changes
         ]
-        return kept + [d for d in self.changes.values() if d is not None and matches(d, query)]
+        return unchanged + [d for d in self.changes.values() if d is not None and matches(d, query)]
--- a/sedgepitch/emulator/execution.py
+++ b/sedgepitch/emulator/execution.py
@@ -1,4 +1,4 @@
-"""How an emulated server runs commands: so many cores, a bounded queue, and what overload does while cold."""
+"""Command execution of an emulated server: cores, a bounded queue, and overload while warming up."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 
 
 class Execution:
-    """The commands of one server that wait or run. Their time passes as timers."""
+    """The queued and running commands of one server. Service times are emulated by timers."""
 
     def __init__(self, server: EmulatedServer) -> None:
-        """Begin with nothing to run."""
+        """Create it without commands."""
         self._server = server
         self._waiting: deque[ReceivedCommand] = deque()
         self._running = 0
-        self._work_while_cold: deque[tuple[float, float]] = deque()  # (when, s of work) that arrived
+        self._warm_up_arrivals: deque[tuple[float, float]] = deque()  # (arrival time, s of work)
         self.served = 0
 
     @property
     def waiting(self) -> int:
-        """How many commands wait for a core."""
+        """Return the number of commands that wait for a core."""
         return len(self._waiting)
 
     def cancel_all(self) -> None:
-        """Forget all commands, as a crash does; timers of the earlier incarnation do nothing."""
+        """Drop all commands after a crash; timers of the earlier incarnation have no effect."""
         self._waiting.clear()
         self._running = 0
 
     def restart(self) -> None:
-        """Forget what arrived before a restart."""
-        self._work_while_cold.clear()
+        """Drop the arrivals recorded before a restart."""
+        self._warm_up_arrivals.clear()
 
     # Admission
 
     def submit(self, request: ReceivedCommand) -> None:
         """Run, queue or reject a command."""
         server = self._server
-        if self._is_overloaded_while_cold(request.work):
-            server.fall()
+        if self._is_overloaded_while_warming_up(request.work):
+            server.crash_permanently()
             return
         if request.kind is CommandKind.WRITE and not server.is_primary():
             server.record("role_told", m=server.id, d=request.connection.proxy, primary=False)
@@ -62,7 +62,7 @@
             self._reject(request)
 
     def _lacks_read_preference(self, request: ReceivedCommand) -> bool:
-        """Whether a replica is asked for a read that does not say that it may run there."""
+        """Return whether this is a read at a replica without a $readPreference."""
         if request.kind is CommandKind.WRITE or self._server.is_primary():
             return False
         return READ_PREFERENCE not in request.command
@@ -76,18 +76,18 @@
     def _reply_error(self, request: ReceivedCommand, code: int, name: str, text: str) -> None:
         request.connection.reply(request.message, self._server.queries.error(code, name, text))
 
-    def _is_overloaded_while_cold(self, work: float) -> bool:
-        """Whether a server that is warming up has been sent too much work for too long."""
+    def _is_overloaded_while_warming_up(self, work: float) -> bool:
+        """Return whether the server is warming up and got too much work within `overload_time`."""
         server = self._server
-        if server.warmth() >= 1.0:
+        if server.capacity_share() >= 1.0:
             return False
         now = server.now()
         span = server.timing.overload_time
-        arrived = self._work_while_cold
+        arrived = self._warm_up_arrivals
         arrived.append((now, work))
         while arrived and arrived[0][0] < now - span:
             arrived.popleft()
-        capacity = server.timing.cores * server.warmth() * span
+        capacity = server.timing.cores * server.capacity_share() * span
         if now - server.started < span:
             return False
         return sum(work for _, work in arrived) > server.timing.overload_factor * capacity
@@ -97,11 +97,11 @@
     def _run(self, request: ReceivedCommand) -> None:
         server = self._server
         self._running += 1
-        duration = request.work * server.faults.slowdown / server.warmth()
+        duration = request.work * server.faults.slowdown / server.capacity_share()
         server.reactor.callLater(duration, self._finish, request, server.incarnation)
 
     def _finish(self, request: ReceivedCommand, incarnation: int) -> None:
-        """The work is done: take effect, answer, run the next."""
+        """Complete a command: start the next one, apply this one and reply."""
         server = self._server
         if incarnation != server.incarnation:
             return
@@ -115,7 +115,7 @@
         if server.apply_reply_fault(request, body):
             return
         if request.kind is CommandKind.WRITE and body.get("ok") == 1.0:
-            # A write is answered when a replica has it, too.
+            # A write is acknowledged once a replica has received it, too.
             delay = server.timing.replication_delay
             server.reactor.callLater(delay, self._reply_if_alive, request, body, incarnation)
         else:
--- a/sedgepitch/emulator/fault_control.py
+++ b/sedgepitch/emulator/fault_control.py
@@ -1,4 +1,4 @@
-"""Faults on demand: from a line of the control socket to the fault of one server."""
+"""Applies the fault requests of the control socket to single servers."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 
 
 class ControlError(SedgepitchError, ValueError):
-    """A request to the control socket that cannot be served; the text says why."""
+    """A request to the control socket cannot be served; the text states the reason."""
 
 
 class FaultControl:
     """Applies faults to the servers of a fleet.
 
     A request names the fault in `do`: hang (for), slow (factor, for), lag (factor, for), crash (for), drain
-    (for), promote, cut (driver, for), claim (for), refuse (for), table (connections, for), and faults that
-    wait for a reply to `when` ("write" or "read"): lose_reply, cut_reply, reset, wrong_reply, twice (count,
-    then: {"do": ...}). `member` is an id, "primary" or "replica" (with `nth`). Times are in seconds.
+    (for), promote, cut (driver, for), claim (for), refuse (for), table (connections, for), and faults of the
+    next replies to commands of kind `when` ("write" or "read"): lose_reply, cut_reply, reset, wrong_reply,
+    twice (count, then: {"do": ...}). `member` is an id, "primary" or "replica" (with `nth`). Times are in
+    seconds.
     """
 
     def __init__(self, fleet: EmulatedFleet) -> None:
@@ -52,9 +53,9 @@
         }
 
     def apply(self, request: Request) -> None:
-        """Apply one fault; raises ControlError where there is no such server or fault."""
+        """Apply one fault. Raises ControlError for an unknown server or fault."""
         name = str(request.get("do"))
-        float(request.get("for", 0.0))  # refused before anything is recorded
+        float(request.get("for", 0.0))  # an invalid duration is rejected before anything is recorded
         server = self._server(request)
         fields = {key: value for key, value in request.items() if key != "op"}
         self._fleet.record("fault", **fields, m=server.id)
@@ -83,31 +84,33 @@
             raise ControlError(f"member {which} is not there")
         return self._fleet.servers[which]
 
-    # Faults that last
+    # Lasting faults
 
     def _after(self, request: Request, call: Callable[..., object], *arguments: object) -> None:
-        """Make a call when the fault's time is over, if it has one."""
+        """Schedule a call for the end of the fault, if it has a duration."""
         duration = _duration(request)
         if duration > 0:
-            self._fleet.later(duration, call, *arguments)
+            self._fleet.call_later(duration, call, *arguments)
 
-    def _set(self, server: EmulatedServer, request: Request, name: str, value: object, later: object) -> None:
-        """Set a field of the server's faults, and set it back unless it has been started again meanwhile."""
+    def _set(
+        self, server: EmulatedServer, request: Request, name: str, value: object, normal: object
+    ) -> None:
+        """Set a field of the server's faults until the fault ends; a restart resets it earlier."""
         faults = server.faults
         incarnation = server.incarnation
 
-        def set_back() -> None:
+        def reset_field() -> None:
             if incarnation == server.incarnation:
-                setattr(faults, name, later)
+                setattr(faults, name, normal)
 
         setattr(faults, name, value)
-        self._after(request, set_back)
+        self._after(request, reset_field)
 
     def _hang(self, server: EmulatedServer, request: Request) -> None:
         duration = _duration(request)
         server.pause(self._fleet.now() + duration)
         server.group.primary_unreachable(server, self._fleet.timing.election_after)
-        self._fleet.later(duration, server.group.primary_reachable, server)
+        self._fleet.call_later(duration, server.group.primary_reachable, server)
 
     def _slow_down(self, server: EmulatedServer, request: Request) -> None:
         factor = float(request.get("factor", DEFAULT_SLOWDOWN))
@@ -156,10 +159,10 @@
         self._set(server, request, "refuses_connections", True, server.faults.refuses_connections)
 
     def _limit_connections(self, server: EmulatedServer, request: Request) -> None:
-        bound = int(request.get("connections", DEFAULT_CONNECTIONS))
-        self._set(server, request, "connections_max", bound, server.faults.connections_max)
+        limit = int(request.get("connections", DEFAULT_CONNECTIONS))
+        self._set(server, request, "connections_max", limit, server.faults.connections_max)
 
-    # Faults of replies
+    # Reply faults
 
     def _add_reply_fault(self, server: EmulatedServer, request: Request) -> None:
         kind = ReplyFaultKind(request["do"])
@@ -179,5 +182,5 @@
 
 
 def _duration(request: Request) -> float:
-    """Return how long a fault lasts, in seconds; 0 where it stays."""
+    """Return the duration of a fault in seconds; 0 if it is permanent."""
     return float(request.get("for", 0.0))
--- a/sedgepitch/emulator/faults.py
+++ b/sedgepitch/emulator/faults.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an emulated server: lasting faults, and faults of single replies."""
+"""Faults of an emulated server: lasting faults, and faults of single replies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ReplyFaultKind(Enum):
-    """What happens to a reply; the values are the names of the control socket and of the record."""
+    """What happens to a reply; the values are the names on the control socket and in the record."""
 
     LOSE = "lose_reply"
     CUT_SHORT = "cut_reply"
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True)
 class ReplyFault:
-    """A fault that waits for the next replies to commands of one kind."""
+    """A fault that applies to the next replies to commands of one kind."""
 
     kind: ReplyFaultKind
     when: str  # the value of a CommandKind
-    then: Callable[[], None] = ignore  # called after each
-    count: int = 1  # replies that it is still to befall
+    then: Callable[[], None] = ignore  # called after each faulty reply
+    count: int = 1  # remaining replies to apply it to
 
     def apply(self, request: ReceivedCommand, body: Document) -> None:
-        """Answer a command in the faulty way."""
+        """Reply to a command with this fault."""
         connection = request.connection
         message = request.message
         if self.kind is ReplyFaultKind.RESET:
@@ -58,14 +58,14 @@
 class ActiveFaults:
     """What is wrong with a server at present."""
 
-    paused_until: float = 0.0  # s of the clock: until then nothing is read, run, applied or answered
-    slowdown: float = 1.0  # factor on the time that commands take
-    apply_slowdown: float = 1.0  # factor on the time that replication takes
-    cut_off_from: set[str] = field(default_factory=set)  # proxies whose messages are not seen
+    paused_until: float = 0.0  # s of the clock; nothing is read, run, applied or answered before
+    slowdown: float = 1.0  # factor on the service time of commands
+    apply_slowdown: float = 1.0  # factor on the time to apply a log entry
+    cut_off_from: set[str] = field(default_factory=set)  # proxies whose messages are lost
     claims_primary: bool = False
     refuses_connections: bool = False
     connections_max: int | None = None
 
     def cuts_off(self, proxy: str) -> bool:
-        """Whether a proxy's messages are not seen."""
+        """Return whether the messages of a proxy are lost."""
         return EVERY_PROXY in self.cut_off_from or proxy in self.cut_off_from
--- a/sedgepitch/emulator/fleet.py
+++ b/sedgepitch/emulator/fleet.py
@@ -1,8 +1,9 @@
 """A fleet of emulated servers in one process, and its control socket.
 
-Control lines are JSON, one a line: {"op": "watch", "driver": name} follows the endpoint list, which is sent
-with the delay of a real one; {"op": "status"}; {"op": "fault", "do": name, ...} (see `FaultControl`);
-{"op": "quit"}. Each op but watch is answered by one line with "ok".
+The control socket takes one JSON object per line: {"op": "watch", "driver": name} subscribes to the endpoint
+list, whose changes arrive with the delay of a real list service; {"op": "status"};
+{"op": "fault", "do": name, ...} (see `FaultControl`); {"op": "quit"}. Each op except watch is answered by one
+line with "ok".
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from sedgepitch.protocols.common.callbacks import ignore
 
 LINE_BYTES_MAX = 1 << 20
-QUIT_DELAY_S = 0.05  # so that the answer leaves first
+QUIT_DELAY_S = 0.05  # lets the answer leave first
 CONTROL_BACKLOG = 50
 ERROR_CHARACTERS_MAX = 200
 
@@ -39,7 +40,7 @@
     def __init__(self, fleet: EmulatedFleet) -> None:
         """Serve one connection to this fleet's control socket."""
         self.fleet = fleet
-        self.proxy = ""  # which follows the endpoint list
+        self.proxy = ""  # name of the proxy that watches the endpoint list
 
     def lineReceived(self, line: bytes) -> None:
         """Serve one request."""
@@ -66,12 +67,12 @@
         if op == "status":
             return {"ok": True, **self.fleet.status()}
         if op == "quit":
-            self.fleet.later(QUIT_DELAY_S, self.fleet.stop)
+            self.fleet.call_later(QUIT_DELAY_S, self.fleet.stop)
             return {"ok": True}
         raise ControlError(f"op '{op}' is not known")
 
     def send_list(self, servers: Iterable[EmulatedServer], complete: bool) -> None:
-        """Send the endpoint list, or a part of it, as the list service believes it."""
+        """Send the endpoint list or a part of it, as the list service currently shows it."""
         entries = [self.fleet.entry(server) for server in servers]
         for entry in entries:
             self.fleet.record("told", d=self.proxy, m=entry["id"], state=entry["state"])
@@ -79,15 +80,15 @@
         self.sendLine(json.dumps(message).encode())
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """A proxy does not follow the list any more."""
+        """End the watch of a proxy whose connection has closed."""
         self.fleet.watchers.discard(self)
 
 
 class EmulatedFleet:
-    """The servers of all groups. `timing` is the `standins` part of the settings; `specs` are its members."""
+    """The servers of all groups. `timing` is the `standins` section of the settings, `specs` its members."""
 
     def __init__(self, reactor: Reactor, now: Callable[[], float], timing: Any, specs: list[Any]) -> None:
-        """Make the servers; `start` opens their ports."""
+        """Create the servers; `start` opens their ports."""
         self.reactor = reactor
         self.now = now
         self.timing = timing
@@ -106,7 +107,7 @@
     def _add(self, spec: Any) -> None:
         group = self.groups.get(spec.group)
         if group is None:
-            group = EmulatedGroup(spec.group, self.now, self.later, self.timing)
+            group = EmulatedGroup(spec.group, self.now, self.call_later, self.timing)
             group.role_changed = partial(self._role_changed, group)
             self.groups[spec.group] = group
         server = EmulatedServer(
@@ -116,14 +117,14 @@
         if spec.primary or group.primary is None:
             group.primary = server
 
-    def later(self, delay: float, call: Callable[..., Any], *arguments: Any) -> Any:
-        """Make a call after so many seconds."""
+    def call_later(self, delay: float, call: Callable[..., Any], *arguments: Any) -> Any:
+        """Schedule a call after `delay` seconds."""
         return self.reactor.callLater(max(0.0, delay), call, *arguments)
 
     # Life cycle
 
     def start(self) -> None:
-        """Open all ports; each group begins with a first term."""
+        """Open all ports and begin the first term of each group."""
         for server in self.servers.values():
             server.listen()
         for group in self.groups.values():
@@ -137,12 +138,12 @@
             self.record("member", m=server.id, g=server.group.number, cores=self.timing.cores)
 
     def stop(self) -> None:
-        """Close all, and report it."""
+        """Close everything, then call `stopped`."""
         self.close()
         self.stopped()
 
     def close(self) -> None:
-        """Close all ports, and the record."""
+        """Close all ports and the record."""
         for server in self.servers.values():
             if server.port is not None:
                 server.port.stopListening()
@@ -154,7 +155,7 @@
     # The endpoint list
 
     def entry(self, server: EmulatedServer) -> dict[str, Any]:
-        """Return one server as the list shows it."""
+        """Return the list entry of one server."""
         entry = {
             "id": server.id,
             "group": server.group.number,
@@ -173,10 +174,10 @@
         return "draining" if server.draining else "up"
 
     def announce(self, *servers: EmulatedServer) -> None:
-        """Push changes, with the delay of the list service."""
-        self.later(self.timing.list_delay, self._push, servers)
+        """Send changes of these servers, after the delay of the list service."""
+        self.call_later(self.timing.list_delay, self._send_changes, servers)
 
-    def _push(self, servers: tuple[EmulatedServer, ...]) -> None:
+    def _send_changes(self, servers: tuple[EmulatedServer, ...]) -> None:
         for watcher in list(self.watchers):
             watcher.send_list(servers, complete=False)
 
@@ -187,14 +188,14 @@
         if primary is None:
             return
         if group.number in self.listed_primary:
-            self.later(self.timing.list_delay, self._list_primary, group, primary)
+            self.call_later(self.timing.list_delay, self._list_primary, group, primary)
         else:
             self.listed_primary[group.number] = primary.id
 
     def _list_primary(self, group: EmulatedGroup[EmulatedServer], primary: EmulatedServer) -> None:
         changed = (self.listed_primary.get(group.number), primary.id)
         self.listed_primary[group.number] = primary.id
-        self._push(tuple(server for server in group.servers if server.id in changed))
+        self._send_changes(tuple(server for server in group.servers if server.id in changed))
 
     def status(self) -> dict[str, Any]:
         """Return the state of all servers."""
@@ -207,7 +208,7 @@
         "id": server.id,
         "group": server.group.number,
         "alive": server.alive(),
-        "fallen": server.fallen,
+        "fallen": server.permanently_down,
         "primary": server.is_primary(),
         "applied": server.applied,
         "behind": len(server.group.log) - server.applied,
--- a/sedgepitch/emulator/postgresql_server.py
+++ b/sedgepitch/emulator/postgresql_server.py
@@ -1,4 +1,4 @@
-"""Emulated PostgreSQL servers of one replica group on an asyncio loop, with faults; record what they see."""
+"""Emulated PostgreSQL servers of one replica group on an asyncio loop, with faults and a record."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from sedgepitch.protocols.postgresql import codec
 
 GROUP = 1
-PROXY = "n1"  # the one proxy's name in records
+PROXY = "n1"  # name of the only proxy in records
 WORK_MEAN_S = 0.006
 REPLICA_LAG_S = 0.15
 READ_ONLY, SHUTTING_DOWN = "25006", "53300"
@@ -26,21 +26,21 @@
 
 @dataclass(slots=True)
 class Commit:
-    """One write's effect."""
+    """The effect of one write."""
 
     index: int
-    at: float
+    at: float  # monotonic s
 
 
 @dataclass(slots=True)
 class ReplicatedLog:
-    """What the group has committed: the writes by time, and by idempotency key."""
+    """The committed writes of the group, in order and by idempotency key."""
 
     commits: list[Commit] = field(default_factory=list)
     by_key: dict[str, Commit] = field(default_factory=dict)
 
     def append(self, key: str) -> tuple[Commit, bool]:
-        """Commit a write; returns it, and whether it is new and no repetition of its key."""
+        """Commit a write, unless its key is a repetition; return the commit, and whether it is new."""
         if key and key in self.by_key:
             return self.by_key[key], False
         commit = Commit(len(self.commits) + 1, time.monotonic())
@@ -50,7 +50,7 @@
         return commit, True
 
     def index_at(self, moment: float) -> int:
-        """Return the index of the last commit until a moment, 0 without one."""
+        """Return the index of the last commit up to a moment, 0 if there is none."""
         for commit in reversed(self.commits):
             if commit.at <= moment:
                 return commit.index
@@ -58,21 +58,21 @@
 
 
 def statement_fields(statement: str) -> dict[str, str]:
-    """Return the names and values in a statement's comment."""
+    """Return the name=value fields in the comment of a statement."""
     return dict(_FIELD.findall(statement.rpartition("/*")[2]))
 
 
 class PostgresServer:
-    """One server. `record` takes kind and fields of what it sees."""
+    """One server. `record` is called with the kind and fields of each event."""
 
     def __init__(self, number: int, log: ReplicatedLog, record: Record, rng: random.Random) -> None:
-        """Prepare a server that does not listen yet; server 1 is the primary at first."""
+        """Create the server; `start` opens its port. Server 1 is the initial primary."""
         self.number = number
         self.is_primary = number == 1
         self.draining = False
         self.port = 0
         self.started_at_ms = 0
-        self.served: set[str] = set()  # ids of requests that arrived here
+        self.served: set[str] = set()  # ids of the requests that arrived here
         self._log = log
         self._record = record
         self._rng = rng
@@ -82,13 +82,13 @@
 
     @property
     def name(self) -> str:
-        """Return its id in endpoint lists."""
+        """Return the id in endpoint lists."""
         return f"s-{self.number}"
 
-    # Life and faults
+    # Life cycle and faults
 
     async def start(self) -> None:
-        """Listen, at the same port as before."""
+        """Listen; a restarted server reuses its port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -111,7 +111,7 @@
             await self.start()
 
     def hang(self, duration: float) -> None:
-        """Answer nothing for some seconds."""
+        """Answer nothing for `duration` seconds."""
         self._hangs_until = time.monotonic() + duration
 
     # Connections
@@ -128,7 +128,7 @@
         writer.close()
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Serve one message; return whether the connection goes on."""
+        """Serve one message; return whether the connection stays open."""
         kind, length = struct.unpack("!ci", await reader.readexactly(codec.HEADER_BYTES))
         body = await reader.readexactly(length - codec.LENGTH_BYTES)
         if kind != codec.QUERY:
@@ -152,7 +152,7 @@
             return codec.error(code, "not here") + codec.READY
         await self._wait_while_hanging()
         await asyncio.sleep(self._rng.expovariate(1.0 / WORK_MEAN_S))
-        if writes and not self.is_primary:  # it lost its role meanwhile, without effect
+        if writes and not self.is_primary:  # demoted meanwhile: rejected without effect
             self._record("away", rid=rid, m=self.number)
             return codec.error(READ_ONLY, "not here") + codec.READY
         index = self._write(rid, fields.get("k", "")) if writes else self._read_index()
--- a/sedgepitch/emulator/proxy_connection.py
+++ b/sedgepitch/emulator/proxy_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a proxy to an emulated server."""
+"""One connection from a proxy to an emulated server."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ProxyConnection(FrameReceiver):
-    """One connection of a proxy, whose name its hello tells."""
+    """One connection from a proxy; its hello carries the name of the proxy."""
 
     def __init__(self, server: EmulatedServer) -> None:
         """Accept a connection to this server."""
@@ -28,28 +28,28 @@
         self.proxy = ""
 
     def connectionMade(self) -> None:
-        """Refuse the connection where a fault or the bound says so."""
+        """Refuse the connection if a fault or the connection limit requires it."""
         server = self.server
         faults = server.faults
-        bound = server.timing.connections if faults.connections_max is None else faults.connections_max
-        if faults.refuses_connections or len(server.connections) >= bound:
+        limit = server.timing.connections if faults.connections_max is None else faults.connections_max
+        if faults.refuses_connections or len(server.connections) >= limit:
             self.transport.abortConnection()
             return
         self.transport.set_no_delay()
         server.connections.add(self)
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """The connection has ended, by either side."""
+        """Remove the connection, whichever side closed it."""
         self.server.connections.discard(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes; how long they waited is this process's own delay."""
+        """Receive bytes; record how long they waited to be read, which is delay of this process."""
         if self.transport.arrived:
             self.server.record.waited(time.monotonic() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
-        """Take one command; what cannot be read ends the connection."""
+        """Receive one command; a malformed one aborts the connection."""
         try:
             message = codec.parse(frame)
             command: Document = bson.decode(message.body)
@@ -61,12 +61,12 @@
         self.server.receive(self, message, command)
 
     def note_hello(self, command: Document) -> None:
-        """Keep the name that a proxy's hello tells."""
+        """Store the proxy name from a hello."""
         client = command.get("client") or {}
         name = str((client.get("application") or {}).get("name", ""))
         self.proxy = name or self.proxy
 
     def reply(self, message: Message, body: Document) -> None:
-        """Answer, if the connection is still open."""
+        """Send a reply, if the connection is still open."""
         if self.transport is not None and self in self.server.connections:
             self.transport.write(codec.build(bson.encode(body), 1, message.request_id))
--- a/sedgepitch/emulator/queries.py
+++ b/sedgepitch/emulator/queries.py
@@ -1,4 +1,4 @@
-"""Reading and writing the documents of an emulated server, with the optimes that go with each answer."""
+"""Reads and writes of an emulated server's documents, with the optimes that each answer carries."""
 
 from __future__ import annotations
 
@@ -15,48 +15,48 @@
 
 FIRST_CURSOR_ID = 1000
 BATCH_DOCUMENTS = 101
-DATABASE_BYTES = 4096  # as listDatabases tells it
+DATABASE_BYTES = 4096  # size of each database in listDatabases
 ERROR_CHARACTERS_MAX = 200
 SIGNATURE = {"hash": bytes(20), "keyId": bson.Int64(0)}
 
 
 class ServerCursors:
-    """The open cursors of one server: what is left of each."""
+    """The open cursors of one server, each with its remaining documents."""
 
     def __init__(self) -> None:
-        """Begin without open cursors."""
+        """Create it without open cursors."""
         self._open: dict[int, tuple[str, list[Document]]] = {}  # id -> (namespace, documents)
         self._last_id = FIRST_CURSOR_ID
 
     def open(self, namespace: str, documents: list[Document]) -> int:
-        """Open a cursor; returns its id."""
+        """Open a cursor and return its id."""
         self._last_id += 1
         self._open[self._last_id] = (namespace, documents)
         return self._last_id
 
     def take(self, cursor_id: int) -> tuple[str, list[Document]] | None:
-        """Close a cursor; returns its namespace and what is left, None where there is none of that id."""
+        """Close a cursor; return its namespace and remaining documents, None if the id is unknown."""
         return self._open.pop(cursor_id, None)
 
     def put_back(self, cursor_id: int, namespace: str, documents: list[Document]) -> None:
-        """Open a cursor again after a batch."""
+        """Reopen a cursor after a batch."""
         self._open[cursor_id] = (namespace, documents)
 
     def clear(self) -> None:
-        """Close all."""
+        """Close all cursors."""
         self._open.clear()
 
 
 class Queries:
-    """Runs commands on one server's documents."""
+    """Runs commands on the documents of one server."""
 
     def __init__(self, server: EmulatedServer) -> None:
-        """Run commands on this server's documents."""
+        """Run commands on the documents of this server."""
         self._server = server
         self.cursors = ServerCursors()
 
     def run(self, request: ReceivedCommand) -> Document:
-        """Run a read or a write; returns the body of its answer, also where it is an error."""
+        """Run a read or a write and return the body of its answer, which may be an error."""
         try:
             return self._write(request) if request.kind is CommandKind.WRITE else self._read(request)
         except CommandError as error:
@@ -66,11 +66,11 @@
             return self.error(9, "FailedToParse", text)
 
     def error(self, code: int, name: str, text: str) -> Document:
-        """Return the body of an error."""
+        """Return the body of an error answer."""
         return {"ok": 0.0, "errmsg": text, "code": code, "codeName": name, **self._optimes()}
 
     def _optimes(self) -> Document:
-        """Return what goes with each answer: optimes, and for the audit who answered from what."""
+        """Return the fields of every answer: optimes, and for the audit the server and its log position."""
         server = self._server
         optime = bson.Timestamp(*server.last_stamp())
         return {
@@ -88,10 +88,10 @@
             return self.error(11602, "InterruptedDueToReplStateChange", "lost its role meanwhile")
         key = _write_key(request.command)
         if key is not None:
-            known = group.repeat(key)
-            if known is not None:
+            previous = group.remembered_reply(key)
+            if previous is not None:
                 server.record("repeat", m=server.id, rid=request.request_id)
-                return known
+                return previous
         reply, effects = server.store.write(request.command)
         entry = group.append(server, effects, server.wall())
         server.record(
@@ -157,20 +157,20 @@
     def get_more(self, command: Document) -> Document:
         """Return the answer to a getMore."""
         cursor_id = int(command["getMore"])
-        left = self.cursors.take(cursor_id)
-        if left is None:
+        remaining = self.cursors.take(cursor_id)
+        if remaining is None:
             return self.error(43, "CursorNotFound", f"cursor id {cursor_id} not found")
-        namespace, documents = left
+        namespace, documents = remaining
         size = int(command.get("batchSize") or BATCH_DOCUMENTS)
         rest = documents[size:]
         if rest:
             self.cursors.put_back(cursor_id, namespace, rest)
-        shown = {
+        cursor = {
             "id": bson.Int64(cursor_id if rest else 0),
             "ns": namespace,
             "nextBatch": documents[:size],
         }
-        return {"cursor": shown, "ok": 1.0, **self._optimes()}
+        return {"cursor": cursor, "ok": 1.0, **self._optimes()}
 
     def kill_cursors(self, command: Document) -> Document:
         """Return the answer to a killCursors."""
@@ -180,7 +180,7 @@
 
 
 def _write_key(command: Document) -> WriteKey | None:
-    """Return the idempotency key of a retryable write, None for any other."""
+    """Return the idempotency key of a retryable write, None for other commands."""
     if "lsid" not in command or "txnNumber" not in command:
         return None
     return bytes(command["lsid"]["id"]).hex(), int(command["txnNumber"])
--- a/sedgepitch/emulator/query_language.py
+++ b/sedgepitch/emulator/query_language.py
@@ -1,4 +1,4 @@
-"""The query language of the emulated servers: the few operators that clients here need."""
+"""The query language of the emulated servers: the subset of operators that the test clients use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sedgepitch.errors import ClientError
 
-Value: TypeAlias = Any  # of BSON
+Value: TypeAlias = Any  # a BSON value
 Document = dict[str, Any]
 
 _COMPARE: dict[str, Callable[[Any, Any], bool]] = {
@@ -24,10 +24,10 @@
 
 
 class CommandError(ClientError):
-    """The command's own error: MongoDB's error code, its name, and one line."""
+    """A command failed: MongoDB error code, code name and message."""
 
     def __init__(self, code: int, name: str, text: str) -> None:
-        """State the error as the client is to get it."""
+        """Create the error with the fields that the client receives."""
         super().__init__(text)
         self.code = code
         self.name = name
@@ -35,7 +35,7 @@
 
 
 def value_at(document: Value, path: str) -> Value:
-    """Return the value at a dotted path, None where there is none."""
+    """Return the value at a dotted path, None if there is none."""
     for part in path.split("."):
         if not isinstance(document, dict):
             return None
@@ -44,7 +44,7 @@
 
 
 def matches(document: Document, query: Document) -> bool:
-    """Whether the document fits the query; raises CommandError for an operator that is not known."""
+    """Return whether the document matches the query. Raises CommandError for an unknown operator."""
     for key, wanted in query.items():
         if key == "$and":
             if not all(matches(document, part) for part in wanted):
@@ -54,12 +54,12 @@
                 return False
         elif key.startswith("$"):
             raise CommandError(2, "BadValue", f"unknown operator: {key}")
-        elif not _fits(value_at(document, key), wanted):
+        elif not _matches_value(value_at(document, key), wanted):
             return False
     return True
 
 
-def _fits(value: Value, wanted: Value) -> bool:
+def _matches_value(value: Value, wanted: Value) -> bool:
     if not isinstance(wanted, dict) or not any(k.startswith("$") for k in wanted):
         return bool(value == wanted or (isinstance(value, list) and wanted in value))
     for operator, operand in wanted.items():
@@ -78,7 +78,7 @@
 
 
 def updated(document: Document, update: Document) -> Document:
-    """Return the document after an update or replacement."""
+    """Return a copy of the document with an update or replacement applied."""
     if not any(key.startswith("$") for key in update):
         replacement = {key: value for key, value in update.items() if key != "_id"}
         return {"_id": document.get("_id"), **replacement}
@@ -107,7 +107,7 @@
 
 
 def sorted_by(documents: list[Document], order: Document) -> list[Document]:
-    """Return the documents in order; missing values come first."""
+    """Return the documents sorted; missing values come first."""
     for path, direction in reversed(list(order.items())):
 
         def key(document: Document, path: str = path) -> tuple[bool, str, Any]:
@@ -120,7 +120,7 @@
 
 
 def projected(document: Document, projection: Document) -> Document:
-    """Return the document with the fields that are asked for."""
+    """Return the document with the projected fields only."""
     if not projection:
         return document
     shown = {k for k, v in projection.items() if v and k != "_id"}
@@ -136,7 +136,7 @@
 
 
 def grouped(documents: list[Document], spec: Document) -> list[Document]:
-    """Return the rows of a $group stage, of which only $sum is served."""
+    """Return the rows of a $group stage; $sum is the only supported accumulator."""
     groups: dict[Any, Document] = {}
     path = spec.get("_id")
     for document in documents:
@@ -148,7 +148,7 @@
             operator, operand = next(iter(accumulator.items()))
             if operator != "$sum":
                 raise CommandError(15952, "Location15952", f"unknown group operator '{operator}'")
-            text = isinstance(operand, str) and operand.startswith("$")
-            value = value_at(document, operand[1:]) if text else operand
+            is_path = isinstance(operand, str) and operand.startswith("$")
+            value = value_at(document, operand[1:]) if is_path else operand
             row[name] = row.get(name, 0) + (value or 0)
     return list(groups.values())
--- a/sedgepitch/emulator/replica_group.py
+++ b/sedgepitch/emulator/replica_group.py
@@ -1,8 +1,8 @@
-"""One group of emulated servers: the log, who is primary, elections, and the keys of retryable writes.
+"""One group of emulated servers: log, primary, elections, and the keys of retryable writes.
 
 The log is one list that survives every failover: a write is acknowledged once a replica has received it, and
-what was not acknowledged may survive, too. Rolled back branches are therefore not emulated; they are covered
-by the property tests of decisions/positions.py.
+an unacknowledged write may survive, too. Rolled back branches are therefore not emulated; the property tests
+of decisions/positions.py cover them.
 """
 
 from __future__ import annotations
@@ -20,55 +20,57 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One entry of the log, and what it changes."""
+    """One entry of the log and its effects."""
 
-    stamp: tuple[int, int]  # seconds and increment, by the primary's own clock
+    stamp: tuple[int, int]  # seconds and increment, by the clock of the primary
     term: int
-    at: float  # when it was committed, in s of the clock
+    at: float  # commit time, in s of the clock
     effects: tuple[Effect, ...]
 
 
 class GroupServer(Protocol):
-    """A server as its group sees it: a place in the log, and whether it could lead."""
+    """The interface of a server to its group: its position in the log, and whether it is electable."""
 
     applied: int
     store: Store
     draining: bool
 
     def wall(self) -> float:
-        """Return Unix seconds by its own clock."""
+        """Return Unix time in seconds by the server's own clock."""
 
     def catch_up(self) -> None:
-        """Apply all that it has received."""
+        """Apply the whole log."""
 
     def electable(self) -> bool:
-        """Whether it could become primary now."""
+        """Return whether the server could become primary now."""
 
 
 Server = TypeVar("Server", bound=GroupServer)
 
 
 class EmulatedGroup(Generic[Server]):
-    """The log and the roles of one group. `later` makes a call after so many seconds."""
+    """The log and the roles of one group. `call_later` schedules a call after a delay in seconds."""
 
-    def __init__(self, number: int, now: Callable[[], float], later: Callable[..., Any], timing: Any) -> None:
-        """Make a group without servers and without a primary."""
+    def __init__(
+        self, number: int, now: Callable[[], float], call_later: Callable[..., Any], timing: Any
+    ) -> None:
+        """Create a group without servers and without a primary."""
         self.number = number
         self.now = now
-        self.later = later
+        self.call_later = call_later
         self.timing = timing
         self.servers: list[Server] = []
         self.log: list[Entry] = []
         self.term = 0
         self.primary: Server | None = None
-        self.keys: dict[WriteKey, tuple[float, dict[str, Any]]] = {}  # key -> (when answered, answer)
-        self.election = 0  # number of the present one; calls of earlier ones do nothing
+        self.keys: dict[WriteKey, tuple[float, dict[str, Any]]] = {}  # key -> (time of the answer, answer)
+        self.election = 0  # number of the current one; timers of earlier ones have no effect
         self.role_changed: Callable[[Server | None, int], None] = ignore
 
     # The log
 
     def append(self, server: Server, effects: list[Effect], wall: float) -> Entry:
-        """Commit one entry at the primary; stamps only grow, whatever its clock says."""
+        """Commit one entry at the primary; stamps increase strictly even if its clock goes back."""
         stamp = (int(wall), 1)
         if self.log and self.log[-1].stamp >= stamp:
             seconds, increment = self.log[-1].stamp
@@ -79,8 +81,8 @@
         server.store.apply(entry.effects)
         return entry
 
-    def repeat(self, key: WriteKey) -> dict[str, Any] | None:
-        """Return the answer that a write of this key got, while it is remembered."""
+    def remembered_reply(self, key: WriteKey) -> dict[str, Any] | None:
+        """Return the answer to an earlier write with this key, None after `key_window`."""
         known = self.keys.get(key)
         if known is None:
             return None
@@ -88,7 +90,7 @@
         return reply if self.now() - answered <= self.timing.key_window else None
 
     def remember(self, key: WriteKey, reply: dict[str, Any]) -> None:
-        """Remember a write's answer; old ones are dropped."""
+        """Store the answer to a write; above REMEMBERED_KEYS_MAX, expired answers are dropped."""
         self.keys[key] = (self.now(), reply)
         if len(self.keys) > REMEMBERED_KEYS_MAX:
             oldest = self.now() - self.timing.key_window
@@ -97,7 +99,7 @@
     # Roles
 
     def promote(self, server: Server) -> None:
-        """Make a server the primary: it applies all it has received, then opens its term with an entry."""
+        """Make a server the primary: it applies the whole log, then opens its term with an entry."""
         self.election += 1
         self.term += 1
         self.primary = server
@@ -106,14 +108,14 @@
         self.role_changed(server, self.term)
 
     def primary_unreachable(self, server: Server, after: float) -> None:
-        """Another server takes over, if the primary is still unreachable after so many seconds."""
+        """Start a failover if the primary is still unreachable after `after` seconds."""
         if self.primary is not server:
             return
         self.election += 1
-        self.later(after, self._depose, server, self.election)
+        self.call_later(after, self._depose, server, self.election)
 
     def primary_reachable(self, server: Server) -> None:
-        """The primary answers again before another one took its place."""
+        """Cancel the failover of a primary that is reachable again."""
         if self.primary is server:
             self.election += 1
 
@@ -121,7 +123,7 @@
         if self.election == election and self.primary is server:
             self.primary = None
             self.role_changed(None, self.term)
-            self.later(self.timing.election_takes, self._elect, election)
+            self.call_later(self.timing.election_takes, self._elect, election)
 
     def _elect(self, election: int) -> None:
         if self.election != election:
@@ -130,14 +132,14 @@
         if candidates:
             self.promote(_most_advanced(candidates))
         else:
-            self.later(self.timing.election_takes, self._elect, election)
+            self.call_later(self.timing.election_takes, self._elect, election)
 
     def hand_over(self, to: Server | None = None) -> None:
-        """Move the primary on purpose; writes are rejected meanwhile."""
+        """Move the primary role in a planned handover; writes are rejected until it is complete."""
         old, self.primary = self.primary, None
         self.election += 1
         self.role_changed(None, self.term)
-        self.later(self.timing.handover, self._take_over, old, to, self.election)
+        self.call_later(self.timing.handover, self._take_over, old, to, self.election)
 
     def _take_over(self, old: Server | None, to: Server | None, election: int) -> None:
         if self.election != election:
@@ -149,5 +151,5 @@
 
 
 def _most_advanced(servers: list[Server]) -> Server:
-    """Return the server that has applied most of the log."""
+    """Return the server that has applied the most log entries."""
     return max(servers, key=lambda server: server.applied)
--- a/sedgepitch/emulator/requests.py
+++ b/sedgepitch/emulator/requests.py
@@ -1,4 +1,4 @@
-"""One command as an emulated server received it."""
+"""A command received by an emulated server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CommandKind(Enum):
-    """Whether a command changes data; the values are the control socket's."""
+    """Whether a command changes data; the values are used on the control socket."""
 
     READ = "read"
     WRITE = "write"
@@ -26,22 +26,22 @@
 
 @dataclass(slots=True, eq=False)
 class ReceivedCommand:
-    """One command, and what was drawn for it when its bytes arrived."""
+    """One command, with the service time drawn for it on arrival."""
 
     connection: ProxyConnection
     message: Message
     command: Document
     name: str
     kind: CommandKind = CommandKind.READ
-    work: float = 0.0  # s of one core
-    request_id: str = ""  # the client's, from the command's comment
+    work: float = 0.0  # service time on one core, s
+    request_id: str = ""  # set by the client in the comment of the command
 
     @property
     def accesses_data(self) -> bool:
-        """Whether it reads or writes documents, and so takes a core's time."""
+        """Return whether it reads or writes documents and therefore needs a core."""
         return self.name in WRITES or self.name in READS
 
     def writes(self) -> bool:
-        """Whether it may change data."""
+        """Return whether it may change data."""
         stages = self.command.get("pipeline") or [] if self.name == "aggregate" else []
         return self.name in WRITES or any(s in stage for stage in stages for s in WRITING_STAGES)
--- a/sedgepitch/emulator/server.py
+++ b/sedgepitch/emulator/server.py
@@ -1,7 +1,8 @@
-"""One emulated server: a port, a place in its group's log, and its life cycle.
+"""One emulated server: its port, its position in the log of its group, and its life cycle.
 
-Service times pass as timers, so one process emulates a fleet. Faults are fields that the serving path looks
-at: a paused server answers nothing until it goes on, one that is cut off does not see some proxies' messages.
+Service times are emulated by timers, so one process can emulate a fleet. Faults are fields that the serving
+path checks: a paused server answers nothing until the pause ends, and a server that is cut off loses the
+messages of some proxies.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 NEVER = float("inf")
 CLOCK_SKEW_MAX_S = 0.05
-TIMER_MAX_S = 3600.0  # a longer pause is looked at again after that time
+TIMER_MAX_S = 3600.0  # longer pauses are re-checked after this time
 BACKLOG = 512
 DOCUMENT_BYTES_MAX = 16 << 20
 WIRE_VERSION_MAX = 21
 
 
 class EmulatedServer:
-    """One server of a group. `timing` is the `standins` part of the settings; times are in seconds."""
+    """One server of a group. `timing` is the `standins` section of the settings; times are in seconds."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         record: Recorder,
         seed: int,
     ) -> None:
-        """Make a server that belongs to the group; `listen` opens its port."""
+        """Create a server and add it to the group; `listen` opens its port."""
         self.reactor = reactor
         self.id = number
         self.zone = zone
@@ -61,13 +62,13 @@
         self.random = random.Random(f"{seed}/{number}")
         self.clock_skew = self.random.uniform(-CLOCK_SKEW_MAX_S, CLOCK_SKEW_MAX_S)
         self.store = Store()
-        self.applied = 0  # entries of the log
-        self.apply_free_at = 0.0  # when the thread that applies the log has time again
+        self.applied = 0  # number of log entries applied
+        self.apply_free_at = 0.0  # time at which the thread that applies the log is free
         self.connections: set[ProxyConnection] = set()
         self.port: Any = None
-        self.incarnation = 0  # timers of an earlier one do nothing
+        self.incarnation = 0  # timers of an earlier one have no effect
         self.started = -NEVER
-        self.fallen = False  # pushed over by overload: it stays down
+        self.permanently_down = False  # crashed by overload, never restarted
         self.draining = False
         self.faults = ActiveFaults()
         self.reply_faults: list[ReplyFault] = []
@@ -75,28 +76,28 @@
         self.execution = Execution(self)
         group.servers.append(self)
 
-    # Time and place in the log
+    # Time and log position
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return self.group.now()
 
     def wall(self) -> float:
-        """Return Unix seconds by its own clock."""
+        """Return Unix time in seconds by the server's own clock."""
         return time.time() + self.clock_skew
 
     def last_stamp(self) -> tuple[int, int]:
-        """Return the stamp of the last entry that it has applied."""
+        """Return the stamp of the last applied entry."""
         return self.group.log[self.applied - 1].stamp if self.applied else (0, 0)
 
     def catch_up(self) -> None:
-        """Apply everything at once, as a server does that takes over."""
+        """Apply the whole log at once, as a server does before it becomes primary."""
         for entry in self.group.log[self.applied :]:
             self.store.apply(entry.effects)
         self.applied = len(self.group.log)
 
     def advance(self) -> None:
-        """Apply what a replica has received and had the time for, with one thread."""
+        """Apply the log entries that a replica has received and had time to apply with one thread."""
         log = self.group.log
         now = self.now()
         if self.is_primary():
@@ -114,26 +115,26 @@
     # Life cycle
 
     def listen(self) -> None:
-        """Open its port."""
+        """Open the port."""
         factory = Factory.forProtocol(lambda: ProxyConnection(self))
         factory.noisy = False
         self.port = listen(self.reactor, self.address[1], factory, self.address[0], BACKLOG)
         self.address = (self.address[0], self.port.getHost().port)
 
     def alive(self) -> bool:
-        """Whether its process runs."""
+        """Return whether the server is running."""
         return self.port is not None
 
     def is_primary(self) -> bool:
-        """Whether it takes writes."""
+        """Return whether the server is the primary of its group."""
         return self.group.primary is self
 
     def electable(self) -> bool:
-        """Whether it could become primary now."""
-        return self.alive() and self.now() >= self.faults.paused_until and not self.fallen
+        """Return whether the server could become primary now."""
+        return self.alive() and self.now() >= self.faults.paused_until and not self.permanently_down
 
-    def warmth(self) -> float:
-        """Return the share of its capacity that it has: less for a while after a start."""
+    def capacity_share(self) -> float:
+        """Return the available share of the capacity, which is reduced while warming up after a start."""
         age = self.now() - self.started
         if age >= self.timing.warm_within:
             return 1.0
@@ -141,7 +142,7 @@
         return start + (1 - start) * age / self.timing.warm_within
 
     def crash(self) -> None:
-        """Die at once: connections are reset and work is lost; what it had applied is on its disk."""
+        """Crash: connections are reset and commands are lost; the applied log entries persist."""
         if self.port is None:
             return
         self.advance()
@@ -155,15 +156,15 @@
             connection.transport.abortConnection()
         self.group.primary_unreachable(self, self.timing.election_after)
 
-    def fall(self) -> None:
-        """Die of overload while cold, for good."""
+    def crash_permanently(self) -> None:
+        """Crash from overload while warming up, never to restart."""
         self.record("fell", m=self.id)
-        self.fallen = True
+        self.permanently_down = True
         self.crash()
 
     def restart(self) -> None:
-        """Start again: cold, and behind by what it missed."""
-        if self.port is not None or self.fallen:
+        """Restart with reduced capacity, lagging by the entries committed meanwhile."""
+        if self.port is not None or self.permanently_down:
             return
         self.started = self.now()
         self.apply_free_at = self.started
@@ -176,13 +177,13 @@
     # Faults
 
     def pause(self, until: float) -> None:
-        """Stand still until then: nothing is read, run, applied or answered."""
+        """Pause until a time: nothing is read, run, applied or answered."""
         self.advance()
         self.faults.paused_until = max(self.faults.paused_until, until)
         self.apply_free_at = max(self.apply_free_at, min(until, self.now() + TIMER_MAX_S))
 
     def defer_while_paused(self, call: Callable[..., object], *arguments: object) -> bool:
-        """Make a call after the present pause; returns False where there is none."""
+        """Schedule a call for the end of the current pause; return False if there is none."""
         pause = self.faults.paused_until - self.now()
         if pause <= 0:
             return False
@@ -190,7 +191,7 @@
         return True
 
     def apply_reply_fault(self, request: ReceivedCommand, body: Document) -> bool:
-        """Answer by the first fault that waits for this kind of command; returns False where none does."""
+        """Reply with the first fault for this kind of command; return False if there is none."""
         fault = next((fault for fault in self.reply_faults if fault.when == request.kind.value), None)
         if fault is None:
             return False
@@ -205,17 +206,17 @@
     # Commands
 
     def receive(self, connection: ProxyConnection, message: Message, command: Document) -> None:
-        """Take a command off a connection; a paused server executes it later."""
+        """Receive a command from a connection; a paused server executes it later."""
         request = ReceivedCommand(connection, message, command, next(iter(command), ""))
-        if self._sees(request):
+        if self._is_received(request):
             self._note_arrival(request)
             self._execute_unless_paused(request)
         elif request.accesses_data:
-            # Lost on its way, so that its content cannot be known.
+            # Lost in transit, so the content must not be recorded.
             self.record("unseen", m=self.id, d=connection.proxy)
 
-    def _sees(self, request: ReceivedCommand) -> bool:
-        """Whether a command arrives; a hello names its proxy first."""
+    def _is_received(self, request: ReceivedCommand) -> bool:
+        """Return whether a command arrives; a hello sets the proxy name before the check."""
         if request.name == "hello":
             request.connection.note_hello(request.command)
         return not self.faults.cuts_off(request.connection.proxy)
@@ -225,11 +226,11 @@
             self._execute(request)
 
     def _execute_late(self, request: ReceivedCommand, incarnation: int) -> None:
-        if incarnation == self.incarnation and self._sees(request):
+        if incarnation == self.incarnation and self._is_received(request):
             self._execute_unless_paused(request)
 
     def _note_arrival(self, request: ReceivedCommand) -> None:
-        """Record a command when its bytes arrive, however long it then waits to be read."""
+        """Record a command with its arrival time, however long it waits to be executed."""
         if not request.accesses_data:
             return
         writes = request.writes()
@@ -242,7 +243,7 @@
             "recv",
             m=self.id,
             g=self.group.number,
-            t=request.connection.frame_since or time.monotonic(),  # of its bytes, however late they are read
+            t=request.connection.frame_since or time.monotonic(),  # arrival of its bytes
             d=request.connection.proxy,
             rid=request.request_id,
             w=writes,
