--- a/sedgepitch/emulator/replica_group.py
+++ b/sedgepitch/emulator/replica_group.py
@@ -82,7 +82,7 @@
         return entry
 
     def remembered_reply(self, key: WriteKey) -> dict[str, Any] | None:
-        """Return the answer to an earlier write with this key, None after `key_window`."""
+        """Return the answer to an earlier write with this key, None if unknown or expired."""
         known = self.keys.get(key)
         if known is None:
             return None
--- a/tests/support/byzantine_peer.py
+++ b/tests/support/byzantine_peer.py
@@ -1,9 +1,10 @@
-"""A Byzantine peer with the right key.
+"""A Byzantine peer with the correct gossip key.
 
-Run as `python -m tests.support.byzantine_peer NAME KEY ZONE SAYS SEED [NAME=ROUTE ...]`.
+Run as `python -m tests.support.byzantine_peer NAME KEY ZONE CLAIM SEED [NAME=ROUTE ...]`.
 
-It joins the instances' gossip and publishes, over and over, that every zone but its own is lost, or that all
-are healthy (`well`), with a request rate beyond all others'. It prints `ready` once it listens.
+It joins the gossip of the proxy instances and publishes a false digest every PUBLISH_INTERVAL_S, with a
+request rate far above all others. With CLAIM `well` the digest reports all zones healthy, with any other that
+all zones but its own are lost. It prints `ready host:port` once it listens.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 
 
 def main() -> None:
-    """Join and publish false digests until killed."""
-    name, key, zone, says, seed, *routes = sys.argv[1:]
+    """Join the gossip and publish false digests until killed."""
+    name, key, zone, claim, seed, *routes = sys.argv[1:]
     reactor = install("uvloop")
     from sedgepitch.config.units import address
     from sedgepitch.core.clock import ReactorClock
@@ -34,19 +35,19 @@
     peers = PeerService(reactor, clock, settings, load_keys(key))
     host, port = peers.start()
 
-    def observation(of: str) -> ZoneObservation:
-        if of == zone or says == "well":
-            return ZoneObservation(of, 50, 50, 0, 0, 40, 3)
-        return ZoneObservation(of, 50, 0, 50, 0, 0, 3, 3)
+    def observation(other: str) -> ZoneObservation:
+        if other == zone or claim == "well":
+            return ZoneObservation(other, 50, 50, 0, 0, 40, 3)
+        return ZoneObservation(other, 50, 0, 50, 0, 0, 3, 3)
 
-    def status(of: str) -> ZoneStatus:
-        if of == zone or says == "well":
-            return ZoneStatus(of, int(ZoneState.NORMAL), 1000, 100)
-        return ZoneStatus(of, int(ZoneState.LEFT), 0, 100)
+    def status(other: str) -> ZoneStatus:
+        if other == zone or claim == "well":
+            return ZoneStatus(other, int(ZoneState.NORMAL), 1000, 100)
+        return ZoneStatus(other, int(ZoneState.LEFT), 0, 100)
 
     def publish() -> None:
-        rows = tuple(observation(of) for of in ZONES)
-        statuses = tuple(status(of) for of in ZONES)
+        rows = tuple(observation(other) for other in ZONES)
+        statuses = tuple(status(other) for other in ZONES)
         peers.publish("zones", encode(ZoneDigest(zone, 1e6, True, rows, statuses)))
         clock.call_later(PUBLISH_INTERVAL_S, publish)
 
--- a/tests/support/golden_admission.py
+++ b/tests/support/golden_admission.py
@@ -1,9 +1,9 @@
-"""Seeded plays of the admission controller and of each limit behind it, written down in canonical text.
+"""Seeded simulations of the admission controller and of each limit that it uses.
 
-Each play of one seed has a SHA-256 digest of all decisions. Numbers are written with `repr`, so two
-versions have the same digest only where every decision, every random draw and every float operation is the
-same. Reasons are numbered in the order in which they first appear: their wording is free. Times are virtual
-seconds.
+Each run of one seed gives a SHA-256 digest of all decisions as canonical text. Numbers are written with
+`repr`, so two versions have the same digest only if every decision, every random draw and every float
+operation is the same. Reasons are numbered in the order of first appearance, so their wording may change.
+Times are virtual seconds.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Digest:
-    """Text, a line a decision, hashed as it comes."""
+    """A running hash of text, with one line per decision."""
 
     def __init__(self) -> None:
         self.hash = hashlib.sha256()
@@ -46,12 +46,12 @@
         self.hash.update((" ".join([kind, *map(repr, values)]) + "\n").encode())
 
     def reason(self, text: str) -> int:
-        """Return the number of a reason."""
+        """Return the number of a reason, assigned on first appearance."""
         return self.reasons.setdefault(text, len(self.reasons))
 
 
 def draw_settings(rng: random.Random) -> AdmissionSettings:
-    """Draw settings, among them small bounds that are soon reached."""
+    """Draw settings; some have small limits that are soon reached."""
     return AdmissionSettings(
         tenant_weights={f"tenant-{n}": rng.choice((0.5, 2.0, 4.0)) for n in range(rng.randrange(4))},
         default_weight=rng.choice((1.0, 1.0, 2.0)),
@@ -67,7 +67,7 @@
 
 
 class ControllerPlay:
-    """Clients, endpoints and a process of its own load around one controller."""
+    """One controller with clients, endpoints and a proxy process under load of its own."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"golden admission {seed}")
@@ -77,24 +77,24 @@
         self.process_limit = ProcessConcurrencyLimit(0.02)
         self.agenda: list[tuple[float, int, Any]] = []
         self.sequence = self.next_request = 0
-        self.requests: dict[int, AdmissionRequest] = {}  # that are open
-        self.admitted: list[int] = []  # in order, not yet sent
+        self.requests: dict[int, AdmissionRequest] = {}  # pending, by id
+        self.admitted: list[int] = []  # ids in order of admission, not sent yet
         self.free_servers = self.rng.choice((2, 6, 20))
         self.service_s = self.rng.choice((0.002, 0.01, 0.04))
         capacity = self.free_servers / self.service_s
         self.rate_per_s = min(1500.0, capacity * self.rng.choice((0.5, 1.5, 3.0)))
         self.tenants = self.rng.choice((1, 3, 12, 60))
         self.keyed = self.rng.random() < 0.5
-        self.refuses_inside = self.rng.choice((0.0, 0.0, 0.1))
+        self.router_rejection_rate = self.rng.choice((0.0, 0.0, 0.1))
         self.pause_s = 0.0
 
     def at(self, delay_s: float, action: Any) -> None:
-        """Have `action` run after that many seconds."""
+        """Schedule `action` after `delay_s` seconds."""
         self.sequence += 1
         heappush(self.agenda, (self.now + delay_s, self.sequence, action))
 
     def play(self) -> None:
-        """Play to the end."""
+        """Run to the end."""
         self.at(0.0, self.arrive)
         self.at(TICK_S, self.tick)
         self.at(self.rng.uniform(0.5, 2.0), self.disturb)
@@ -104,13 +104,13 @@
         self.write_state()
 
     def arrive(self) -> None:
-        """Let a new client ask, and plan the next."""
+        """Submit a request of a new client and schedule the next."""
         self.at(self.rng.expovariate(self.rate_per_s), self.arrive)
         tenant = f"tenant-{min(self.rng.randrange(self.tenants), self.rng.randrange(self.tenants))}"
-        self.ask(tenant, self.rng.choice(CLASSES), f"mark-{self.next_request}", f"key-{self.next_request}")
+        self.submit(tenant, self.rng.choice(CLASSES), f"mark-{self.next_request}", f"key-{self.next_request}")
 
-    def ask(self, tenant: str, cls: tuple[str, float, float, bool], mark: str, key: str) -> None:
-        """Ask once."""
+    def submit(self, tenant: str, cls: tuple[str, float, float, bool], mark: str, key: str) -> None:
+        """Submit one admission request."""
         name, objective_s, weight, primary_only = cls
         self.next_request += 1
         request = AdmissionRequest(
@@ -127,12 +127,12 @@
             objective_s,
         )
         self.requests[request.id] = request
-        self.take(self.controller.arrive(request, self.now))
+        self.apply(self.controller.arrive(request, self.now))
         if self.rng.random() < 0.03:
             self.at(self.rng.uniform(0.0, 0.3), lambda: self.leave(request.id))
 
-    def take(self, decisions: list[Any]) -> None:
-        """Write decisions down and carry them out."""
+    def apply(self, decisions: list[Any]) -> None:
+        """Record decisions and carry them out."""
         for decision in decisions:
             request = self.requests[decision.id]
             if isinstance(decision, Admit):
@@ -142,74 +142,74 @@
             reason = self.digest.reason(decision.why)
             self.digest.line("reject", self.now, decision.id, decision.retry_after, reason)
             del self.requests[decision.id]
-            self.come_back(request, decision.retry_after)
+            self.retry_sometimes(request, decision.retry_after)
         self.at(0.0, self.dispatch)
 
-    def come_back(self, request: AdmissionRequest, retry_after_s: float) -> None:
-        """Some clients retry: at the time that they were told, too early, or too late."""
+    def retry_sometimes(self, request: AdmissionRequest, retry_after_s: float) -> None:
+        """Make some clients retry: at the reserved time, too early or too late."""
         draw = self.rng.random()
         cls = next(c for c in CLASSES if c[0] == request.class_name)
         token = request.reservation_token
         key = request.idempotency_key or f"key-{token}"
 
-        def again() -> None:
-            self.ask(request.tenant, cls, token, key)
+        def retry() -> None:
+            self.submit(request.tenant, cls, token, key)
 
         if retry_after_s > 0 and draw < 0.6:
-            self.at(retry_after_s + self.rng.choice((0.0, 0.01, 0.2, 0.6)), again)
+            self.at(retry_after_s + self.rng.choice((0.0, 0.01, 0.2, 0.6)), retry)
         elif draw < 0.7:
-            self.at(self.rng.uniform(0.0, 0.05), again)
+            self.at(self.rng.uniform(0.0, 0.05), retry)
 
     def dispatch(self) -> None:
-        """Give admitted requests to free servers, as the router would."""
+        """Assign admitted requests to free servers, as the router would."""
         while self.admitted and self.free_servers:
             number = self.admitted.pop(0)
             if number not in self.requests:
                 continue
-            if self.rng.random() < self.refuses_inside:
-                promise_s = self.controller.reserve(number, self.now)
-                self.digest.line("promise", self.now, number, promise_s)
+            if self.rng.random() < self.router_rejection_rate:
+                retry_after_s = self.controller.reserve(number, self.now)
+                self.digest.line("promise", self.now, number, retry_after_s)
                 request = self.requests.pop(number)
-                self.come_back(request, promise_s)
-                self.take(self.controller.ended(number, self.now, False, 0.0))
+                self.retry_sometimes(request, retry_after_s)
+                self.apply(self.controller.ended(number, self.now, False, 0.0))
                 continue
             self.free_servers -= 1
             took_s = self.service_s * self.rng.uniform(0.5, 2.0)
             self.at(took_s, lambda number=number: self.finish(number))
-            self.take(self.controller.sent(number, self.now))
-        self.take_seen()
+            self.apply(self.controller.sent(number, self.now))
+        self.apply_router_turn()
 
-    def take_seen(self) -> None:
-        """The router has been asked about all that was admitted."""
+    def apply_router_turn(self) -> None:
+        """Report that the router has decided on all admitted requests."""
         decisions = self.controller.router_decided(self.now)
         if decisions:
-            self.take(decisions)
+            self.apply(decisions)
 
     def finish(self, number: int) -> None:
-        """A server has answered; its bytes may have lain unread for a moment."""
+        """Complete a request; the answer may have waited to be read during a stall."""
         self.free_servers += 1
         if number in self.requests:
             del self.requests[number]
-            heard = self.now - self.pause_s * self.rng.random() if self.rng.random() < 0.5 else 0.0
-            self.take(self.controller.ended(number, self.now, self.rng.random() < 0.95, heard))
+            received = self.now - self.pause_s * self.rng.random() if self.rng.random() < 0.5 else 0.0
+            self.apply(self.controller.ended(number, self.now, self.rng.random() < 0.95, received))
         self.at(0.0, self.dispatch)
 
     def leave(self, number: int) -> None:
-        """A client closes its connection."""
+        """Close the client connection of a request."""
         if self.requests.pop(number, None) is not None:
             self.digest.line("left", self.now, number)
-            self.take(self.controller.ended(number, self.now, True))
+            self.apply(self.controller.ended(number, self.now, True))
 
     def tick(self) -> None:
-        """Look at what has been held, and at the process's own load."""
+        """Run the controller's timer and record the load of the process."""
         self.at(TICK_S, self.tick)
         self.process_limit.record(self.pause_s * self.rng.random(), self.controller.in_flight, self.now)
         self.controller.process_limit = self.process_limit.limit
-        self.take(self.controller.tick(self.now))
+        self.apply(self.controller.tick(self.now))
         self.write_state()
 
     def write_state(self) -> None:
-        """Write down what an operator is shown."""
+        """Record the state that operators see."""
         controller = self.controller
         self.digest.line(
             "counts",
@@ -218,14 +218,14 @@
             controller.most_active_tenant,
             controller.process_limit,
         )
-        shown = controller.state(self.now)
-        held, rooms, largest = shown.values()
+        state = controller.state(self.now)
+        totals, rooms, largest = state.values()
         self.digest.line(
-            "state", held, [list(r.values()) for r in rooms], [list(t.values()) for t in largest]
+            "state", totals, [list(r.values()) for r in rooms], [list(t.values()) for t in largest]
         )
 
     def disturb(self) -> None:
-        """Change the endpoints, the process's own load or the settings."""
+        """Change the endpoints, the load of the process or the settings."""
         rng = self.rng
         self.at(rng.uniform(0.2, 1.5), self.disturb)
         kind = rng.randrange(5)
@@ -234,7 +234,7 @@
         elif kind == 1:
             self.pause_s = rng.choice((0.0, 0.001, 0.05, 0.2))
         elif kind == 2:
-            self.refuses_inside = rng.choice((0.0, 0.3))
+            self.router_rejection_rate = rng.choice((0.0, 0.3))
         elif kind == 3:
             self.rate_per_s = min(1500.0, max(20.0, self.rate_per_s * rng.choice((0.3, 2.0))))
         else:
@@ -242,19 +242,19 @@
 
 
 def play_capacity_estimate(seed: int, digest: Digest) -> None:
-    """Answers of three classes whose time changes, and a number inside that follows the limit."""
+    """Latencies of three classes that shift over time, with requests in flight up to the limit."""
     rng = random.Random(f"golden capacity {seed}")
-    estimate, now, inside, base_s = CapacityEstimate(0.0), 0.0, 0, rng.choice((0.0005, 0.01, 0.1))
+    estimate, now, in_flight, base_s = CapacityEstimate(0.0), 0.0, 0, rng.choice((0.0005, 0.01, 0.1))
     for _ in range(2000):
         now += rng.choice((0.0, 0.001, 0.005, 0.02))
         if rng.random() < 0.002:
             base_s *= rng.choice((0.4, 2.5))
-        if inside < estimate.current_limit:
-            inside += 1
-            estimate.record_in_flight(inside, now)
+        if in_flight < estimate.current_limit:
+            in_flight += 1
+            estimate.record_in_flight(in_flight, now)
         elif rng.random() < 0.7:
-            inside -= 1
-            took_s = base_s * rng.uniform(0.8, 1.3) * (1.0 + inside / 10.0)
+            in_flight -= 1
+            took_s = base_s * rng.uniform(0.8, 1.3) * (1.0 + in_flight / 10.0)
             name = rng.choice(("read", "map", "upload"))
             estimate.record_latency(
                 name, {"read": 0.05, "map": 0.2, "upload": 0.0}[name], took_s, now - took_s
@@ -264,7 +264,7 @@
 
 
 def play_process_limits(seed: int, digest: Digest) -> None:
-    """Waits of the event loop, in calm and in bursts."""
+    """Event loop waits, with calm and with burst phases."""
     rng = random.Random(f"golden process {seed}")
     lag, limit, now, scale_s = EventLoopLag(), ProcessConcurrencyLimit(rng.choice((0.005, 0.02))), 50.0, 0.001
     for _ in range(800):
@@ -291,25 +291,25 @@
 
 
 def play_reservations(seed: int, digest: Digest) -> None:
-    """Times are told, kept, missed, and ended when the rate falls."""
+    """Reservations are made, redeemed, missed, and revoked when the rate falls."""
     rng = random.Random(f"golden reservations {seed}")
     schedule, now = ReservationSchedule(rng.choice((30, 1000)), rng.choice((1.0, 4.0)), seed), 20.0
     for _ in range(800):
         now += rng.choice((0.0, 0.001, 0.01, 0.1))
         kind, tenant = rng.randrange(10), f"tenant-{rng.randrange(4)}"
-        mark = f"{tenant} mark {rng.randrange(12)}"
+        token = f"{tenant} mark {rng.randrange(12)}"
         if kind == 0:
             schedule.update_rate(rng.uniform(0.2, 5.0), now)
         elif kind < 6:
             args = (rng.uniform(0.001, 0.05), rng.choice((0.2, 0.5, 1.0)), rng.uniform(0.0, 0.5), now)
-            digest.line("told", schedule.reserve(mark, tenant, *args))
+            digest.line("told", schedule.reserve(token, tenant, *args))
         else:
-            digest.line("kept", schedule.redeem(mark, now))
+            digest.line("kept", schedule.redeem(token, now))
         digest.line("reservations", len(schedule.reservations), schedule.revoked)
 
 
 def play_fair_queue(seed: int, digest: Digest) -> None:
-    """Requests are pushed, taken, dropped, shed and corrected in any order."""
+    """Requests are pushed, popped, removed, shed and corrected in random order."""
     rng = random.Random(f"golden queue {seed}")
     queue, waiting = FairQueue(rng.choice((4, 1000))), {}
     for number in range(800):
@@ -340,7 +340,7 @@
 
 
 def play_limits(seed: int) -> dict[str, str]:
-    """Play one seed against each limit by itself; returns a digest of each."""
+    """Run one seed against each limit separately; return a digest of each."""
     digests = {}
     parts = {
         "capacity": play_capacity_estimate,
--- a/tests/support/golden_discovery.py
+++ b/tests/support/golden_discovery.py
@@ -1,8 +1,9 @@
-"""Seeded event sequences for the discovery and connection decisions, and the text of what they decide.
+"""Seeded event sequences for the discovery and connection decisions, with a transcript of the decisions.
 
-The text uses words of its own, never identifiers of the code under test, so renaming leaves it unchanged.
-Floats are written by repr: two versions give the same text only where every decision and every float
-operation is the same. Times are virtual seconds.
+The transcript contains no identifiers of the code under test, so renames leave it unchanged. Floats are
+written by repr: two versions give the same transcript only if every decision and every float operation is the
+same. The names of the functions in PARTS are part of their seeds and must not change. Times are virtual
+seconds.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         self.kinds: set[str] = set()
 
     def add(self, kind: str, *values: object) -> None:
-        """Add one decision: its kind and its values, each by repr."""
+        """Add one decision: its kind, and the repr of each value."""
         self.kinds.add(kind)
         self.lines.append(" ".join([kind, *(repr(value) for value in values)]))
 
@@ -49,13 +50,13 @@
 
 
 def watch_streams(draw: random.Random, out: Transcript) -> None:
-    """Open, answer, lose and move watch streams in a random order, as their owner would."""
+    """Open, answer, lose and move watch streams in random order, as the watch client does."""
     streams: WatchStreams[int] = WatchStreams()
     now = draw.uniform(0.0, 1000.0)
     number = 0
     for _ in range(WATCH_STEPS):
-        held = streams.all()
-        key = draw.choice([*held, number + 1000]) if held else 0
+        open_keys = streams.all()
+        key = draw.choice([*open_keys, number + 1000]) if open_keys else 0
         step = draw.choice(("wait", "wait", "answered", "heartbeat", "heartbeat", "partial", "lost", "moved"))
         if step == "wait":
             now += draw.choice((0.01, 0.3, 1.1, 2.0, 3.3)) * draw.random()
@@ -105,16 +106,16 @@
 
 
 def list_versions(draw: random.Random, out: Transcript) -> None:
-    """Apply complete lists and changes, forward, repeated and lagging, and forget endpoints."""
+    """Apply complete lists and changes with newer, equal and older revisions, and forget endpoints."""
     versions = EndpointListVersions()
     names = [f"s-{draw.randrange(1 << 32):08x}" for _ in range(30)] + ["plumless", "buckeroo"]  # same CRC-32
     revision = draw.randrange(50)
     for _ in range(LIST_STEPS):
         revision = max(0, revision + draw.choice((1, 1, 1, 0, -4, 3)))
-        chosen = draw.sample(names, draw.randrange(9))
+        listed = draw.sample(names, draw.randrange(9))
         complete = draw.random() < 0.4
         cached = draw.random() < 0.1
-        update = versions.apply(ListVersion(revision, complete, _entries(draw, chosen)), cached)
+        update = versions.apply(ListVersion(revision, complete, _entries(draw, listed)), cached)
         if update is None:
             out.add("not-newer", revision)
         else:
@@ -135,7 +136,7 @@
 
 
 def client_connections(draw: random.Random, out: Transcript) -> None:
-    """Drive client connections through all states in a random order."""
+    """Move client connections through all states in random order."""
     table: ClientConnections[int] = ClientConnections(draw.choice((6, 12, 40)))
     now, number = draw.uniform(0.0, 100.0), 0
     keys: list[int] = []
@@ -168,7 +169,7 @@
 
 
 def descriptor_budget(draw: random.Random, out: Transcript) -> None:
-    """Take and give back descriptors for clients and endpoints."""
+    """Acquire and release descriptors for clients and endpoints."""
     budget = DescriptorBudget(draw.choice((0, 16, 40, 64, 256, 1024)))
     out.add("budget", budget.max_clients, budget.max_endpoints)
     for _ in range(BUDGET_STEPS):
@@ -185,7 +186,7 @@
 
 
 def shutdown_schedule(draw: random.Random, out: Transcript) -> None:
-    """Compute shutdown schedules and ask whether each is over at moments around its times."""
+    """Compute shutdown schedules and whether the process may exit around each of their times."""
     for _ in range(40):
         requested = draw.uniform(0.0, 1e5)
         schedule = ShutdownSchedule(requested, draw.choice((0.05, 0.5, 2.0, 3.0, 9.0, draw.random())))
@@ -234,7 +235,7 @@
 
 
 def stream_objects(draw: random.Random, out: Transcript) -> None:
-    """Cut a stream into pieces, split it into objects and read each; malformed ones included."""
+    """Cut a stream into pieces, split it into objects and parse each; some are malformed."""
     text = ""
     for revision in range(STREAM_OBJECTS):
         text += json.dumps(_wire_object(draw, revision), indent=draw.choice((None, 1))) + draw.choice(
@@ -275,7 +276,7 @@
 
 
 def play(seed: int) -> Transcript:
-    """Play all parts of one seed, each with random numbers of its own."""
+    """Run all parts of one seed, each with its own random generator."""
     out = Transcript()
     for part in PARTS:
         part(random.Random(f"{part.__name__}/{seed}"), out)
--- a/tests/support/golden_emulator.py
+++ b/tests/support/golden_emulator.py
@@ -1,4 +1,4 @@
-"""Emulated servers under seeded commands and faults, without sockets and on a fake clock.
+"""Emulated servers under seeded commands and faults, without sockets, on a fake clock.
 
 The digest covers all bytes that the servers and the control socket write, and the record for the audit.
 """
@@ -28,7 +28,7 @@
 START_S = 1000.0
 UNIX_S = 1_700_000_000.0  # Unix time at the clock's zero
 STEPS = 250
-OVERLOAD_FACTORS = (2.5, 0.2)  # with the second, servers that have just started are pushed over
+OVERLOAD_FACTORS = (2.5, 0.2)  # with 0.2, servers that are warming up crash from overload
 FAULTS = ("hang", "slow", "lag", "crash", "drain", "promote", "cut", "claim", "refuse", "table", "nosuch")
 REPLY_FAULTS = ("lose_reply", "cut_reply", "reset", "wrong_reply", "twice")
 TIMING = {
@@ -52,20 +52,20 @@
 
 
 class FakePort:
-    """A port that was opened; it keeps the factory of its connections."""
+    """A listening port without a socket; holds the factory of its connections."""
 
     def __init__(self, port: int, factory: Any) -> None:
         self.port, self.factory, self.host = port or 27201, factory, "127.0.0.1"
 
-    def getHost(self) -> FakePort:  # noqa: N802 - Twisted's name
+    def getHost(self) -> FakePort:  # noqa: N802 - name required by Twisted
         return self
 
-    def stopListening(self) -> None:  # noqa: N802 - Twisted's name
+    def stopListening(self) -> None:  # noqa: N802 - name required by Twisted
         pass
 
 
 class EmulatorPlay:
-    """One seed."""
+    """Runs one seed."""
 
     def __init__(self, seed: int, record: Path) -> None:
         self.random, self.seed, self.record = random.Random(seed), seed, record
@@ -77,7 +77,7 @@
         self.errors: list[str] = []
 
     def run(self) -> str:
-        """Play; returns the digest."""
+        """Run the seed and return the digest."""
         with (
             mock.patch.object(server_module, "listen", self._listen),
             mock.patch.object(fleet_module, "listen", self._listen),
--- a/tests/support/golden_engine.py
+++ b/tests/support/golden_engine.py
@@ -1,8 +1,8 @@
-"""A seeded play of the engine: clients, endpoints and an event loop that stands still, on a fake clock.
+"""A seeded simulation of the engine: clients, endpoints and an event loop that stalls, on a fake clock.
 
-All that the engine does is written down in canonical text: what it sends and takes back, each final answer,
-what it tells observers, its counters. Numbers are written with `repr`; the wording of reasons is free.
-Times are virtual seconds.
+The digest covers, as canonical text, all that the engine does: attempts sent and withdrawn, each final
+answer, calls of observers, and its counters. Numbers are written with `repr`; the wording of reasons is left
+out. Times are virtual seconds.
 """
 
 from __future__ import annotations
@@ -33,45 +33,45 @@
 
 
 class CallbackFailed(Exception):
-    """What a callback of the play raises now and then."""
+    """Raised by callbacks of the simulation at random."""
 
 
 class PlayedAttempt:
-    """One attempt at an endpoint; it may wait for its connection before it leaves."""
+    """One attempt at an endpoint, which may wait for a connection before it is sent."""
 
     def __init__(self, play: EnginePlay, number: int, on_end: Any, started: bool) -> None:
         self.play, self.number, self.on_end, self.has_started = play, number, on_end, started
         self.over = False
 
     def abandon(self) -> None:
-        """Nobody waits any more."""
+        """Ignore the outcome from now on."""
         self.over = True
         self.play.write("abandon", self.number)
 
     def started(self) -> bool:
-        """Whether it left."""
+        """Return whether it was sent."""
         return self.has_started
 
     def withdraw(self) -> bool:
-        """Take it back where it has not left."""
+        """Cancel it if it was not sent yet; return whether that succeeded."""
         self.play.write("withdraw", self.number, self.has_started)
         if not self.has_started:
             self.over = True
         return not self.has_started
 
     def begin(self) -> None:
-        """It leaves."""
+        """Mark it as sent."""
         self.has_started = True
 
     def end(self, outcome: AttemptOutcome) -> None:
-        """Tell its outcome once."""
+        """Report its outcome, once."""
         if not self.over:
             self.over = True
             self.on_end(outcome)
 
 
 class EnginePlay:
-    """Plays one seed; stands for the upstream side, the observers and the clients of one engine."""
+    """Runs one seed as the upstream side, the observers and the clients of one engine."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"golden engine {seed}")
@@ -102,20 +102,20 @@
         self.attempts = self.number = 0
         self.fault: dict[int, AttemptResult | None] = dict.fromkeys(ENDPOINTS, AttemptResult.OK)
         self.rate_per_s = self.rng.choice((20.0, 100.0, 300.0))
-        self.pauses = self.rng.random() < 0.5
-        self.raises = 0.01 if self.rng.random() < 0.5 else 0.0
+        self.stalls = self.rng.random() < 0.5
+        self.callback_error_rate = 0.01 if self.rng.random() < 0.5 else 0.0
 
     def write(self, kind: str, *values: object) -> None:
-        """Write one line with the present time."""
+        """Add one line with the current time to the digest."""
         self.digest.line(kind, self.clock.now(), *values)
 
     def play(self) -> None:
-        """Play to the end."""
+        """Run to the end."""
         self.change_list(complete=True)
         self.clock.call_later(0.01, self.arrive)
         self.clock.call_later(0.2, self.disturb)
         while self.clock.now() < START_S + LENGTH_S:
-            if self.pauses and self.rng.random() < 0.01:
+            if self.stalls and self.rng.random() < 0.01:
                 self.task.rightNow += self.rng.choice((0.02, 0.2, 0.5))
                 self.engine.record_wait(self.rng.choice((0.01, 0.2)), self.clock.now())
                 self.engine.before_reading()
@@ -129,7 +129,7 @@
     # Clients
 
     def arrive(self) -> None:
-        """Let one request arrive, and plan the next."""
+        """Submit one request and schedule the next."""
         rng = self.rng
         self.clock.call_later(rng.expovariate(self.rate_per_s), self.arrive)
         self.number += 1
@@ -163,18 +163,18 @@
             self.write("unread", self.engine.reject_unread(rng.uniform(0.0, 0.2), "tenant-1"))
 
     def disconnect(self, number: int) -> None:
-        """A client closes its connection, answered or not."""
+        """Close a client connection, answered or not."""
         self.write("disconnect", number, self.pending[number].open)
         self.engine.client_disconnected(self.pending[number])
 
     def answered(self, number: int, response: Any) -> None:
-        """Write down a final answer."""
-        self.write("answer", number, *self.shown(response))
-        if self.rng.random() < self.raises:
+        """Record a final answer."""
+        self.write("answer", number, *self.fields_of(response))
+        if self.rng.random() < self.callback_error_rate:
             raise CallbackFailed
 
-    def shown(self, response: Any) -> tuple[object, ...]:
-        """Return what an answer says, its reason left out."""
+    def fields_of(self, response: Any) -> tuple[object, ...]:
+        """Return the fields of an answer without its reason."""
         return (
             response.status.value,
             response.reply,
@@ -184,17 +184,17 @@
         )
 
     def observe(self, pending: Any, response: Any, elapsed_s: float) -> None:
-        """Write down what the log and the metrics are told."""
-        self.write("observe", pending.id, pending.attempted_endpoints, self.shown(response), elapsed_s)
-        if self.rng.random() < self.raises:
+        """Record the call that feeds the log and the metrics."""
+        self.write("observe", pending.id, pending.attempted_endpoints, self.fields_of(response), elapsed_s)
+        if self.rng.random() < self.callback_error_rate:
             raise CallbackFailed
 
     # The endpoints
 
     def send(self, endpoint: int, payload: Any, on_end: Any, by: float) -> PlayedAttempt:
-        """Take an attempt, and plan how it ends."""
+        """Accept an attempt and schedule its outcome."""
         rng = self.rng
-        if rng.random() < self.raises:
+        if rng.random() < self.callback_error_rate:
             raise CallbackFailed
         self.attempts += 1
         self.write("send", self.attempts, endpoint, payload, by)
@@ -211,7 +211,7 @@
         return attempt
 
     def finish(self, attempt: PlayedAttempt, endpoint: int, result: AttemptResult) -> None:
-        """An attempt ends."""
+        """End an attempt."""
         now = self.clock.now()
         arrived = self.rng.choice((0.0, now, now - 0.005))
         primary, position = endpoint == 1, now - (0.0 if endpoint == 1 else 0.05)
@@ -221,38 +221,38 @@
     def check_health(self, endpoint: int, on_end: Any) -> None:
         """Answer a health check."""
         self.write("probe", endpoint)
-        if self.rng.random() < self.raises:
+        if self.rng.random() < self.callback_error_rate:
             raise CallbackFailed
         result = AttemptResult.TIMEOUT if self.fault[endpoint] is None else AttemptResult.OK
         report = messages.LoadReport(self.clock.now() - 0.01, endpoint == 1)
         self.clock.call_later(0.01, on_end, AttemptOutcome(result, report=report))
 
     def close_idle(self, endpoint: int) -> None:
-        """Connections that are not in use are closed."""
+        """Record the request to close idle connections."""
         self.write("close idle", endpoint)
 
     def update_endpoints(self, entries: Any, complete: bool) -> None:
-        """Take the endpoint list."""
+        """Record an update of the endpoint list."""
         self.write("listed", len(entries), complete)
 
-    # An observer of attempts
+    # Observer of attempts
 
     def request_received(self) -> None:
-        """One request came in."""
+        """Record a received request."""
         self.write("observer arrived")
 
     def attempt_sent(self, endpoint: int) -> None:
-        """One attempt was sent."""
+        """Record a sent attempt."""
         self.write("observer sent", endpoint)
 
     def attempt_ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
-        """One attempt ended."""
+        """Record the end of an attempt."""
         self.write("observer ended", endpoint, result.value, latency_ratio)
 
     # Faults
 
     def disturb(self) -> None:
-        """Change an endpoint or the list, and plan the next change."""
+        """Change an endpoint or the list and schedule the next change."""
         rng = self.rng
         self.clock.call_later(rng.uniform(0.05, 0.4), self.disturb)
         kind = rng.randrange(4)
@@ -265,7 +265,7 @@
         self.write_counters()
 
     def change_list(self, complete: bool) -> None:
-        """Tell a list in which an endpoint may drain, start anew or be missing."""
+        """Send a list in which endpoints may be draining, restarted or missing."""
         rng = self.rng
         listed = []
         for endpoint in ENDPOINTS:
@@ -279,7 +279,7 @@
         self.engine.list_changed(messages.EndpointListUpdate(tuple(listed), complete=complete))
 
     def write_counters(self) -> None:
-        """Write down the engine's counters and what it holds."""
+        """Record the counters and the request table of the engine."""
         engine = self.engine
         table = engine.request_table
         self.write(
--- a/tests/support/golden_fleet.py
+++ b/tests/support/golden_fleet.py
@@ -1,7 +1,7 @@
-"""A seeded fleet played against the router through its line protocol, with the router's answers fed back.
+"""A seeded fleet simulation that drives the router through its line protocol and feeds its answers back.
 
-Settings, endpoints, clients, faults and list changes come from the seed alone. What the router prints decides
-what happens next, so two versions print the same bytes only where every decision, every random draw and every
+Settings, endpoints, clients, faults and list changes depend on the seed alone. The router's output determines
+what happens next, so two versions print the same bytes only if every decision, every random draw and every
 float operation is the same. Times are virtual seconds.
 """
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class EmulatedEndpoint:
-    """One endpoint of the fleet: what it is, and the fault that it has now."""
+    """One endpoint of the fleet, with its current fault."""
 
     number: int
     group: int
@@ -42,7 +42,7 @@
     in_flight: int = 0
 
     def entry(self) -> Wire:
-        """Return its entry of the endpoint list."""
+        """Return its entry in the endpoint list."""
         return {
             "member": self.number,
             "cluster": self.group,
@@ -56,18 +56,18 @@
 
 @dataclass
 class OpenRequest:
-    """One request that a proxy instance owes an answer."""
+    """One pending request at a proxy instance."""
 
     instance: str
     until_s: float
     writes: bool
     attempts: int = 0
-    out: set[int] = field(default_factory=set)
+    attempts_in_flight: set[int] = field(default_factory=set)
     done: bool = False
 
 
 def make_setup(rng: random.Random, zones: list[str], instances: int) -> Wire:
-    """Draw the settings of one deployment: classes of every freshness and idempotency, and its limits."""
+    """Draw the settings of one deployment: request classes of each freshness and idempotency, and limits."""
     kinds = ["mutate", "mutate", "strong", "causal", "lag_bound", "eventual"]
     classes, ages = [], []
     for index, kind in enumerate(kinds):
@@ -123,7 +123,7 @@
 
 
 class GoldenFleet:
-    """Plays one seed for `length_s` virtual seconds and keeps a digest of all that the router printed."""
+    """Runs one seed for `length_s` virtual seconds and digests the router's whole output."""
 
     def __init__(self, seed: int, length_s: float = 15.0) -> None:
         self.rng = random.Random(f"golden fleet {seed}")
@@ -165,12 +165,12 @@
     # The agenda
 
     def at(self, delay_s: float, action: Any) -> None:
-        """Have `action` run after that many seconds."""
+        """Schedule `action` after `delay_s` seconds."""
         self.sequence += 1
         heappush(self.agenda, (round(self.now + delay_s, ROUND_DIGITS), self.sequence, action))
 
     def play(self) -> str:
-        """Play to the end; returns the digest as hex."""
+        """Run to the end and return the digest as hex."""
         self.send_list("Persisted", self.instances, hello=True)
         self.flush()
         self.at(0.0, self.arrive)
@@ -183,7 +183,7 @@
         return self.digest.hexdigest()
 
     def flush(self) -> None:
-        """Send the batch that gathered, and carry out what the router answers."""
+        """Send the pending batch and carry out the router's commands."""
         if not self.pending:
             return
         self.batch_number += 1
@@ -195,10 +195,10 @@
         for command in json.loads(reply)["cmds"]:
             self.carry_out(command)
 
-    # What the clients and the platform do
+    # Clients and platform
 
     def arrive(self) -> None:
-        """Let one request arrive, and plan the next."""
+        """Submit one request and schedule the next."""
         rng = self.rng
         self.at(rng.expovariate(self.rate_per_s), self.arrive)
         index = rng.choice((0, 1, 2, 3, 3, 4, 4, 4, 5, 5))
@@ -219,20 +219,20 @@
             self.at(time_left_s * rng.random(), lambda: self.leave(number))
 
     def leave(self, number: int) -> None:
-        """The client closes its connection before it has an answer."""
+        """Close the client connection, unless the request is complete."""
         request = self.requests[number]
         if not request.done:
             request.done = True
             self.pending.append({"type": "left", "driver": request.instance, "job": number})
 
     def time_up(self, number: int) -> None:
-        """Every attempt that is still out times out with the client."""
+        """Time out all attempts in flight at the client's deadline."""
         request = self.requests[number]
-        for attempt in sorted(request.out):
+        for attempt in sorted(request.attempts_in_flight):
             self.finish(number, attempt, self.attempt_endpoint[number, attempt], "expired")
 
     def disturb(self) -> None:
-        """Change something about the fleet, and plan the next change."""
+        """Make one random change to the fleet and schedule the next."""
         rng = self.rng
         self.at(rng.uniform(0.2, 1.5), self.disturb)
         endpoint = rng.choice(self.endpoints)
@@ -254,19 +254,19 @@
         self.at(rng.uniform(0.0, 0.8), self.announce)
 
     def recover(self, endpoint: EmulatedEndpoint) -> None:
-        """A fault ends; a process that was dead starts anew."""
+        """End a fault; a dead endpoint restarts."""
         if endpoint.fault == "dead":
             endpoint.started_s = self.now
         endpoint.fault = ""
         self.announce()
 
     def restart(self, endpoint: EmulatedEndpoint) -> None:
-        """An endpoint that drained returns, started anew."""
+        """Restart an endpoint that was draining or down."""
         endpoint.state, endpoint.started_s = "U", self.now
         self.announce()
 
     def fail_over(self, group: int) -> None:
-        """Another endpoint of the group becomes the primary."""
+        """Make a random endpoint of the group the primary."""
         candidates = [e for e in self.endpoints if e.group == group and e.state == "U"]
         if candidates:
             chosen = self.rng.choice(candidates)
@@ -275,7 +275,7 @@
                     endpoint.primary = endpoint is chosen
 
     def weigh_zones(self) -> None:
-        """Give every instance a weight for each zone."""
+        """Send every instance a random weight for each zone."""
         shares = tuple((zone, self.rng.choice((0.0, 0.3, 1.0))) for zone in self.zones)
         self.flush()
         for name in self.instances:
@@ -286,7 +286,7 @@
                 self.carry_out(command)
 
     def announce(self) -> None:
-        """Discovery sends the list to the instances that watch it."""
+        """Send the endpoint list to the instances that watch it."""
         watching = [name for name in self.instances if self.subscribed[name]]
         if watching:
             self.send_list(self.rng.choice(("Partial", "Complete", "Complete")), watching)
@@ -296,7 +296,7 @@
             self.pending.append({"type": "sync", "driver": lost, "how": "Error"})
 
     def send_list(self, how: str, instances: list[str], hello: bool = False) -> None:
-        """Send the endpoint list, or some of it, to these instances."""
+        """Send the endpoint list, or a random part of it, to these instances."""
         entries = [e.entry() for e in self.endpoints if how == "Partial" or e.state != "D"]
         if how == "Partial":
             entries = self.rng.sample(entries, self.rng.randrange(1, len(entries) + 1))
@@ -308,10 +308,10 @@
                 self.pending.append(event)
             self.pending.append({"type": "sync", "driver": name, "how": how, "rosterId": 0, "rev": 1})
 
-    # What the router asks for
+    # Commands of the router
 
     def carry_out(self, command: Wire) -> None:
-        """Carry out one action of the router."""
+        """Carry out one command of the router."""
         kind = command["type"]
         self.actions[kind] = self.actions.get(kind, 0) + 1
         if kind == "attempt":
@@ -327,7 +327,7 @@
             self.at(self.rng.uniform(0.01, 0.2), lambda: self.subscribe(command["driver"]))
 
     def subscribe(self, name: str) -> None:
-        """Answer a subscription: one in four fails."""
+        """Answer a subscription; one in four fails."""
         if self.rng.random() < 0.25:
             self.pending.append({"type": "sync", "driver": name, "how": "Error"})
             return
@@ -335,13 +335,13 @@
         self.send_list("Complete", [name])
 
     def attempt(self, command: Wire) -> None:
-        """Send a request to its endpoint and plan how the attempt ends."""
+        """Start an attempt at an endpoint and schedule its outcome."""
         number = command["job"]
         request = self.requests[number]
         attempt, request.attempts = request.attempts, request.attempts + 1
         endpoint = next(e for e in self.endpoints if e.number == command["member"])
         self.attempt_endpoint[number, attempt] = endpoint
-        request.out.add(attempt)
+        request.attempts_in_flight.add(attempt)
         endpoint.in_flight += 1
         sent = self.now
         outcome, delay_s = self.outcome(endpoint, request)
@@ -349,7 +349,7 @@
             self.at(delay_s, lambda: self.finish(number, attempt, endpoint, outcome, sent))
 
     def outcome(self, endpoint: EmulatedEndpoint, request: OpenRequest) -> tuple[str, float]:
-        """Draw how an attempt ends and when; no outcome stands for an endpoint that never answers."""
+        """Draw the outcome of an attempt and its delay; "" if the endpoint never answers."""
         rng = self.rng
         delay_s = rng.uniform(0.002, 0.012) * (1.0 + endpoint.in_flight / (4.0 * endpoint.size))
         if endpoint.fault == "silent" or (endpoint.fault == "lossy" and rng.random() < 0.3):
@@ -371,11 +371,11 @@
     def finish(
         self, number: int, attempt: int, endpoint: EmulatedEndpoint, outcome: str, sent: float | None = None
     ) -> None:
-        """Report to the router how an attempt ended, once."""
+        """Report the outcome of an attempt to the router, once."""
         request = self.requests[number]
-        if attempt not in request.out:
+        if attempt not in request.attempts_in_flight:
             return
-        request.out.discard(attempt)
+        request.attempts_in_flight.discard(attempt)
         endpoint.in_flight -= 1
         served = outcome == "delivered"
         request.done = request.done or served
@@ -400,13 +400,13 @@
         self.pending.append(event)
 
     def report(self, endpoint: EmulatedEndpoint) -> Wire:
-        """Return the load report of an endpoint, a moment old."""
+        """Return a load report of an endpoint that is 1 ms old."""
         behind_s = 0.0 if endpoint.primary else endpoint.replication_lag_s
         position = round(self.now - 0.001 - behind_s - POSITIONS_COUNTED_FROM_S, ROUND_DIGITS)
         return {"x0": position, "x1": int(endpoint.primary), "queue": endpoint.in_flight}
 
     def check_health(self, command: Wire) -> None:
-        """Plan the answer of a health check."""
+        """Schedule the answer to a health check."""
         endpoint = next(e for e in self.endpoints if e.number == command["member"])
         event = {"type": "statusBack", "driver": command["driver"], "member": endpoint.number}
         if endpoint.fault == "dead":
--- a/tests/support/golden_gossip.py
+++ b/tests/support/golden_gossip.py
@@ -1,8 +1,8 @@
-"""A seeded gossip cluster in virtual time; every byte it would send goes into one digest.
+"""A seeded gossip cluster in virtual time; one digest covers every byte that its members send.
 
-Loss, duplication, delay, partitions, suspended, killed and restarted members and state entries come from the
-seed alone. What the members send decides what happens next, so two versions give the same digest only where
-every datagram, every stream frame, every membership decision and every random draw is the same.
+Loss, duplication, delay, partitions, suspended, killed and restarted members and state entries depend on the
+seed alone. The messages of the members determine what happens next, so two versions give the same digest only
+if every datagram, every stream frame, every membership decision and every random draw is the same.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class GoldenCluster:
-    """Plays one seed; `digest` is the SHA-256 of all that was sent and decided."""
+    """Runs one seed; `play` returns the SHA-256 of all messages and decisions."""
 
     def __init__(self, seed: int, length_s: float = 20.0) -> None:
         """Draw the size of the cluster and the network's conditions."""
@@ -50,7 +50,7 @@
         self.scheduled = 0
 
     def play(self) -> str:
-        """Let the cluster run and return the digest."""
+        """Run the cluster and return the digest."""
         for name in self.names:
             self.at(START_S + self.rng.uniform(0.0, 1.0), lambda name=name: self.start(name))
         self.plan_faults()
@@ -65,7 +65,7 @@
         return self.hash.hexdigest()
 
     def plan_faults(self) -> None:
-        """Draw what befalls the cluster, and when."""
+        """Draw the faults and published state entries, and schedule them."""
         for _ in range(self.rng.randrange(4, 10)):
             when = START_S + self.rng.uniform(1.0, self.length_s)
             name = self.rng.choice(self.names)
@@ -81,28 +81,28 @@
     # Faults
 
     def fault(self, kind: str, name: str, length_s: float) -> None:
-        """Begin one fault; it ends after its length."""
-        later = self.now + length_s
+        """Start one fault, which ends after `length_s`."""
+        end = self.now + length_s
         if kind == "partition":
             self.partition = set(self.rng.sample(self.names, len(self.names) // 2))
-            self.at(later, self.partition.clear)
+            self.at(end, self.partition.clear)
         elif name not in self.members or name in self.suspended:
             return
         elif kind == "suspend":
             self.suspended[name] = []
-            self.at(later, lambda: self.resume(name, keep=length_s > 4.0))
+            self.at(end, lambda: self.resume(name, keep=length_s > 4.0))
         elif kind == "kill":
             del self.members[name]
-            self.at(later, lambda: self.start(name))
+            self.at(end, lambda: self.start(name))
         elif kind == "leave":
             self.carry_out(name, self.members[name].leave())
             del self.members[name]
-            self.at(later, lambda: self.start(name))
+            self.at(end, lambda: self.start(name))
         else:
             self.members[name].anti_entropy.seeds.clear()
 
     def start(self, name: str) -> None:
-        """Start a member that knows nothing but its seeds."""
+        """Start a member with its seed addresses and no other state."""
         if name in self.members:
             return
         self.suspended.pop(name, None)
@@ -111,15 +111,15 @@
         seed = self.rng.getrandbits(32)
         self.members[name] = GossipNode(settings, name, self.address(name), seeds, seed)
         self.clock_offsets[name] = self.rng.uniform(-500.0, 500.0)
-        self.turn(name)
+        self.run_timer(name)
 
     def resume(self, name: str, keep: bool) -> None:
-        """Let a suspended member go on; what waited in its sockets is read or dropped."""
+        """Resume a suspended member; the datagrams queued for it are delivered or dropped."""
         waiting = self.suspended.pop(name, [])
         if keep and name in self.members:
             for sender, data in waiting:
                 self.deliver(sender, name, data)
-        self.turn(name)
+        self.run_timer(name)
 
     def publish(self, name: str, kind: str, body: bytes) -> None:
         """Publish a state entry."""
@@ -139,20 +139,20 @@
         return self.now + self.clock_offsets[name]
 
     def address(self, name: str) -> tuple[str, int]:
-        """Return where a member listens."""
+        """Return the listening address of a member."""
         return ("127.0.0.1", 10_000 + int(name[1:]))
 
-    def cut(self, sender: str, to: str) -> bool:
-        """Whether the partition separates two members."""
+    def separated(self, sender: str, to: str) -> bool:
+        """Return whether the partition separates two members."""
         return (sender in self.partition) != (to in self.partition)
 
-    def turn(self, name: str) -> None:
-        """Call a member's timer."""
+    def run_timer(self, name: str) -> None:
+        """Run the timer of a member."""
         if name in self.members and name not in self.suspended:
             self.carry_out(name, self.members[name].on_timer(self.clock(name)))
 
     def carry_out(self, name: str, actions: list[Action]) -> None:
-        """Record and carry out a member's actions, then arm its timer."""
+        """Record and carry out the actions of a member, then arm its timer."""
         member = self.members[name]
         for event in member.take_events():
             self.record("event", name, f"{EVENT_KINDS.index(event.kind)} {event.member}")
@@ -172,16 +172,16 @@
         if armed <= self.now or due < armed - 1e-9:
             due = max(due, self.now + 1e-4)
             self.armed[name] = due
-            self.at(due, lambda: self.turn(name))
+            self.at(due, lambda: self.run_timer(name))
 
     def encode(self, sender: str, to: str, body: wire.Body, max_bytes: int = wire.MAX_FRAME_BYTES) -> bytes:
-        """Return the bytes that go on the wire."""
+        """Return the authenticated wire encoding of a message."""
         self.counters[sender] = self.counters.get(sender, 0) + 1
         envelope = wire.Envelope(sender, to, SESSION_ID, self.counters[sender], body)
         return wire.encode(AUTHENTICATOR, envelope, max_bytes)
 
     def send(self, sender: str, to: str, data: bytes) -> None:
-        """Send a datagram over a network that loses, doubles and delays."""
+        """Send a datagram over a network with loss, duplication and delay."""
         self.record(
             f"datagram {wire.decode(AUTHENTICATOR, data).body.__struct_config__.tag}", sender, data.hex()
         )
@@ -191,8 +191,8 @@
                 self.at(when, lambda: self.deliver(sender, to, data))
 
     def deliver(self, sender: str, to: str, data: bytes) -> None:
-        """Hand a datagram to its receiver."""
-        if to not in self.members or self.cut(sender, to):
+        """Deliver a datagram to its receiver."""
+        if to not in self.members or self.separated(sender, to):
             return
         if to in self.suspended:
             self.suspended[to].append((sender, data))
@@ -200,16 +200,16 @@
         message = wire.decode(AUTHENTICATOR, data).body
         self.carry_out(to, self.members[to].on_datagram(self.clock(to), sender, message))
 
-    def reached(self, name: str, to: str) -> bool:
-        """Whether a stream between two members comes about."""
+    def reachable(self, name: str, to: str) -> bool:
+        """Return whether a stream between two members can be opened."""
         running = name in self.members and name not in self.suspended
-        return running and to in self.members and to not in self.suspended and not self.cut(name, to)
+        return running and to in self.members and to not in self.suspended and not self.separated(name, to)
 
     def stream_ping(self, name: str, to: str) -> None:
-        """Ask over a stream; the answer comes after a round trip."""
+        """Ping over a stream; the answer arrives after a round trip."""
 
         def answered() -> None:
-            if self.reached(name, to):
+            if self.reachable(name, to):
                 self.members[name].stream_ping_answered(self.clock(name), to)
                 self.carry_out(name, [])
 
@@ -217,7 +217,7 @@
 
     def sync(self, name: str, to: str) -> None:
         """Exchange complete states."""
-        if not self.reached(name, to):
+        if not self.reachable(name, to):
             return
         self.merge(to, name, self.encode(name, to, self.frame_of(name)))
         data = self.encode(to, name, self.frame_of(to))
@@ -228,7 +228,7 @@
         return wire.StreamState(b"echo", self.members[name].state(self.clock(name)))
 
     def merge(self, name: str, sender: str, data: bytes) -> None:
-        """Give a member another's state."""
+        """Merge the state of another member into a member."""
         self.record("frame", sender, data.hex())
         if name in self.members and name not in self.suspended:
             state = wire.decode(AUTHENTICATOR, data, wire.MAX_FRAME_BYTES).body.state
@@ -236,13 +236,13 @@
             self.carry_out(name, [])
 
     def record(self, kind: str, name: str, text: str) -> None:
-        """Take one line into the digest."""
+        """Add one line to the digest."""
         self.seen[kind] = self.seen.get(kind, 0) + 1
         self.hash.update(f"{self.now!r} {kind} {name} {text}\n".encode())
 
 
 def play_replay_protection(seed: int, steps: int = 2000) -> str:
-    """Play datagrams of several incarnations, in disorder and repeated; return the digest of the verdicts."""
+    """Check reordered and repeated datagrams of several incarnations; return the digest of the verdicts."""
     rng, digest, now = random.Random(seed), hashlib.sha256(), 0.0
     sessions = SenderSessions(seed, 4)
     challenges: dict[str, bytes] = {}
--- a/tests/support/golden_mongodb.py
+++ b/tests/support/golden_mongodb.py
@@ -1,4 +1,4 @@
-"""The MongoDB stack under seeded traffic: client side, engine, router and upstream side together."""
+"""The whole MongoDB stack under seeded traffic: client side, engine, router and upstream side."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.mongodb_harness import EXAMPLE
 
 ERROR_CODES = (10107, 10058, 13435, 13436, 189, 11602, 6, 7, 89, 91, 262, 9001, 11600, 133, 462, 11000, 43, 0)
-MOST_CLIENTS = 6
+MAX_CLIENTS = 6
 BAD_FRAMES = (
     codec.HEADER.pack(-1, 1, 0, codec.OP_MSG),
     codec.HEADER.pack(60_000_000, 1, 0, codec.OP_MSG),
@@ -50,7 +50,7 @@
 
 
 class MongodbPlay(Play):
-    """Three endpoints, of which one is primary, and clients of the MongoDB subset."""
+    """Three endpoints, one of them the primary, and clients of the MongoDB subset."""
 
     def start(self) -> None:
         settings = parse(EXAMPLE, "example")
@@ -70,7 +70,7 @@
             tenant_sources=("app_name", "address") if self.seed % 2 else (),
             client_sources=("session", "connection") if self.seed % 2 else (),
             process_id=bson.ObjectId("0123456789abcdef01234567"),
-            connections_max=MOST_CLIENTS,
+            connections_max=MAX_CLIENTS,
             log_event=lambda event, **fields: self.reports.append(str([*fields.values()])),
             count_input_error=self.reports.append,
         )
--- a/tests/support/golden_pool.py
+++ b/tests/support/golden_pool.py
@@ -1,7 +1,7 @@
-"""A seeded play of one connection pool: connections that open, fail and are lost, attempts in any state.
+"""A seeded simulation of one connection pool: connections open, fail and are lost during attempts.
 
-All that the pool does is written down in canonical text, and the wording of reasons too: clients see it.
-Times are virtual seconds.
+The digest covers, as canonical text, all that the pool does. The wording of reasons is included, since
+clients see it. Times are virtual seconds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class PlayedConnection:
-    """One connection that the pool asked for."""
+    """One connection requested by the pool."""
 
     def __init__(self, play: PoolPlay, number: int, ready: Any, failed: Any, lost: Any) -> None:
         self.play, self.number = play, number
@@ -32,33 +32,33 @@
         self.bytes_unsent = 0
 
     def give_up(self) -> None:
-        """The pool stops opening it."""
+        """Record that the pool cancelled the opening."""
         self.play.write("give up", self.number)
         self.state = "over"
 
     def start(self, payload: object, done: Any) -> None:
-        """Take a request."""
+        """Accept a request."""
         self.play.write("start", self.number, payload)
         self.done = done
 
     def close(self) -> None:
-        """The pool closes it; the loss is reported in a later step."""
+        """Record that the pool closed it; the loss is reported in a later step."""
         if self.play.closed is None:
             self.play.write("close", self.number)
         else:
             self.play.closed.append(self.number)
 
     def unsent(self) -> int:
-        """Return how many bytes wait."""
+        """Return the number of unsent bytes."""
         return self.bytes_unsent
 
     def usable(self) -> bool:
-        """Whether it may be used again."""
+        """Return whether it may be reused; every seventh may not."""
         return self.number % 7 != 0
 
 
 class PoolPlay:
-    """Plays one seed."""
+    """Runs one seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"golden pool {seed}")
@@ -66,17 +66,17 @@
         self.task = Clock()
         self.made: list[PlayedConnection] = []
         self.attempts: list[Any] = []
-        self.closed: list[int] | None = None  # filled instead of written, once it is a list
+        self.closed: list[int] | None = None  # a list: collects closed connections
         self.budget = DescriptorBudget(self.rng.choice((0, 64)))
         limits = PoolLimits(self.rng.choice((2, 5)), 0.25, 2.0, self.rng.choice((0.0, 1.0)))
         self.pool = ConnectionPool(FakeClock(self.task), self.connect, self.judge, limits, self.budget)
 
     def write(self, kind: str, *values: object) -> None:
-        """Write one line with the present time."""
+        """Add one line with the current time to the digest."""
         self.digest.line(kind, self.task.seconds(), *values)
 
     def connect(self, ready: Any, failed: Any, lost: Any) -> Any:
-        """Begin to open a connection."""
+        """Start to open a connection; return the function that cancels it."""
         connection = PlayedConnection(self, len(self.made), ready, failed, lost)
         self.made.append(connection)
         return connection.give_up
@@ -87,18 +87,18 @@
         return AttemptOutcome(AttemptResult.OK, reply)
 
     def play(self) -> str:
-        """Play to the end; returns the digest as hex."""
+        """Run to the end and return the digest as hex."""
         for step in range(STEPS):
             self.step(step, self.rng.randrange(20))
             self.write("pool", len(self.pool.connections), len(self.pool.idle), self.budget.endpoints)
         self.task.advance(5.0)
         self.closed = []
-        self.pool.close()  # in no stated order
+        self.pool.close()  # in an unspecified order
         self.write("closed", sorted(self.closed))
         return self.digest.hash.hexdigest()
 
     def step(self, step: int, kind: int) -> None:
-        """Let one thing happen."""
+        """Make one random event happen."""
         rng, pool = self.rng, self.pool
         if kind < 5:
             send_by = self.task.seconds() + rng.choice((-0.1, 0.05, 5.0, float("inf")))
@@ -107,7 +107,7 @@
             pool.send_with_timeout(step, lambda outcome: self.ended(step, outcome), 0.3)
         elif kind < 8 and self.attempts:
             attempt = rng.choice(self.attempts)
-            if not attempt.started() and not self.one_opening_at_most():
+            if not attempt.started() and not self.at_most_one_opening():
                 return
             if kind == 6:
                 attempt.abandon()
@@ -117,17 +117,17 @@
             self.connection_event(kind)
         elif kind == 17 and rng.random() < 0.2:
             pool.close_idle()
-        elif kind == 18 and step > STEPS - 60 and self.one_opening_at_most():
+        elif kind == 18 and step > STEPS - 60 and self.at_most_one_opening():
             pool.retire()
         else:
             self.task.advance(rng.choice((0.0, 0.01, 0.1, 0.3, 1.1)))
 
-    def one_opening_at_most(self) -> bool:
-        """Whether at most one connection is being opened: among several, the pool takes any."""
+    def at_most_one_opening(self) -> bool:
+        """Return whether at most one connection is opening; among several, the pool may pick any."""
         return sum(connection.state == "opening" for connection in self.made) <= 1
 
     def connection_event(self, kind: int) -> None:
-        """Let something happen to a connection: it opens, fails, answers, is lost or has a full socket."""
+        """Make a connection open, fail, answer, be lost or have a full socket."""
         live = [c for c in self.made if c.state != "over"]
         if not live:
             return
@@ -149,5 +149,5 @@
             connection.bytes_unsent = 10 * (kind % 2)
 
     def ended(self, payload: int, outcome: AttemptOutcome) -> None:
-        """Write down how an attempt ended."""
+        """Record the outcome of an attempt."""
         self.write("ended", payload, outcome.result.value, outcome.why, outcome.reply)
--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -1,4 +1,4 @@
-"""The PostgreSQL stack under seeded traffic: client side, engine, router and upstream side together."""
+"""The whole PostgreSQL stack under seeded traffic: client side, engine, router and upstream side."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 FLOOD_STATEMENTS = 900  # about 80 KB
 CLASSES = ("bounded", "any", "session", "fresh")
 ERROR_CODES = ("25006", "72000", "53300", "XX000", "08P01", "40001", "toolong")
-END_FROM_STEP = STEPS - 20
+SHUTDOWN_STEP = STEPS - 20
 MALFORMED = (
     b"\x00noise\xff" * 20,
     struct.pack("!ci", b"D", 2**31 - 1),
@@ -72,7 +72,7 @@
 
 
 class PostgresqlPlay(Play):
-    """Three endpoints, of which one writes, and clients of the platform's protocol."""
+    """Three endpoints, one of them the primary, and clients of the PostgreSQL subset."""
 
     def start(self) -> None:
         budget = DescriptorBudget(SOCKETS)
@@ -147,7 +147,7 @@
             return self.random.choice(BAD_GREETINGS)
         return codec.WELCOME + codec.parameter("server_role", "reader") + codec.READY
 
-    def _notes(self) -> bytes:
+    def _parameters(self) -> bytes:
         position = round((self.clock.now() + WALL - self.random.random() * 0.2) * 1000.0)
         usage = f"queue={self.random.randint(0, 30)},x0={position / 1000.0},x1={self.random.randint(0, 1)}"
         out = b""
@@ -167,15 +167,15 @@
         else:
             row = ROW
         if draw < 0.62:
-            return row + self._notes() + codec.READY
+            return row + self._parameters() + codec.READY
         if draw < 0.8:
-            return codec.error(self.random.choice(ERROR_CODES), "no") + self._notes() + codec.READY
+            return codec.error(self.random.choice(ERROR_CODES), "no") + self._parameters() + codec.READY
         if draw < 0.83:
             return codec.error("53300", "no", fatal=True)
         if draw < 0.88:
             return self.random.choice(MALFORMED)
         if draw < 0.91:
-            return row + self._notes() + codec.READY + self.random.choice((b"noise", codec.READY, row))
+            return row + self._parameters() + codec.READY + self.random.choice((b"noise", codec.READY, row))
         if draw < 0.95:
             wire.closing = self.random.choice((ConnectionResetError(), OSError("gone")))
             return row[: self.random.randint(0, len(row))]
@@ -194,7 +194,7 @@
             self.engine.list_changed(api.EndpointListUpdate(tuple(self.entries), complete=True))
         if draw > 0.97:
             self.listener.free_descriptor()
-        if step == END_FROM_STEP and self.seed % 2:
+        if step == SHUTDOWN_STEP and self.seed % 2:
             schedule = ShutdownSchedule(self.clock.now(), 1.0)
             self.listener.begin_shutdown(schedule)
         self.listener.close_idle_connections()
--- a/tests/support/golden_protocols.py
+++ b/tests/support/golden_protocols.py
@@ -1,8 +1,9 @@
 """Seeded traffic through both sides of a protocol, on string transports, a fake network and a fake clock.
 
-Clients send usual, pipelined, split and malformed bytes; emulated endpoints answer, fail, send garbage or
-close. The seed alone decides. What is written to each connection, how the connection ends and why a client's
-was closed goes into a digest, so that two versions of the code agree only where they agree byte by byte.
+Clients send regular, pipelined, split and malformed bytes; emulated endpoints answer, fail, send garbage or
+close. Everything depends on the seed alone. The digest covers the bytes written to each connection, how the
+connection ended and why a client connection was closed, so two versions of the code have the same digest only
+if they agree byte by byte.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 
 START_S = 1000.0
 STEPS = 160
-TAIL_STEPS = 40  # with nothing new from clients, until all deadlines are over
-LONGEST_CHUNK = 4096  # bytes
+TAIL_STEPS = 40  # without new client traffic, until all deadlines have passed
+MAX_SPLIT_BYTES = 4096  # longer chunks are not split
 RESET = 104  # errno.ECONNRESET on Linux
-LOCAL_TIME = re.compile(rb"\x09localTime\x00.{8}", re.DOTALL)  # a hello's wall time, which no seed decides
+LOCAL_TIME = re.compile(rb"\x09localTime\x00.{8}", re.DOTALL)  # wall time in a hello answer, not seeded
 CLOSES: tuple[Callable[[], Exception], ...] = (ConnectionDone, ConnectionLost, lambda: ReadFailed(RESET))
 
 
 class Wire(StringTransport):
-    """One connection's transport: keeps what is written, how it ends, and what is still to be delivered."""
+    """The transport of one connection: a journal of writes and closes, and the bytes not delivered yet."""
 
     def __init__(self, clock: FakeClock) -> None:
         super().__init__()
@@ -42,7 +43,7 @@
         self.inbox: list[bytes] = []
         self.arrived = 0.0
         self.unsent_bytes = 0
-        self.left = False  # the peer has ended the connection, behind what it sent
+        self.left = False  # the peer has closed the connection after its last bytes
         self.closing: Exception | None = None
         self.over = False
 
@@ -50,7 +51,7 @@
         super().write(data)
         self.journal.append(b"write " + LOCAL_TIME.sub(b"localTime", data))
 
-    def loseConnection(self) -> None:  # noqa: N802 - the transport interface's name
+    def loseConnection(self) -> None:  # noqa: N802 - name of the transport interface
         self.journal.append(b"lose")
         self.closing = self.closing or ConnectionDone()
         super().loseConnection()
@@ -81,28 +82,28 @@
         return moment - self.arrived
 
     def taken(self) -> bytes:
-        """Return what was written since the last call."""
+        """Return the bytes written since the last call."""
         data = self.value()
         self.clear()
         return data
 
 
 class FakeConnector:
-    """What `connect` returns; the play decides later how the opening ends."""
+    """The result of `connect`; whether the connection opens is drawn in a later step."""
 
     def __init__(self, address: tuple[str, int], factory: Any) -> None:
         self.address, self.factory = address, factory
-        self.given_up = False
+        self.cancelled = False
         self.wire: Wire | None = None
 
     def disconnect(self) -> None:
-        self.given_up = True
+        self.cancelled = True
         if self.wire is not None:
             self.wire.abortConnection()
 
 
 class Play:
-    """One seed of one protocol. Subclasses make the stack, the clients' bytes and the endpoints' answers."""
+    """Runs one seed of one protocol. Subclasses provide the stack, the client bytes and the answers."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -114,48 +115,48 @@
         self.clients: list[tuple[Any, Wire]] = []
         self.upstreams: list[tuple[Any, Wire]] = []
         self.reports: list[str] = []
-        self.mute: set[Wire] = set()
+        self.silent_clients: set[Wire] = set()
 
-    # What a protocol provides
+    # Provided by each protocol
 
     def make_client(self) -> Any:
-        """Return a new client connection's protocol."""
+        """Return the protocol object of a new client connection."""
         raise NotImplementedError
 
     def client_bytes(self) -> bytes:
-        """Return what a client sends next."""
+        """Return the next bytes of a client."""
         raise NotImplementedError
 
     def flood(self) -> list[bytes]:
-        """Return chunks of more than a client may send ahead."""
+        """Return chunks that exceed the amount a client may pipeline."""
         raise NotImplementedError
 
     def greeting_bytes(self) -> bytes:
-        """Return what a client sends first."""
+        """Return the first bytes of a client."""
         raise NotImplementedError
 
     def endpoint_bytes(self, wire: Wire, written: bytes) -> list[bytes]:
-        """Return an endpoint's answers to what was written to it; may close the wire."""
+        """Return an endpoint's answers to the bytes written to it; may close the wire."""
         raise NotImplementedError
 
     def change(self, step: int) -> None:
         """Change the endpoint list or the state of the proxy."""
 
     def summary(self) -> str:
-        """Return the counters at the end."""
+        """Return the final counters."""
         return ""
 
     # The network
 
     def connect(self, reactor: Any, host: str, port: int, factory: Any, timeout: float) -> FakeConnector:
-        """Take the place of `connecting.connect`."""
+        """Replace `connecting.connect`."""
         connector = FakeConnector((host, port), factory)
         self.opening.append(connector)
         return connector
 
     def _end_opening(self, connector: FakeConnector) -> None:
         draw = self.random.random()
-        if connector.given_up:
+        if connector.cancelled:
             return
         if draw < 0.1:
             connector.factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))
@@ -178,8 +179,8 @@
             protocol.connectionLost(Failure(wire.closing))
 
     def _pieces(self, data: bytes) -> list[bytes]:
-        """Cut bytes at random places, mostly not at all."""
-        if self.random.random() < 0.6 or len(data) > LONGEST_CHUNK:
+        """Split the bytes at random positions; mostly leave them whole."""
+        if self.random.random() < 0.6 or len(data) > MAX_SPLIT_BYTES:
             return [data]
         out = []
         while data:
@@ -188,10 +189,10 @@
             data = data[size:]
         return out
 
-    # The play
+    # The run
 
     def run(self) -> str:
-        """Play; returns the digest."""
+        """Run the seed and return the digest."""
         with mock.patch.object(connecting, "connect", self.connect):
             self.start()
             for step in range(STEPS):
@@ -202,14 +203,14 @@
         return self._digest()
 
     def start(self) -> None:
-        """Make the stack."""
+        """Create the stack."""
 
     def _step(self, step: int) -> None:
         draw = self.random.random
         if draw() < 0.12 and len(self.clients) < 24:
             self._new_client()
         for _, wire in self.clients:
-            if wire in self.mute:
+            if wire in self.silent_clients:
                 continue
             if draw() < 0.25:
                 wire.inbox += self._pieces(b"".join(self.client_bytes() for _ in range(self._burst())))
@@ -239,8 +240,8 @@
         self.clients.append((protocol, wire))
         protocol.makeConnection(wire)
         greeting = self.greeting_bytes()
-        if self.random.random() < 0.1:  # says half of something, and then nothing
-            self.mute.add(wire)
+        if self.random.random() < 0.1:  # sends part of a greeting, then nothing
+            self.silent_clients.add(wire)
             greeting = greeting[: self.random.randint(0, len(greeting))]
         if greeting:
             wire.inbox += self._pieces(greeting)
--- a/tests/support/golden_zones.py
+++ b/tests/support/golden_zones.py
@@ -1,8 +1,8 @@
-"""Seeded proxy instances that judge zones together in steps of virtual time; all goes into one digest.
+"""Seeded proxy instances that evaluate zones together in steps of virtual time, with one digest of all steps.
 
-Endpoints, requests, faults, lost digests, Byzantine instances and operator commands come from the seed alone.
-The weights that the instances decide on say where their next requests go, so two versions give the same
-digest only where each encoded byte, vote, verdict, state and float operation is the same.
+Endpoints, requests, faults, lost digests, Byzantine instances and operator commands depend on the seed alone.
+The zone weights that the instances decide on route their next requests, so two versions give the same digest
+only if each encoded byte, vote, verdict, state and float operation is the same.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 
 class GoldenZones:
-    """Plays one seed; `play` returns the SHA-256 of all that was told and decided."""
+    """Runs one seed; `play` returns the SHA-256 of all digests sent and decisions made."""
 
     def __init__(self, seed: int, length_s: float = 13.0) -> None:
-        """Draw zones, endpoints, instances, their request rates and which are Byzantine."""
+        """Draw zones, endpoints, and instances with their request rates; some instances are Byzantine."""
         self.rng = random.Random(seed)
         self.steps = round(length_s / STEP_S)
         self.hash = hashlib.sha256()
@@ -61,42 +61,42 @@
         self.now = START_S
 
     def play(self) -> str:
-        """Let the steps pass and return the digest."""
+        """Run all steps and return the digest."""
         for _ in range(self.rng.randrange(1, 5)):
             begin = self.rng.randrange(10, self.steps - 20)
             end = begin + self.rng.randrange(5, 100)
             self.faults.append((begin, end, self.rng.choice(FAULTS), self.rng.choice(self.zones)))
         for step in range(self.steps):
             self.now += STEP_S
-            told: dict[str, bytes] = {}
+            sent: dict[str, bytes] = {}
             for name in self.names:
                 self.traffic(step, name)
-                told[name] = self.tell(name)
-            self.past.append(told)
+                sent[name] = self.send_digest(name)
+            self.past.append(sent)
             self.command(step)
             for name in self.names:
-                self.judge(step, name)
+                self.evaluate(step, name)
         return self.hash.hexdigest()
 
     # Traffic
 
     def fault_of(self, step: int, name: str, zone: str) -> str:
-        """Return the fault that an instance meets at a zone now."""
+        """Return the fault that affects an instance's requests to a zone in this step."""
         for begin, end, fault, where in self.faults:
             if begin <= step < end and where == zone and not (fault == "cut off" and self.home[name] == zone):
                 return fault
         return ""
 
     def traffic(self, step: int, name: str) -> None:
-        """Send this step's requests where the zone weights let them go."""
+        """Send the requests of this step to the zones that the zone weights allow."""
         rng, observed = self.rng, self.observed[name]
-        held = self.controllers[name].zones
+        zones = self.controllers[name].zones
         arrived = int(self.rate[name] * STEP_S + rng.random())
         for _ in range(arrived):
             observed.request_received(self.now)
             endpoint = rng.choice(self.numbers)
             zone = self.endpoints[endpoint]
-            if zone in held and rng.random() >= held[zone].share:
+            if zone in zones and rng.random() >= zones[zone].share:
                 continue
             observed.attempt_sent(self.now, endpoint, zone)
             self.finish(name, endpoint, zone, self.fault_of(step, name, zone))
@@ -106,7 +106,7 @@
             observed.forget_zone(rng.choice(self.zones))
 
     def finish(self, name: str, endpoint: int, zone: str, fault: str) -> None:
-        """Let one attempt end."""
+        """Record the outcome of one attempt."""
         rng, observed, suspects = self.rng, self.observed[name], self.suspects[name]
         if fault in ("lost", "cut off") or (fault == "partly lost" and endpoint % 3 == 0):
             suspects[endpoint] = zone
@@ -122,27 +122,27 @@
             ratio += LATENCY_RATIO_SLOW * rng.random()
         observed.succeeded(self.now, endpoint, zone, ratio)
 
-    # What is told
+    # Digests and commands
 
     def digest(self, name: str) -> ZoneDigest:
-        """Return an instance's digest; a Byzantine one makes its rows up."""
-        rng, held = self.rng, self.controllers[name]
+        """Return the digest of an instance; a Byzantine one reports random rows."""
+        rng, controller = self.rng, self.controllers[name]
         if name in self.byzantine:
             rows = tuple(
                 ZoneObservation(zone, *(rng.randrange(40) for _ in range(9)), endpoints_up=rng.randrange(9))
                 for zone in self.zones
             )
-            stances = tuple(ZoneStatus(zone, 3, rng.randrange(1001), 5) for zone in self.zones)
-            return ZoneDigest(self.home[name], rng.choice((0.0, 1e6)), True, rows, stances)
-        in_part = [zone.name for zone in held.zones.values() if zone.share < 1.0]
+            statuses = tuple(ZoneStatus(zone, 3, rng.randrange(1001), 5) for zone in self.zones)
+            return ZoneDigest(self.home[name], rng.choice((0.0, 1e6)), True, rows, statuses)
+        in_part = [zone.name for zone in controller.zones.values() if zone.share < 1.0]
         up = dict.fromkeys(self.zones, self.endpoints_a_zone)
         rows = self.observed[name].rows(self.now, self.suspects[name], up, in_part)
         fit = rng.random() >= 0.01
         demand = round(self.observed[name].request_rate, 2)
-        return ZoneDigest(self.home[name], demand, fit, rows, held.statuses(self.now))
+        return ZoneDigest(self.home[name], demand, fit, rows, controller.statuses(self.now))
 
-    def tell(self, name: str) -> bytes:
-        """Return the encoded digest of this step, and record what it says."""
+    def send_digest(self, name: str) -> bytes:
+        """Record the digest of this step and return its encoding."""
         digest = self.digest(name)
         body = digests.encode(digest)
         self.record("digest", name, body.hex())
@@ -151,7 +151,7 @@
         return body
 
     def command(self, step: int) -> None:
-        """Give an operator command now and then; commands travel with a chance."""
+        """Issue operator commands at random and exchange them between instances."""
         rng = self.rng
         if rng.random() < 0.01:
             name, zone = rng.choice(self.names), rng.choice(self.zones)
@@ -164,22 +164,22 @@
                 new = self.commands[name].merge(operator_commands.decode(body))
                 self.record("commands", name, f"{new} {body.hex()}")
 
-    # What is decided
+    # Decisions
 
-    def judge(self, step: int, name: str) -> None:
-        """Let an instance judge its zones by what it has heard, and record what it decided."""
+    def evaluate(self, step: int, name: str) -> None:
+        """Evaluate the zones of an instance with the digests it has received, and record its decisions."""
         rng = self.rng
-        told = self.past[-DIGEST_DELAY_STEPS] if len(self.past) >= DIGEST_DELAY_STEPS else {}
-        heard = {}
-        for other, body in told.items():
+        sent = self.past[-DIGEST_DELAY_STEPS] if len(self.past) >= DIGEST_DELAY_STEPS else {}
+        received = {}
+        for other, body in sent.items():
             if other != name and rng.random() >= 0.02 and (digest := digests.decode(body)) is not None:
                 age = rng.choice((0.3, 0.3, 0.3, 11.0)) if step % 7 == 0 else 0.3
-                heard[other] = ReceivedDigest(age, digest)
+                received[other] = ReceivedDigest(age, digest)
         own = digests.decode(self.past[-1][name]) or self.digest(name)
         sizes = {zone: float(self.endpoints_a_zone) for zone in self.zones}
         late = rng.random() < 0.01
         leaves = self.commands[name].leave_commands()
-        view = ZoneView(self.now, own, heard, sizes, leaves, late, len(self.names))
+        view = ZoneView(self.now, own, received, sizes, leaves, late, len(self.names))
         zones = self.controllers[name]
         shares = zones.step(view)
         self.record("shares", name, repr(shares))
@@ -196,7 +196,7 @@
             self.record_evidence(name, view)
 
     def record_evidence(self, name: str, view: ZoneView) -> None:
-        """Record what the digests that an instance has heard amount to."""
+        """Record the evidence in the digests that an instance has received."""
         evidence = FleetEvidence(name, view)
         for zone in self.zones:
             verdict = int(evidence.verdict(zone))
@@ -211,13 +211,13 @@
             self.record("served", name, f"{peers} {(use.quorum_left, use.median_share)!r}")
 
     def record(self, kind: str, name: str, text: str) -> None:
-        """Take one line into the digest."""
+        """Add one line to the digest."""
         self.seen.add(kind)
         self.hash.update(f"{self.now!r} {kind} {name} {text}\n".encode())
 
 
 def play_bounds(seed: int) -> str:
-    """Encode and decode digests at and beyond their bounds; return the digest of the results."""
+    """Encode and decode zone digests at and beyond their limits; return a digest of the results."""
     rng, digest = random.Random(seed), hashlib.sha256()
     for _ in range(200):
         zones = [f"{number:02}" + "z" * rng.randrange(23) for number in range(rng.randrange(13))]
@@ -227,8 +227,8 @@
             )
             for zone in zones
         )
-        stances = tuple(ZoneStatus(zone, rng.randrange(5), rng.randrange(1002), 7) for zone in zones)
-        told = ZoneDigest("home", rng.uniform(0, 1e4), True, rows, stances)
-        digest.update(digests.encode(told))
-        digest.update(repr(digests.decode(msgspec.msgpack.encode(told)) is None).encode())
+        statuses = tuple(ZoneStatus(zone, rng.randrange(5), rng.randrange(1002), 7) for zone in zones)
+        sent = ZoneDigest("home", rng.uniform(0, 1e4), True, rows, statuses)
+        digest.update(digests.encode(sent))
+        digest.update(repr(digests.decode(msgspec.msgpack.encode(sent)) is None).encode())
     return digest.hexdigest()
--- a/tests/test_golden_emulator.py
+++ b/tests/test_golden_emulator.py
@@ -1,7 +1,7 @@
-"""Golden emulated servers: the same seed gives the same bytes and records as when the digests were recorded.
+"""Golden emulated servers: each seed gives the same bytes and records as when the digests were recorded.
 
-`python -m tests.test_golden_emulator` prints the digests of the present code, to record them anew where a
-change of behaviour is meant.
+`python -m tests.test_golden_emulator` prints the digests of the current code, to record them again after an
+intended change of behaviour.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_servers_write_what_was_recorded(seed, tmp_path):
+def test_emulated_servers_reproduce_recorded_digests(seed, tmp_path):
     assert EmulatorPlay(seed, tmp_path / "record").run() == json.loads(DIGESTS.read_text())[str(seed)]
 
 
-def play_all() -> dict[str, str]:
+def compute_digests() -> dict[str, str]:
     """Return the digests of all seeds."""
     with tempfile.TemporaryDirectory() as folder:
         return {str(seed): EmulatorPlay(seed, Path(folder) / str(seed)).run() for seed in SEEDS}
 
 
 if __name__ == "__main__":
-    print(json.dumps(play_all(), indent=1))
+    print(json.dumps(compute_digests(), indent=1))
