--- a/tests/support/golden_engine.py
+++ b/tests/support/golden_engine.py
@@ -36,7 +36,7 @@
     """Raised by callbacks of the simulation at random."""
 
 
-class PlayedAttempt:
+class SimulatedAttempt:
     """One attempt at an endpoint, which may wait for a connection before it is sent."""
 
     def __init__(self, play: EnginePlay, number: int, on_end: Any, started: bool) -> None:
@@ -191,7 +191,7 @@
 
     # The endpoints
 
-    def send(self, endpoint: int, payload: Any, on_end: Any, by: float) -> PlayedAttempt:
+    def send(self, endpoint: int, payload: Any, on_end: Any, by: float) -> SimulatedAttempt:
         """Accept an attempt and schedule its outcome."""
         rng = self.rng
         if rng.random() < self.callback_error_rate:
@@ -199,7 +199,7 @@
         self.attempts += 1
         self.write("send", self.attempts, endpoint, payload, by)
         connected = rng.random() < 0.8
-        attempt = PlayedAttempt(self, self.attempts, on_end, connected)
+        attempt = SimulatedAttempt(self, self.attempts, on_end, connected)
         if not connected:
             self.clock.call_later(0.03, attempt.begin)
         result = self.fault[endpoint]
@@ -210,7 +210,7 @@
             self.clock.call_later(delay_s, self.finish, attempt, endpoint, result)
         return attempt
 
-    def finish(self, attempt: PlayedAttempt, endpoint: int, result: AttemptResult) -> None:
+    def finish(self, attempt: SimulatedAttempt, endpoint: int, result: AttemptResult) -> None:
         """End an attempt."""
         now = self.clock.now()
         arrived = self.rng.choice((0.0, now, now - 0.005))
--- a/tests/support/golden_pool.py
+++ b/tests/support/golden_pool.py
@@ -21,7 +21,7 @@
 STEPS = 600
 
 
-class PlayedConnection:
+class SimulatedConnection:
     """One connection requested by the pool."""
 
     def __init__(self, play: PoolPlay, number: int, ready: Any, failed: Any, lost: Any) -> None:
@@ -64,7 +64,7 @@
         self.rng = random.Random(f"golden pool {seed}")
         self.digest = Digest()
         self.task = Clock()
-        self.made: list[PlayedConnection] = []
+        self.made: list[SimulatedConnection] = []
         self.attempts: list[Any] = []
         self.closed: list[int] | None = None  # a list: collects closed connections
         self.budget = DescriptorBudget(self.rng.choice((0, 64)))
@@ -77,7 +77,7 @@
 
     def connect(self, ready: Any, failed: Any, lost: Any) -> Any:
         """Start to open a connection; return the function that cancels it."""
-        connection = PlayedConnection(self, len(self.made), ready, failed, lost)
+        connection = SimulatedConnection(self, len(self.made), ready, failed, lost)
         self.made.append(connection)
         return connection.give_up
 
--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -1,4 +1,4 @@
-"""A MongoDB proxy without sockets: client connections on string transports, endpoints played by the test."""
+"""A MongoDB proxy without sockets: client connections on string transports, endpoints stubbed by the test."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass
 class SentAttempt:
-    """One attempt that an endpoint holds."""
+    """One attempt sent to a stubbed endpoint."""
 
     endpoint: int
     payload: Any
@@ -46,7 +46,7 @@
         return False
 
     def answer(self, reply: dict | None = None, **fields) -> None:
-        """Let the endpoint answer."""
+        """Complete the attempt with a reply of the endpoint."""
         body = bson.encode({"ok": 1.0, **(reply or {})})
         reply = EndpointReply(body, bsonwalk.find(body, b"cursor"))
         self.on_end(AttemptOutcome(fields.pop("result", api.AttemptResult.OK), reply, **fields))
@@ -54,7 +54,7 @@
 
 @dataclass
 class PlayedEndpoints:
-    """The upstream side, played by the test."""
+    """A stub of the upstream side; the test completes the attempts that it records."""
 
     sent: list[SentAttempt] = field(default_factory=list)
     pools: dict[int, Any] = field(default_factory=dict)
@@ -75,7 +75,7 @@
 
 
 class MongodbProxy:
-    """One engine with three endpoints (1 is the primary), and any number of clients."""
+    """One engine with three endpoints (endpoint 1 is the primary) and any number of clients."""
 
     def __init__(self, seed: int = 1) -> None:
         self.task = Clock()
@@ -99,7 +99,7 @@
         )
 
     def client(self) -> tuple[ClientConnection, StringTransport]:
-        """A client's connection."""
+        """Return a new client connection and its transport."""
         connection = ClientConnection(self.context, 1)
         transport = StringTransport()
         transport.set_no_delay = lambda: None
@@ -109,20 +109,20 @@
         return connection, transport
 
     def turn(self, seconds: float = 0.0, times: int = 4) -> None:
-        """Let a few turns of the reactor pass, the first after that many seconds."""
+        """Advance the clock by `seconds`, then run `times` reactor turns."""
         self.task.advance(seconds)
         for _ in range(times):
             self.task.advance(0.0)
 
 
 def command(number: int, flags: int = 0, **fields) -> bytes:
-    """A framed command."""
+    """Return a framed command."""
     fields.setdefault("$db", "sky")
     return codec.build(bson.encode(fields), number, 0, flags)
 
 
 def replies(transport: StringTransport) -> list[tuple[int, dict]]:
-    """What the client was sent: (response_to, document)."""
+    """Return the replies sent to the client, each as (response_to, document)."""
     data, out = transport.value(), []
     while data:
         length = int.from_bytes(data[:4], "little")
--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -1,4 +1,4 @@
-"""A PostgreSQL proxy without sockets: string transports, a fake clock, endpoints played by the test."""
+"""A PostgreSQL proxy without sockets: string transports, a fake clock, endpoints stubbed by the test."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.support.mongodb_harness import PlayedEndpoints
 from tests.support.router_harness import SETTINGS, entry
 
-WALL = 1_000_000.0  # s that Unix time is ahead of the tests' clock
+WALL = 1_000_000.0  # offset of Unix time from the test clock, s
 
 
 class Wire(StringTransport):
-    """A transport that notes how it ends."""
+    """A transport that records how it is closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -49,7 +49,7 @@
 
 
 def messages(data: bytes, bounds: Any = None) -> list[tuple[bytes, bytes]]:
-    """What a wire carries, cut into messages."""
+    """Split the bytes on a wire into messages."""
     reader, found = Reader(bounds or codec.FROM_ENDPOINT), []
     reader.feed(data)
     while (one := reader.next()) is not None:
@@ -58,19 +58,19 @@
 
 
 def errors(wire: StringTransport) -> list[dict[str, str]]:
-    """The errors that a client was sent."""
+    """Return the errors sent to a client."""
     return [codec.read_error(raw) for kind, raw in messages(wire.value()) if kind == b"E"]
 
 
 def read(number: int, name: str = "any", d: str = "500", **fields: Any) -> bytes:
-    """A client's read as a message."""
-    told = "".join(f",{k}={v}" for k, v in fields.items())
-    comment = f"id={number:x},c={name},d={d},cluster=1{told}"
+    """Return a client's read as a message; `d` is its deadline in ms."""
+    extra = "".join(f",{k}={v}" for k, v in fields.items())
+    comment = f"id={number:x},c={name},d={d},cluster=1{extra}"
     return codec.query(f"SELECT payload FROM entries WHERE ref = '7f3a' /* {comment} */".encode())
 
 
 def write(number: int, d: str = "500") -> bytes:
-    """A client's write as a message."""
+    """Return a client's write as a message; `d` is its deadline in ms."""
     return codec.query(
         b"INSERT INTO entries (ref, payload) VALUES ('7f3a', '\\x9f03') RETURNING payload "
         b"/* id=%x,c=write,d=%b,k=5c0f,cluster=1 */" % (number, d.encode())
@@ -81,7 +81,7 @@
 
 
 class PostgresqlProxy:
-    """One engine with three endpoints (1 is the primary), played by the test."""
+    """One engine with three stubbed endpoints (endpoint 1 is the primary)."""
 
     def __init__(self, settings: api.Settings = SETTINGS, sockets: int = 0) -> None:
         self.task = Clock()
@@ -96,7 +96,7 @@
         self.clients = 0
 
     def client(self, greet: bool = True) -> tuple[ClientConnection, Wire]:
-        """A client's connection, past its startup unless told otherwise."""
+        """Return a new client connection and its wire; with `greet`, after its startup message."""
         self.clients += 1
         connection, wire = ClientConnection(self.listener, self.clients), Wire()
         connection.makeConnection(wire)
@@ -106,18 +106,18 @@
         return connection, wire
 
     def turn(self, seconds: float = 0.0, times: int = 4) -> None:
-        """Let a few turns of the reactor pass, the first after that many seconds."""
+        """Advance the clock by `seconds`, then run `times` reactor turns."""
         self.task.advance(seconds)
         for _ in range(times):
             self.task.advance(0.0)
 
     def pass_by(self, seconds: float, step: float = 0.05) -> None:
-        """Let time pass in steps, as it does."""
+        """Advance the clock by `seconds` in steps of `step` seconds."""
         for _ in range(round(seconds / step)):
             self.turn(step, 1)
 
     def answer(self, index: int = -1, **fields: Any) -> None:
-        """Let an endpoint answer an attempt."""
+        """Complete an attempt with a reply of its endpoint."""
         result = fields.pop("result", api.AttemptResult.OK)
         reply = ROW if result is api.AttemptResult.OK else None
         self.endpoints.sent[index].on_end(AttemptOutcome(result, reply, **fields))
--- a/tests/support/syscall_faults.c
+++ b/tests/support/syscall_faults.c
@@ -1,12 +1,12 @@
 /*
- * A library for LD_PRELOAD that lets system calls of one process fail as Linux documents, for the tests.
+ * LD_PRELOAD library for tests: makes system calls of one process fail in the ways that Linux documents.
  *
- * The test shares a table with the process: the file named by SEDGEPITCH_SYSCALL_FAULTS, mapped by both. Each
- * rule names a call, a kind of descriptor, how many matching calls to spare first and how many to fault then.
- * A faulted call fails with the rule's errno without reaching the kernel; where the rule has a byte limit
- * instead, the call is made with a buffer cut to that many bytes.
+ * The test and the process share a rule table: both map the file named by SEDGEPITCH_SYSCALL_FAULTS. A rule
+ * has a call, a kind of descriptor, the number of matching calls that pass first, and the number to fault
+ * after them. A faulted call fails with the errno of the rule without reaching the kernel; if the rule has a
+ * byte limit instead, the call is made with its buffer cut to that many bytes.
  *
- * It acts below the interpreter and the event loop, whose calls go through the C library.
+ * The library works below the interpreter and the event loop, whose calls go through the C library.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,7 +23,7 @@
 #include <sys/uio.h>
 #include <unistd.h>
 
-/* The order and the sizes are the same in syscall_faults.py. */
+/* Keep order and sizes in step with syscall_faults.py. */
 enum call {
     CALL_ACCEPT,
     CALL_SOCKET,
@@ -49,8 +49,8 @@
     int32_t active;
     int32_t call;
     int32_t kind;
-    int32_t error;      /* errno, or 0 where byte_limit is meant */
-    int32_t byte_limit; /* for reads and writes */
+    int32_t error;      /* errno, or 0 if byte_limit is used */
+    int32_t byte_limit; /* for reads and writes, bytes */
     int32_t spare;      /* matching calls that pass first */
     int32_t remaining;  /* calls still to be faulted */
     int32_t hits;       /* calls faulted so far */
@@ -79,7 +79,7 @@
         kinds[descriptor] = kind;
 }
 
-/* The first rule that faults this call, or NULL. */
+/* Returns the first rule that faults this call, or NULL, and updates its counters. */
 static struct rule *fault(enum call call, int descriptor)
 {
     if (rules == NULL)
--- a/tests/support/syscall_faults.py
+++ b/tests/support/syscall_faults.py
@@ -1,8 +1,8 @@
-"""Failing system calls for one process under test: builds the preload library and writes its rule table.
+"""System call faults for one process under test: builds the preload library and writes its rule table.
 
-The library acts below the interpreter and below uvloop, whose own calls are made in C. A rule is armed and
-read through a file that the test and the process both map, so a test decides at any moment what fails next,
-and sees what was hit.
+The library intercepts calls below the interpreter and below uvloop, which makes its own calls in C. The test
+and the process both map the file with the rule table, so a test can arm a rule at any time and read how many
+calls it has faulted.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Call(IntEnum):
-    """The system calls that can be faulted; the order is that of the C source."""
+    """The system calls that can be faulted, in the order of the C source."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -43,7 +43,7 @@
 
 
 class Kind(IntEnum):
-    """Which descriptors a rule is for."""
+    """The kind of descriptor that a rule applies to, in the order of the C source."""
 
     ANY = 0
     LISTENER = 1
@@ -53,18 +53,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """What fails: `error` is an errno; with a `byte_limit` instead, reads and writes are cut to that."""
+    """One fault: calls fail with errno `error`, or reads and writes are cut to `byte_limit` bytes."""
 
     call: Call
     kind: Kind = Kind.ANY
     error: int = 0
     byte_limit: int = 0
-    spare: int = 0  # matching calls that pass before
-    times: int = 1  # calls that are faulted then
+    spare: int = 0  # matching calls that pass first
+    times: int = 1  # calls to fault after those
 
 
 class SystemCallFaults:
-    """The rule table of one process. `environment` goes into the process's environment."""
+    """The rule table of one process, which must run with the variables in `environment`."""
 
     def __init__(self, folder: Path) -> None:
         self.library = build(folder)
@@ -73,15 +73,15 @@
         with self._path.open("r+b") as file:
             self._table = mmap.mmap(file.fileno(), RULE.size * RULES)
         self._next = 0
-        self.replaced_hits = 0  # of rules whose place was taken
+        self.replaced_hits = 0  # hits of rules that were replaced
 
     @property
     def environment(self) -> dict[str, str]:
-        """What makes a process load the library and follow this table."""
+        """Return the variables that make a process load the library and use this table."""
         return {"LD_PRELOAD": str(self.library), VARIABLE: str(self._path)}
 
     def arm(self, rule: Rule) -> int:
-        """Put a rule in force, in place of the oldest where the table is full; returns its number."""
+        """Activate a rule and return its number; if the table is full, the oldest rule is replaced."""
         number = self._next % RULES
         self._next += 1
         self.disarm(number)
@@ -89,30 +89,30 @@
         packed = RULE.pack(0, rule.call, rule.kind, rule.error, rule.byte_limit, rule.spare, rule.times, 0)
         start = number * RULE.size
         self._table[start : start + RULE.size] = packed
-        self._table[start : start + 4] = struct.pack("@i", 1)  # active, once all else stands
+        self._table[start : start + 4] = struct.pack("@i", 1)  # activated after all other fields are written
         return number
 
     def disarm(self, number: int) -> None:
-        """Take a rule out of force; its hits stay."""
+        """Deactivate a rule; its hits are kept."""
         start = number * RULE.size
         self._table[start : start + 4] = struct.pack("@i", 0)
 
     def total_hits(self) -> int:
-        """Return how many calls all rules have faulted."""
+        """Return the number of calls faulted by all rules."""
         return self.replaced_hits + sum(self.hits(number) for number in range(RULES))
 
     def hits(self, number: int) -> int:
-        """Return how many calls a rule has faulted."""
+        """Return the number of calls faulted by a rule."""
         start = number * RULE.size + HITS_OFFSET
         (count,) = struct.unpack("@i", self._table[start : start + 4])
         return int(count)
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into a folder. Raises RuntimeError with one line where there is no compiler."""
+    """Compile the library into a folder. Raises RuntimeError if there is no C compiler."""
     compiler = shutil.which("gcc") or shutil.which("cc")
     if compiler is None:
-        raise RuntimeError("the tests with failing system calls need a C compiler (gcc)")
+        raise RuntimeError("the system call fault tests need a C compiler: neither gcc nor cc is on the PATH")
     library = folder / "syscall_faults.so"
     command = [compiler, "-O1", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True, capture_output=True)
--- a/tests/support/syscall_filter.py
+++ b/tests/support/syscall_filter.py
@@ -1,7 +1,8 @@
-"""Start the driver under a filter of system calls like the fleet bench's; run as a program by test_confined.
+"""Start a proxy instance under a system call filter like that of the fleet's test bench.
 
-Starting programs, fork, io_uring, sendfile answer ENOSYS and splice EINVAL; a socket that is neither IPv4
-nor a pair of this process's own answers EAFNOSUPPORT. The filter holds for this process and needs no rights.
+test_syscall_filter runs this module as a program. exec, fork, io_uring and sendfile fail with ENOSYS, splice
+with EINVAL, and socket() for any family except IPv4 with EAFNOSUPPORT; socketpair() stays allowed. The filter
+applies to this process and needs no privileges.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 NO_NEW_PRIVS, SET_SECCOMP, FILTER = 38, 22, 2
 ALLOW, DENY = 0x7FFF0000, 0x00050000
 LOAD, JUMP_EQUAL, JUMP_SET, RETURN = 0x20, 0x15, 0x45, 0x06
-NUMBER, MACHINE, FIRST, SECOND = 0, 4, 16, 24  # offsets of what the filter sees
+NUMBER, MACHINE, FIRST, SECOND = 0, 4, 16, 24  # offsets in struct seccomp_data
 CLONE_THREAD = 0x00010000
 CALLS = {
     "x86_64": {
@@ -47,17 +48,17 @@
 
 
 def supported() -> bool:
-    """Whether the filter is written for this machine."""
+    """Return whether the filter supports this machine."""
     return sys.platform == "linux" and platform.machine() in CALLS
 
 
 def confine() -> None:
-    """Set the filter on this process. Raises OSError where the kernel takes none."""
+    """Install the filter on this process. Raises OSError if the kernel refuses it."""
     table = CALLS[platform.machine()]
-    code: list[tuple[int, int, int, int]] = []
+    bpf: list[tuple[int, int, int, int]] = []
 
     def step(op: int, value: int, yes: int = 0, no: int = 0) -> None:
-        code.append((op, yes, no, value))
+        bpf.append((op, yes, no, value))
 
     step(LOAD, MACHINE)
     step(JUMP_EQUAL, table["machine"], 1, 0)
@@ -79,13 +80,13 @@
     step(JUMP_EQUAL, 2, 1, 0)  # AF_INET
     step(RETURN, DENY | errno.EAFNOSUPPORT)
     step(RETURN, ALLOW)
-    raw = b"".join(struct.pack("HBBI", *one) for one in code)
-    held = ctypes.create_string_buffer(raw)
-    program = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(code), ctypes.addressof(held)))
+    raw = b"".join(struct.pack("HBBI", *one) for one in bpf)
+    buffer = ctypes.create_string_buffer(raw)
+    program = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(bpf), ctypes.addressof(buffer)))
     libc = ctypes.CDLL(None, use_errno=True)
     for call in ((NO_NEW_PRIVS, 1, 0, 0, 0), (SET_SECCOMP, FILTER, ctypes.addressof(program), 0, 0)):
         if libc.prctl(*(ctypes.c_ulong(x) for x in call)):
-            raise OSError(ctypes.get_errno(), "no filter of system calls is to be had")
+            raise OSError(ctypes.get_errno(), "cannot install the system call filter")
 
 
 if __name__ == "__main__":
--- a/tests/support/transport_case.py
+++ b/tests/support/transport_case.py
@@ -1,6 +1,6 @@
-"""One case of the transports on its own reactor, since a process has one.
+"""One test case of the transports, in a process of its own, since a process has only one reactor.
 
-`python -m tests.support.transport_case REACTOR CASE` prints what was observed as JSON.
+`python -m tests.support.transport_case REACTOR CASE` prints the observations as JSON.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 from sedgepitch.cli.reactors import install
 
-TIMEOUT_S = 20.0  # nothing here waits so long unless it fails
+TIMEOUT_S = 20.0  # reached only if a case fails
 POLL_INTERVAL_S = 0.02
-RESET = struct.pack("ii", 1, 0)
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with time-out 0: close() sends a reset
 PATTERN = bytes(range(256))
-PATTERN_REPEATS = 1 << 15  # more than the socket takes
+PATTERN_REPEATS = 1 << 15  # 8 MiB, more than the socket buffers hold
 BACKLOG = 50
 WAITING_CLIENTS = 40
 
 
 @dataclass
 class Observed:
-    """What the server's side saw."""
+    """Observations on the server side."""
 
     lost: int = 0
     data: int = 0  # bytes received
     paused: int = 0
     resumed: int = 0
-    raised: str = ""  # what a write after the loss raised
-    waited: float = 0.0  # s between arrival and read
+    raised: str = ""  # exception of a write after the loss
+    waited: float = 0.0  # s between arrival and read of the last data
     answered_before_the_turn_ended: bool = False
     accepted: int = 0
-    whole: bool | None = None  # whether a reader that stopped got every byte
+    whole: bool | None = None  # whether a paused reader received every byte
 
 
 class TransportCase:
-    """A listener, one client connection, and the cases as methods named after them."""
+    """A listener, one client connection, and one method per case."""
 
     def __init__(self, reactor: Any, name: str) -> None:
         from twisted.internet.protocol import Factory
@@ -60,7 +60,7 @@
         self.client = socket.create_connection(self.address, timeout=TIMEOUT_S)
 
     def run(self) -> Observed:
-        """Run the case to its end; return what was observed."""
+        """Run the case to its end and return the observations."""
         self.when(lambda: self.connections, getattr(self, self.name))
         self.reactor.callLater(TIMEOUT_S * 2, self.reactor.stop)
         self.reactor.run()
@@ -69,20 +69,20 @@
     def when(
         self, condition: Callable[[], object], then: Callable[[], object], left_s: float = TIMEOUT_S
     ) -> None:
-        """Call `then` once the condition holds, or when the time is up."""
+        """Call `then` once the condition holds or the time is over."""
         if condition() or left_s <= 0:
             then()
         else:
             self.reactor.callLater(POLL_INTERVAL_S, self.when, condition, then, left_s - POLL_INTERVAL_S)
 
     def finish(self) -> None:
-        """Stop the reactor a little later."""
+        """Stop the reactor after 0.1 s."""
         self.reactor.callLater(0.1, self.reactor.stop)
 
-    # The server's side
+    # Server side
 
     def received(self, connection: Any, data: bytes) -> None:
-        """Record data, and answer where the case asks for it."""
+        """Record received data, and answer if the case requires it."""
         self.observed.data += len(data)
         self.observed.waited = time.monotonic() - connection.transport.arrived
         if self.name == "answer_leaves_at_once":
@@ -94,13 +94,13 @@
     # The cases
 
     def reset(self) -> None:
-        """The client resets its connection, in this very turn."""
+        """The client resets its connection within this reactor turn."""
         self.client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.client.close()
         self.when(lambda: self.observed.lost, self.write_after_loss)
 
     def reset_behind_data(self) -> None:
-        """The same behind a request: both are there when the server reads."""
+        """The client sends a request and then resets: both have arrived when the server reads."""
         self.client.sendall(b"request")
         self.reset()
 
@@ -113,19 +113,19 @@
         self.finish()
 
     def half_close(self) -> None:
-        """The client ends its sending."""
+        """The client sends a request and shuts down its sending side."""
         self.client.sendall(b"request")
         self.client.shutdown(socket.SHUT_WR)
         self.when(lambda: self.observed.lost, self.finish)
 
     def arrival(self) -> None:
-        """The process stands still while the bytes are here."""
+        """The process is blocked for 0.3 s after the bytes have arrived."""
         self.client.sendall(b"request")
         time.sleep(0.3)
         self.when(lambda: self.observed.data, self.finish)
 
     def answer_leaves_at_once(self) -> None:
-        """The client waits for the answer in a thread, the server for the client in its turn."""
+        """The client waits for the answer in a thread; the server blocks its turn until the client has it."""
 
         def ask() -> None:
             self.client.sendall(b"request")
@@ -136,7 +136,7 @@
         self.when(lambda: self.observed.data, self.finish)
 
     def accept_all(self) -> None:
-        """Clients connect and the port accepts all and closes, in this very turn."""
+        """Clients connect, and the port accepts all of them and closes, within this reactor turn."""
         before = len(self.connections)
         waiting = [socket.create_connection(self.address) for _ in range(WAITING_CLIENTS)]
         self.port.accepts_per_turn = 16
@@ -148,15 +148,15 @@
         self.finish()
 
     def stopped_reader(self) -> None:
-        """The client reads only once the server has more than the socket takes."""
+        """The client starts to read only after the socket of the server is full."""
 
         def read() -> None:
             self.client.sendall(b"request")
             self.writing_paused.wait(TIMEOUT_S)
-            got = bytearray()
-            while len(got) < len(PATTERN) * PATTERN_REPEATS:
-                got += self.client.recv(1 << 20)
-            self.observed.whole = bytes(got) == PATTERN * PATTERN_REPEATS
+            received = bytearray()
+            while len(received) < len(PATTERN) * PATTERN_REPEATS:
+                received += self.client.recv(1 << 20)
+            self.observed.whole = bytes(received) == PATTERN * PATTERN_REPEATS
 
         threading.Thread(target=read, daemon=True).start()
         self.when(lambda: self.observed.whole is not None and self.observed.resumed, self.finish)
