--- a/sedgepitch/emulator/proxy_connection.py
+++ b/sedgepitch/emulator/proxy_connection.py
@@ -45,7 +45,7 @@
     def dataReceived(self, data: bytes) -> None:
         """Receive bytes; record how long they waited to be read, which is delay of this process."""
         if self.transport.arrived:
-            self.server.record.waited(time.monotonic() - self.transport.arrived)
+            self.server.record.record_wait(time.monotonic() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
--- a/sedgepitch/emulator/recorder.py
+++ b/sedgepitch/emulator/recorder.py
@@ -18,7 +18,7 @@
         self.wait_sum = 0.0  # s, of all waits
         self.waits = 0
 
-    def waited(self, seconds: float) -> None:
+    def record_wait(self, seconds: float) -> None:
         """Count one wait of received bytes until this process read them."""
         self.longest_wait = max(self.longest_wait, seconds)
         self.wait_sum += seconds
--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -119,7 +119,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes; how long they waited is this process's own delay."""
-        self.client.record.waited(now() - self.transport.arrived)
+        self.client.record.record_wait(now() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
