--- a/tests/support/mongodb_harness.py
+++ b/tests/support/mongodb_harness.py
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class PlayedEndpoints:
+class StubEndpoints:
     """A stub of the upstream side; the test completes the attempts that it records."""
 
     sent: list[SentAttempt] = field(default_factory=list)
@@ -81,7 +81,7 @@
         self.task = Clock()
         self.task.advance(1000.0)
         self.clock = FakeClock(self.task)
-        self.endpoints = PlayedEndpoints()
+        self.endpoints = StubEndpoints()
         settings = parse(EXAMPLE, "example")
         router = Router(settings.module_settings(), seed)
         self.engine = Engine(router, self.endpoints, self.clock)
--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -17,7 +17,7 @@
 from sedgepitch.protocols.postgresql.codec import Reader
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
-from tests.support.mongodb_harness import PlayedEndpoints
+from tests.support.mongodb_harness import StubEndpoints
 from tests.support.router_harness import SETTINGS, entry
 
 WALL = 1_000_000.0  # offset of Unix time from the test clock, s
@@ -87,7 +87,7 @@
         self.task = Clock()
         self.task.advance(1000.0)
         self.clock = FakeClock(self.task)
-        self.endpoints = PlayedEndpoints()
+        self.endpoints = StubEndpoints()
         self.engine = Engine(Router(settings, 1), self.endpoints, self.clock)
         entries = (entry(1, primary=True), entry(2), entry(3))
         self.engine.list_changed(api.EndpointListUpdate(entries, complete=True))
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -26,7 +26,7 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import Router
-from tests.support.mongodb_harness import PlayedEndpoints
+from tests.support.mongodb_harness import StubEndpoints
 from tests.support.postgresql_harness import ROW, PostgresqlProxy, errors, messages, read, write
 from tests.support.router_harness import SETTINGS, entry
 
@@ -413,7 +413,7 @@
     """A turn lasts past the client's time, and the answer comes while it does."""
     loop = loops()[which]
     clock = ReactorClock(SimpleNamespace(_asyncioEventloop=loop))
-    endpoints, got = PlayedEndpoints(), []
+    endpoints, got = StubEndpoints(), []
     engine = Engine(Router(SETTINGS, 1), endpoints, clock)
     engine.list_changed(api.EndpointListUpdate((entry(1, primary=True), entry(2), entry(3)), complete=True))
     pairs = [socket.socketpair() for _ in range(2)]
--- a/tests/test_zone_observer.py
+++ b/tests/test_zone_observer.py
@@ -13,7 +13,7 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.records import EjectionReason
 from sedgepitch.routing.router import Router
-from tests.support.mongodb_harness import PlayedEndpoints
+from tests.support.mongodb_harness import StubEndpoints
 from tests.support.router_harness import SETTINGS
 
 
@@ -21,7 +21,7 @@
 def observer() -> ZoneObserver:
     """Three endpoints of zone c, all ejected for silence; endpoint 3 has a half-open trial under way."""
     clock = FakeClock(Clock())
-    engine = Engine(Router(SETTINGS, 1), PlayedEndpoints(), clock)
+    engine = Engine(Router(SETTINGS, 1), StubEndpoints(), clock)
     entries = tuple(api.EndpointEntry(n, 0, api.EndpointState.UP, "c", n == 1) for n in (1, 2, 3))
     engine.list_changed(api.EndpointListUpdate(entries, complete=True))
     for endpoint in engine.router.endpoints.values():
