--- a/tests/support/golden_mongodb.py
+++ b/tests/support/golden_mongodb.py
@@ -19,7 +19,7 @@
 from sedgepitch.protocols.mongodb.upstream import MongoUpstream
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
-from tests.support.golden_protocols import Play, Wire
+from tests.support.golden_protocols import ProtocolSimulation, Wire
 from tests.support.mongodb_harness import EXAMPLE
 
 ERROR_CODES = (10107, 10058, 13435, 13436, 189, 11602, 6, 7, 89, 91, 262, 9001, 11600, 133, 462, 11000, 43, 0)
@@ -49,7 +49,7 @@
 LOCAL_COMMANDS = ({"ping": 1}, {"buildInfo": 1}, {"endSessions": []}, {"hello": 1}, {"isMaster": 1})
 
 
-class MongodbPlay(Play):
+class MongodbPlay(ProtocolSimulation):
     """Three endpoints, one of them the primary, and clients of the MongoDB subset."""
 
     def start(self) -> None:
--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -17,7 +17,7 @@
 from sedgepitch.protocols.postgresql.upstream import PostgresUpstream
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.router import Router
-from tests.support.golden_protocols import STEPS, Play, Wire
+from tests.support.golden_protocols import STEPS, ProtocolSimulation, Wire
 from tests.support.postgresql_harness import ROW, WALL, read, write
 from tests.support.router_harness import SETTINGS, entry
 
@@ -71,7 +71,7 @@
 )
 
 
-class PostgresqlPlay(Play):
+class PostgresqlPlay(ProtocolSimulation):
     """Three endpoints, one of them the primary, and clients of the PostgreSQL subset."""
 
     def start(self) -> None:
--- a/tests/support/golden_protocols.py
+++ b/tests/support/golden_protocols.py
@@ -102,7 +102,7 @@
             self.wire.abortConnection()
 
 
-class Play:
+class ProtocolSimulation:
     """Runs one seed of one protocol. Subclasses provide the stack, the client bytes and the answers."""
 
     def __init__(self, seed: int) -> None:
