--- a/tests/support/golden_emulator.py
+++ b/tests/support/golden_emulator.py
@@ -64,7 +64,7 @@
         pass
 
 
-class EmulatorPlay:
+class EmulatorSimulation:
     """Runs one seed."""
 
     def __init__(self, seed: int, record: Path) -> None:
--- a/tests/test_golden_emulator.py
+++ b/tests/test_golden_emulator.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.golden_emulator import EmulatorPlay
+from tests.support.golden_emulator import EmulatorSimulation
 
 DIGESTS = Path(__file__).parent / "golden" / "emulator.json"
 SEEDS = range(1, 21)
@@ -20,13 +20,13 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_emulated_servers_reproduce_recorded_digests(seed, tmp_path):
-    assert EmulatorPlay(seed, tmp_path / "record").run() == json.loads(DIGESTS.read_text())[str(seed)]
+    assert EmulatorSimulation(seed, tmp_path / "record").run() == json.loads(DIGESTS.read_text())[str(seed)]
 
 
 def compute_digests() -> dict[str, str]:
     """Return the digests of all seeds."""
     with tempfile.TemporaryDirectory() as folder:
-        return {str(seed): EmulatorPlay(seed, Path(folder) / str(seed)).run() for seed in SEEDS}
+        return {str(seed): EmulatorSimulation(seed, Path(folder) / str(seed)).run() for seed in SEEDS}
 
 
 if __name__ == "__main__":
