--- a/tests/support/golden_engine.py
+++ b/tests/support/golden_engine.py
@@ -39,7 +39,7 @@
 class SimulatedAttempt:
     """One attempt at an endpoint, which may wait for a connection before it is sent."""
 
-    def __init__(self, play: EnginePlay, number: int, on_end: Any, started: bool) -> None:
+    def __init__(self, play: EngineSimulation, number: int, on_end: Any, started: bool) -> None:
         self.play, self.number, self.on_end, self.has_started = play, number, on_end, started
         self.over = False
 
@@ -70,7 +70,7 @@
             self.on_end(outcome)
 
 
-class EnginePlay:
+class EngineSimulation:
     """Runs one seed as the upstream side, the observers and the clients of one engine."""
 
     def __init__(self, seed: int) -> None:
--- a/tests/test_golden_engine.py
+++ b/tests/test_golden_engine.py
@@ -13,16 +13,16 @@
 
 import pytest
 
-from tests.support.golden_engine import EnginePlay
+from tests.support.golden_engine import EngineSimulation
 
 DIGESTS = Path(__file__).parent / "golden" / "engine.json"
 SEEDS = range(1, 25)
 
 
 @cache
-def played(seed: int) -> EnginePlay:
+def played(seed: int) -> EngineSimulation:
     """Play one seed, once."""
-    engine_play = EnginePlay(seed)
+    engine_play = EngineSimulation(seed)
     engine_play.play()
     return engine_play
 
