--- a/tests/support/golden_pool.py
+++ b/tests/support/golden_pool.py
@@ -24,7 +24,7 @@
 class SimulatedConnection:
     """One connection requested by the pool."""
 
-    def __init__(self, play: PoolPlay, number: int, ready: Any, failed: Any, lost: Any) -> None:
+    def __init__(self, play: PoolSimulation, number: int, ready: Any, failed: Any, lost: Any) -> None:
         self.play, self.number = play, number
         self.ready, self.failed, self.lost = ready, failed, lost
         self.state = "opening"
@@ -57,7 +57,7 @@
         return self.number % 7 != 0
 
 
-class PoolPlay:
+class PoolSimulation:
     """Runs one seed."""
 
     def __init__(self, seed: int) -> None:
--- a/tests/test_golden_pool.py
+++ b/tests/test_golden_pool.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.golden_pool import PoolPlay
+from tests.support.golden_pool import PoolSimulation
 
 DIGESTS = Path(__file__).parent / "golden" / "connection_pool.json"
 SEEDS = range(1, 41)
@@ -20,17 +20,17 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_pool_does_as_recorded(seed):
-    assert PoolPlay(seed).play() == json.loads(DIGESTS.read_text())[str(seed)]
+    assert PoolSimulation(seed).play() == json.loads(DIGESTS.read_text())[str(seed)]
 
 
 def test_the_seeds_meet_every_kind_of_event():
     kinds: Counter[str] = Counter()
     for seed in SEEDS:
-        play = PoolPlay(seed)
+        play = PoolSimulation(seed)
         play.play()
         kinds.update(play.digest.kinds)
     assert set(kinds) == {"pool", "start", "give up", "close", "closed", "judge", "ended", "withdraw"}
 
 
 if __name__ == "__main__":
-    print(json.dumps({str(seed): PoolPlay(seed).play() for seed in SEEDS}, indent=1))
+    print(json.dumps({str(seed): PoolSimulation(seed).play() for seed in SEEDS}, indent=1))
