--- a/tests/support/golden_admission.py
+++ b/tests/support/golden_admission.py
@@ -66,7 +66,7 @@
     )
 
 
-class ControllerPlay:
+class AdmissionSimulation:
     """One controller with clients, endpoints and a proxy process under load of its own."""
 
     def __init__(self, seed: int) -> None:
--- a/tests/test_golden_admission.py
+++ b/tests/test_golden_admission.py
@@ -13,16 +13,16 @@
 
 import pytest
 
-from tests.support.golden_admission import ControllerPlay, play_limits
+from tests.support.golden_admission import AdmissionSimulation, play_limits
 
 DIGESTS = Path(__file__).parent / "golden" / "admission.json"
 SEEDS = range(1, 25)
 
 
 @cache
-def played(seed: int) -> ControllerPlay:
+def played(seed: int) -> AdmissionSimulation:
     """Play one seed against the controller, once."""
-    controller = ControllerPlay(seed)
+    controller = AdmissionSimulation(seed)
     controller.play()
     return controller
 
