--- a/tests/support/golden_mongodb.py
+++ b/tests/support/golden_mongodb.py
@@ -49,7 +49,7 @@
 LOCAL_COMMANDS = ({"ping": 1}, {"buildInfo": 1}, {"endSessions": []}, {"hello": 1}, {"isMaster": 1})
 
 
-class MongodbPlay(ProtocolSimulation):
+class MongodbSimulation(ProtocolSimulation):
     """Three endpoints, one of them the primary, and clients of the MongoDB subset."""
 
     def start(self) -> None:
--- a/tests/test_golden_protocols.py
+++ b/tests/test_golden_protocols.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from tests.support.golden_mongodb import MongodbPlay
+from tests.support.golden_mongodb import MongodbSimulation
 from tests.support.golden_postgresql import PostgresqlPlay
 from tests.support.golden_protocols import ProtocolSimulation
 
 DIGESTS = Path(__file__).parent / "golden" / "protocols.json"
 SEEDS = range(1, 21)
-PLAYS: dict[str, type[ProtocolSimulation]] = {"mongodb": MongodbPlay, "postgresql": PostgresqlPlay}
+PLAYS: dict[str, type[ProtocolSimulation]] = {"mongodb": MongodbSimulation, "postgresql": PostgresqlPlay}
 
 
 def recorded() -> dict[str, dict[str, str]]:
