--- a/tests/support/golden_postgresql.py
+++ b/tests/support/golden_postgresql.py
@@ -71,7 +71,7 @@
 )
 
 
-class PostgresqlPlay(ProtocolSimulation):
+class PostgresqlSimulation(ProtocolSimulation):
     """Three endpoints, one of them the primary, and clients of the PostgreSQL subset."""
 
     def start(self) -> None:
--- a/tests/test_golden_protocols.py
+++ b/tests/test_golden_protocols.py
@@ -12,12 +12,15 @@
 import pytest
 
 from tests.support.golden_mongodb import MongodbSimulation
-from tests.support.golden_postgresql import PostgresqlPlay
+from tests.support.golden_postgresql import PostgresqlSimulation
 from tests.support.golden_protocols import ProtocolSimulation
 
 DIGESTS = Path(__file__).parent / "golden" / "protocols.json"
 SEEDS = range(1, 21)
-PLAYS: dict[str, type[ProtocolSimulation]] = {"mongodb": MongodbSimulation, "postgresql": PostgresqlPlay}
+PLAYS: dict[str, type[ProtocolSimulation]] = {
+    "mongodb": MongodbSimulation,
+    "postgresql": PostgresqlSimulation,
+}
 
 
 def recorded() -> dict[str, dict[str, str]]:
