--- a/tests/support/postgresql_harness.py
+++ b/tests/support/postgresql_harness.py
@@ -111,7 +111,7 @@
         for _ in range(times):
             self.task.advance(0.0)
 
-    def pass_by(self, seconds: float, step: float = 0.05) -> None:
+    def advance_in_steps(self, seconds: float, step: float = 0.05) -> None:
         """Advance the clock by `seconds` in steps of `step` seconds."""
         for _ in range(round(seconds / step)):
             self.turn(step, 1)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -90,7 +90,7 @@
             proxy.endpoints.sent.pop(0)
         wire.clear()
         if number in (5_000, 30_000):
-            proxy.pass_by(3.0)
+            proxy.advance_in_steps(3.0)
             marks.append(sizes(proxy.engine) + sizes(proxy.listener))
     assert not proxy.listener.open_request_ids and not proxy.engine.request_table.requests
     assert marks[1] <= marks[0] * 1.1 + 50, marks
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -71,10 +71,10 @@
     assert ahead(proxy, connection, wire) > 100
     theirs.sendall(b"bytes that lie unread before the end")
     leave(theirs, how)
-    proxy.pass_by(0.25)
+    proxy.advance_in_steps(0.25)
     assert wire.aborted and proxy.listener.disconnects_found_unread == 1
     proxy.answer(0)
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert len(proxy.endpoints.sent) == 1, "what stood behind the first is not sent on"
     connection.connectionLost()
     assert (
@@ -104,7 +104,7 @@
     leave(peer(wire), "close")
     wire.arrived = proxy.clock.now() - 0.4  # this driver stood still meanwhile
     connection.dataReceived(read(1, d="5000"))
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert not proxy.endpoints.sent and proxy.listener.disconnects_found_late == 1
 
 
@@ -130,7 +130,7 @@
     assert not proxy.endpoints.sent
     connection.connectionLost()
     proxy.engine.list_changed(api.EndpointListUpdate((entry(1, primary=True),), complete=True))
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert not proxy.endpoints.sent and not proxy.engine.router.requests
 
 
@@ -210,7 +210,7 @@
         connection.dataReceived(make(1, d="60000"))
         proxy.turn()
         proxy.engine.answer_all_by(proxy.clock.now() + 1.0)
-        proxy.pass_by(1.05)
+        proxy.advance_in_steps(1.05)
         assert [e["C"] for e in errors(wire)] == [code]
 
 
@@ -556,7 +556,7 @@
                 left, written, sent = True, wire.value(), len(proxy.endpoints.sent)
             if turns:
                 proxy.turn()
-        proxy.pass_by(1.0)
+        proxy.advance_in_steps(1.0)
         assert left and wire.value() == written, order
         assert len(proxy.endpoints.sent) == sent, order
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
@@ -577,7 +577,7 @@
             proxy.turn()
             for what in order:
                 happens(proxy, connection, what)
-            proxy.pass_by(1.5)
+            proxy.advance_in_steps(1.5)
             assert [k for k, _ in messages(wire.value())].count(b"Z") == 1, order
             assert (
                 proxy.engine.request_table.pending == 0
@@ -674,7 +674,7 @@
             elif not admission.closed:
                 admission.queue += 1
         elif what == "pass":
-            proxy.pass_by(0.3 * which)
+            proxy.advance_in_steps(0.3 * which)
         elif what == "stop":
             if not stopped:
                 stopped.append(True)
@@ -725,6 +725,6 @@
     )
     for caller, early in zip(callers, went + [False] * len(callers), strict=False):
         assert caller.answers() <= caller.whole if early else caller.answers() == caller.whole
-    proxy.pass_by(2.0)
+    proxy.advance_in_steps(2.0)
     assert [s.payload.id for s in proxy.endpoints.sent] == sent, "sent after the end"
     assert proxy.descriptors.clients == sum(not c.left for c in callers)
--- a/tests/test_postgresql_client.py
+++ b/tests/test_postgresql_client.py
@@ -64,7 +64,7 @@
     connection, wire = proxy.client()
     connection.dataReceived(write(1))
     proxy.turn()
-    proxy.pass_by(0.6)
+    proxy.advance_in_steps(0.6)
     (error,) = errors(wire)
     assert error["C"] == statement_handler.SQLSTATE_FAILED
 
@@ -141,7 +141,7 @@
     proxy.turn()
     assert wire.half_closed
     connection.dataReceived(b"y" * 100)  # what still comes is dropped
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert wire.aborted and not proxy.endpoints.sent
 
 
@@ -175,7 +175,7 @@
     _, idle = proxy.client()
     half.dataReceived(read(1)[:-5])
     for _ in range(25):  # a byte now and then does not help
-        proxy.pass_by(0.1)
+        proxy.advance_in_steps(0.1)
         half.dataReceived(b" ")
     assert silent.half_closed and half_wire.half_closed
     assert not idle.half_closed and not idle.aborted
@@ -223,7 +223,7 @@
     connection.dataReceived(read(1))
     proxy.turn()
     assert not proxy.endpoints.sent
-    proxy.pass_by(visitors.WRITE_TIMEOUT_S + 1.0)
+    proxy.advance_in_steps(visitors.WRITE_TIMEOUT_S + 1.0)
     assert wire.aborted
 
 
@@ -263,7 +263,7 @@
     early.dataReceived(read(1, d="5000"))
     proxy.turn()
     assert len(proxy.endpoints.sent) == 1
-    proxy.pass_by(0.29, step=0.005)
+    proxy.advance_in_steps(0.29, step=0.005)
     late.dataReceived(read(2, d="5000"))
     proxy.turn()
     assert errors(late_wire)[0]["C"] == "53300" and len(proxy.endpoints.sent) <= 2
@@ -278,7 +278,7 @@
     _, newcomer = proxy.client(greet=False)
     proxy.client(greet=False)
     assert held[0].aborted and not newcomer.aborted
-    proxy.pass_by(visitors.FIRST_BYTE_GRACE_S + 0.1)
+    proxy.advance_in_steps(visitors.FIRST_BYTE_GRACE_S + 0.1)
     proxy.client(greet=False)
     assert newcomer.aborted and not held[1].aborted
 
