--- a/tests/support/golden_engine.py
+++ b/tests/support/golden_engine.py
@@ -39,14 +39,14 @@
 class SimulatedAttempt:
     """One attempt at an endpoint, which may wait for a connection before it is sent."""
 
-    def __init__(self, play: EngineSimulation, number: int, on_end: Any, started: bool) -> None:
-        self.play, self.number, self.on_end, self.has_started = play, number, on_end, started
+    def __init__(self, simulation: EngineSimulation, number: int, on_end: Any, started: bool) -> None:
+        self.simulation, self.number, self.on_end, self.has_started = simulation, number, on_end, started
         self.over = False
 
     def abandon(self) -> None:
         """Ignore the outcome from now on."""
         self.over = True
-        self.play.write("abandon", self.number)
+        self.simulation.write("abandon", self.number)
 
     def started(self) -> bool:
         """Return whether it was sent."""
@@ -54,7 +54,7 @@
 
     def withdraw(self) -> bool:
         """Cancel it if it was not sent yet; return whether that succeeded."""
-        self.play.write("withdraw", self.number, self.has_started)
+        self.simulation.write("withdraw", self.number, self.has_started)
         if not self.has_started:
             self.over = True
         return not self.has_started
--- a/tests/support/golden_pool.py
+++ b/tests/support/golden_pool.py
@@ -24,8 +24,8 @@
 class SimulatedConnection:
     """One connection requested by the pool."""
 
-    def __init__(self, play: PoolSimulation, number: int, ready: Any, failed: Any, lost: Any) -> None:
-        self.play, self.number = play, number
+    def __init__(self, simulation: PoolSimulation, number: int, ready: Any, failed: Any, lost: Any) -> None:
+        self.simulation, self.number = simulation, number
         self.ready, self.failed, self.lost = ready, failed, lost
         self.state = "opening"
         self.done: Any = None
@@ -33,20 +33,20 @@
 
     def give_up(self) -> None:
         """Record that the pool cancelled the opening."""
-        self.play.write("give up", self.number)
+        self.simulation.write("give up", self.number)
         self.state = "over"
 
     def start(self, payload: object, done: Any) -> None:
         """Accept a request."""
-        self.play.write("start", self.number, payload)
+        self.simulation.write("start", self.number, payload)
         self.done = done
 
     def close(self) -> None:
         """Record that the pool closed it; the loss is reported in a later step."""
-        if self.play.closed is None:
-            self.play.write("close", self.number)
+        if self.simulation.closed is None:
+            self.simulation.write("close", self.number)
         else:
-            self.play.closed.append(self.number)
+            self.simulation.closed.append(self.number)
 
     def unsent(self) -> int:
         """Return the number of unsent bytes."""
