--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -134,7 +134,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Parse bytes, and record how long they waited in this process."""
-        self.client.record.waited(now() - self.transport.arrived)
+        self.client.record.record_wait(now() - self.transport.arrived)
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -29,7 +29,7 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
 from sedgepitch.routing.router import Router
-from tests.support.mongodb_harness import PlayedEndpoints
+from tests.support.mongodb_harness import StubEndpoints
 from tests.support.postgresql_harness import ROW, PostgresqlProxy, errors, messages, read, write
 from tests.support.router_harness import SETTINGS, entry
 
@@ -74,10 +74,10 @@
     assert pipeline_until_paused(proxy, connection, wire) > 100
     client.sendall(b"bytes that lie unread before the end")
     disconnect(client, how)
-    proxy.pass_by(0.25)
+    proxy.advance_in_steps(0.25)
     assert wire.aborted and proxy.listener.disconnects_found_unread == 1
     proxy.answer(0)
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert len(proxy.endpoints.sent) == 1, "pipelined statements behind the first are not forwarded"
     connection.connectionLost()
     assert (
@@ -110,7 +110,7 @@
     disconnect(connect_socket(wire), "close")
     wire.arrived = proxy.clock.now() - 0.4  # the proxy process was suspended for 0.4 s
     connection.dataReceived(read(1, d="5000"))
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert not proxy.endpoints.sent and proxy.listener.disconnects_found_late == 1
 
 
@@ -136,7 +136,7 @@
     assert not proxy.endpoints.sent
     connection.connectionLost()
     proxy.engine.list_changed(api.EndpointListUpdate((entry(1, primary=True),), complete=True))
-    proxy.pass_by(1.0)
+    proxy.advance_in_steps(1.0)
     assert not proxy.endpoints.sent and not proxy.engine.router.requests
 
 
@@ -216,7 +216,7 @@
         connection.dataReceived(make(1, d="60000"))
         proxy.turn()
         proxy.engine.answer_all_by(proxy.clock.now() + 1.0)
-        proxy.pass_by(1.05)
+        proxy.advance_in_steps(1.05)
         assert [e["C"] for e in errors(wire)] == [code]
 
 
@@ -431,7 +431,7 @@
     """One turn of the event loop lasts beyond the client's deadline, and the response arrives during it."""
     loop = event_loops()[which]
     clock = ReactorClock(SimpleNamespace(_asyncioEventloop=loop))
-    endpoints, answers = PlayedEndpoints(), []
+    endpoints, answers = StubEndpoints(), []
     engine = Engine(Router(SETTINGS, 1), endpoints, clock)
     engine.list_changed(api.EndpointListUpdate((entry(1, primary=True), entry(2), entry(3)), complete=True))
     pairs = [socket.socketpair() for _ in range(2)]
@@ -576,7 +576,7 @@
                 disconnected, written, sent = True, wire.value(), len(proxy.endpoints.sent)
             if turns:
                 proxy.turn()
-        proxy.pass_by(1.0)
+        proxy.advance_in_steps(1.0)
         assert disconnected and wire.value() == written, order
         assert len(proxy.endpoints.sent) == sent, order
         answers = [k for k, _ in messages(wire.value()) if k == b"Z"]
@@ -597,7 +597,7 @@
             proxy.turn()
             for event in order:
                 apply_event(proxy, connection, event)
-            proxy.pass_by(1.5)
+            proxy.advance_in_steps(1.5)
             assert [k for k, _ in messages(wire.value())].count(b"Z") == 1, order
             assert (
                 proxy.engine.request_table.pending == 0
@@ -694,7 +694,7 @@
             elif not port.closed:
                 port.backlog += 1
         elif event == "wait":
-            proxy.pass_by(0.3 * which)
+            proxy.advance_in_steps(0.3 * which)
         elif event == "stop":
             if not stopped:
                 stopped.append(True)
@@ -745,6 +745,6 @@
     )
     for client, early in zip(clients, disconnected_early + [False] * len(clients), strict=False):
         assert client.answers() <= client.sent if early else client.answers() == client.sent
-    proxy.pass_by(2.0)
+    proxy.advance_in_steps(2.0)
     assert [s.payload.id for s in proxy.endpoints.sent] == sent, "sent after the shutdown ended"
     assert proxy.descriptors.clients == sum(not c.disconnected for c in clients)
