--- a/sedgepitch/protocols/mongodb/__init__.py
+++ b/sedgepitch/protocols/mongodb/__init__.py
@@ -1,1 +1,1 @@
-"""The MongoDB wire protocol, a subset: see docs/wire.md."""
+"""The MongoDB wire protocol, the subset that docs/wire.md describes."""
--- a/sedgepitch/protocols/mongodb/bsonwalk.py
+++ b/sedgepitch/protocols/mongodb/bsonwalk.py
@@ -1,7 +1,7 @@
-"""Look into a BSON document without decoding it, and splice single values.
+"""Read elements of a BSON document without decoding it, and replace or append single values.
 
-A walk reads type and name of each element and jumps over its value by the lengths that BSON carries, so
-finding one field of a large reply costs the number of fields before it, not their bytes.
+A walk reads the type and name of each element and skips its value using the lengths in the BSON encoding. The
+cost of finding a field therefore depends on the number of fields before it, not on their size.
 Source: bsonspec.org, version 1.1.
 """
 
@@ -49,16 +49,16 @@
     MAX_KEY: 0,
     MIN_KEY: 0,
 }
-# Types whose value begins with a length: the bytes of the value beyond that number.
+# Types whose value begins with a length prefix: the number of bytes of the value that the length excludes.
 _BYTES_BEYOND_LENGTH = {
     STRING: 4,
     JAVASCRIPT: 4,
     SYMBOL: 4,
     BINARY: 5,  # length and subtype
     DB_POINTER: 16,  # length and object id
-    SCOPED_JAVASCRIPT: 0,  # its length counts itself
+    SCOPED_JAVASCRIPT: 0,  # the length includes the prefix itself
 }
-_DOCUMENT_BYTES_MIN = 5  # length and end
+_DOCUMENT_BYTES_MIN = 5  # length prefix and terminating zero byte
 _LENGTH_BYTES = 4
 _INT32 = struct.Struct("<i")
 _INT64 = struct.Struct("<q")
@@ -67,11 +67,11 @@
 
 
 class MalformedDocument(SedgepitchError, ValueError):
-    """The bytes are not a BSON document; the text says where."""
+    """The bytes are not a valid BSON document; the text gives the byte offset of the error."""
 
 
 class Element(NamedTuple):
-    """One element: its type code, name, and where its value starts and ends in the buffer."""
+    """One element: type code, name, and the start and end offsets of its value in the buffer."""
 
     kind: int
     name: bytes
@@ -80,12 +80,12 @@
 
 
 def document_end(buf: bytes, offset: int) -> int:
-    """Return where the document at offset ends; raises MalformedDocument where its length cannot be."""
-    least_end = offset + _DOCUMENT_BYTES_MIN
-    if least_end > len(buf):
+    """Return the end offset of a document; raises MalformedDocument if its length is invalid."""
+    min_end = offset + _DOCUMENT_BYTES_MIN
+    if min_end > len(buf):
         raise MalformedDocument(f"document at byte {offset} is cut off")
     end = offset + int(_INT32.unpack_from(buf, offset)[0])
-    if end < least_end or end > len(buf) or buf[end - 1]:
+    if end < min_end or end > len(buf) or buf[end - 1]:
         raise MalformedDocument(f"document at byte {offset} has a wrong length")
     return end
 
@@ -110,7 +110,7 @@
 
 
 def _regex_end(buf: bytes, at: int, stop: int) -> int:
-    """Return where a regular expression ends: pattern and options, each ended by a zero byte."""
+    """Return the end offset of a regular expression: pattern and options, each terminated by a zero byte."""
     pattern_end = buf.find(b"\0", at, stop)
     options_end = buf.find(b"\0", pattern_end + 1, stop) if pattern_end >= 0 else -1
     if options_end < 0:
@@ -119,11 +119,11 @@
 
 
 def elements(buf: bytes, offset: int = 0) -> list[Element]:
-    """Return the elements of the document at offset; raises MalformedDocument where it is broken."""
+    """Return the elements of the document at `offset`; raises MalformedDocument if it is invalid."""
     stop = document_end(buf, offset) - 1
     at = offset + _LENGTH_BYTES
     found: list[Element] = []
-    new = tuple.__new__  # a named tuple's own constructor takes twice as long
+    new = tuple.__new__  # the named tuple's own constructor takes twice as long
     find_end = buf.find
     fixed_bytes = _FIXED_BYTES
     while at < stop:
@@ -142,12 +142,12 @@
 
 
 def find(buf: bytes, name: bytes, offset: int = 0) -> Element | None:
-    """Return the first element of that name in the document at offset, or None."""
+    """Return the first element with this name in the document at `offset`, or None."""
     return next((element for element in elements(buf, offset) if element.name == name), None)
 
 
 def number(buf: bytes, element: Element | None) -> float | None:
-    """Return a numeric or boolean value, None where it is neither."""
+    """Return a numeric or boolean value, None if the element is neither."""
     if element is None:
         return None
     if element.kind == INT32:
@@ -160,14 +160,14 @@
 
 
 def text(buf: bytes, element: Element | None) -> str | None:
-    """Return a string value, None where it is not one."""
+    """Return a string value, None if the element is not a string."""
     if element is None or element.kind != STRING:
         return None
     return buf[element.start + 4 : element.end - 1].decode("utf-8", "replace")
 
 
 def timestamp(buf: bytes, element: Element | None) -> tuple[int, int] | None:
-    """Return a BSON timestamp as (seconds, increment), None where it is not one."""
+    """Return a BSON timestamp as (seconds, increment), None if the element is not one."""
     if element is None or element.kind != TIMESTAMP:
         return None
     increment, seconds = _TIMESTAMP.unpack_from(buf, element.start)
@@ -175,7 +175,7 @@
 
 
 def replace_int64(buf: bytes, element: Element, value: int) -> bytes:
-    """Return the buffer with one 64-bit integer replaced in place."""
+    """Return the buffer with the value of a 64-bit integer element replaced."""
     return buf[: element.start] + _INT64.pack(value) + buf[element.end :]
 
 
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -1,8 +1,8 @@
 """One client connection of the MongoDB protocol: framing, flow control and replies.
 
-A connection executes one command at a time and answers in order. What a client sends ahead is buffered, up to
-a bound, after which its socket is not read; a client that does not read its replies is not served further.
-Both keep memory bounded, and a client that disconnects is still noticed while its request is pending.
+A connection executes one command at a time and replies in order. Pipelined commands are buffered up to a
+limit, after which the socket is no longer read; no command is executed while the client does not read its
+replies. Both limits bound memory, and a disconnect is still detected while a request is pending.
 """
 
 from __future__ import annotations
@@ -21,37 +21,37 @@
 from sedgepitch.protocols.mongodb.commands import CommandError
 from sedgepitch.protocols.mongodb.framing import FrameReceiver
 
-READ_AHEAD_BYTES = 256 * 1024  # that a client may send ahead before its socket is left unread
+READ_AHEAD_BYTES = 256 * 1024  # pipelined bytes per client before its socket is no longer read
 
 
 class ClientConnection(FrameReceiver):
-    """One client. `number` counts the listener's connections from the start of the process.
+    """One client connection. `number` is its sequence number among the listener's connections.
 
-    While a command is executing, or yields to other clients, frames are `paused`.
+    Frames are `paused` while a command is executing or waits for its turn after other clients.
     """
 
     def __init__(self, context: ClientContext, number: int) -> None:
-        """Begin before the first byte."""
+        """Create the connection in its state before the first byte."""
         super().__init__()
         self.context = context
         self.number = number
         self.frame_bytes_max = context.frame_bytes_max
         self.request: PendingRequest | None = None
-        self.executing = False  # a command has not been answered yet
-        self.write_blocked = False  # the client does not read its replies
-        self.reads_paused = False  # the socket is left unread
+        self.executing = False  # a command has no reply yet
+        self.write_blocked = False  # the client does not read its replies, so the write buffer is full
+        self.reads_paused = False  # the socket is not read
         self.last_reply_id = 0
-        self.awaited_hello: Any = None  # the timer of a hello that is held back
+        self.awaited_hello: Any = None  # the timer of an awaitable hello whose reply is pending
         self.address = ""
         self.app_name = ""
         self.compressors: list[str] = []
-        self.has_submitted = False  # a command has gone to the engine
-        self.tenant = ""  # of its last request
+        self.has_submitted = False  # at least one command was submitted to the engine
+        self.tenant = ""  # of the last request
 
     # Reading
 
     def connectionMade(self) -> None:
-        """Count the connection, and reject one above the bound."""
+        """Register the connection, and close it if there are more than `connections_max`."""
         context = self.context
         context.connections.add(self)
         if len(context.connections) > context.connections_max:
@@ -63,7 +63,7 @@
         self.transport.registerProducer(WritePressure(self), True)
 
     def dataReceived(self, data: bytes) -> None:
-        """Buffer bytes, and execute what is complete unless a command is executing."""
+        """Buffer bytes, and execute complete commands unless one is executing."""
         if not self.reads_paused:
             self._report_read_delay()
         super().dataReceived(data)
@@ -72,13 +72,13 @@
             self.transport.pauseProducing()
 
     def _report_read_delay(self) -> None:
-        """Tell the engine how long the bytes had waited that are now read, where that is known."""
+        """Report to the engine how long the received bytes waited in the socket, if that is known."""
         if arrival_time(self.transport):
             now = self.context.clock.now()
             self.context.engine.record_wait(self.transport.read_delay(now), now)
 
     def advance(self) -> None:
-        """Execute the next buffered command, if nothing holds it back."""
+        """Execute the next buffered command, unless one is executing or the write buffer is full."""
         if self.executing or self.write_blocked or not self.paused:
             return
         self.resume_frames()
@@ -87,18 +87,18 @@
             self.transport.resumeProducing()
 
     def on_write_blocked(self) -> None:
-        """The client does not read its replies."""
+        """Stop executing commands: the client does not read its replies."""
         self.write_blocked = True
 
     def on_write_drained(self) -> None:
-        """The client has been sent all replies."""
+        """Continue with buffered commands: all replies have been sent."""
         self.write_blocked = False
         self.advance()
 
     # Commands
 
     def frame_received(self, frame: bytes) -> None:
-        """Execute one command. Bytes that are no message end this connection and no other."""
+        """Execute one command. A malformed message closes this connection only."""
         self.executing = True
         self.paused = True
         context = self.context
@@ -117,7 +117,7 @@
             self.reply(message, error_replies.error(error.code, error.name, error.text))
 
     def _shed_unread(self, frame: bytes) -> bool:
-        """Reject a command without reading it, where the proxy reads too late for the tenant's share."""
+        """Reject a command without parsing it if it was read too late for the tenant's share."""
         if not self.frame_since or not self.has_submitted:
             return False
         waited = self.context.clock.now() - self.frame_since
@@ -131,13 +131,13 @@
         return True
 
     def reply(self, message: Message, body: bytes) -> None:
-        """Send the reply, unless none is wanted, and go on with what was sent ahead."""
+        """Send the reply, unless the client wants none, and continue with pipelined commands."""
         if self.transport is not None and not message.more_to_come:
             self.transport.write(self._reply_frame(message, body))
         self.executing = False
         if self.buffered or self.write_blocked:
-            # What was sent ahead is executed in a later turn, one command each: a client that sends
-            # thousands delays no other, and the calls do not nest.
+            # Each pipelined command is executed in a later event loop iteration, so a client that sends
+            # thousands does not delay other clients, and the calls do not nest.
             self.context.clock.soon(self.advance)
         else:
             self.paused = False
@@ -154,7 +154,7 @@
     # Closing
 
     def length_refused(self, length: int) -> None:
-        """End the connection on a frame length out of bounds; where the next frame begins cannot be told."""
+        """Close the connection on a frame length out of bounds: the start of the next frame is unknown."""
         self.context.log_event("client.bad_frame", connection=self.number, reason=f"length {length}")
         self.context.count_input_error("bad_frame")
         self.transport.loseConnection()
@@ -166,7 +166,7 @@
         self.transport.loseConnection()
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """The client has disconnected: cancel its request."""
+        """Cancel the request of the client, which has disconnected."""
         self.context.connections.discard(self)
         if self.awaited_hello is not None:
             self.awaited_hello.cancel()
@@ -177,6 +177,6 @@
 
 
 class ClientFactory(NumberingFactory):
-    """Makes the connection objects of a `ClientContext`."""
+    """Create the connection objects of a `ClientContext`."""
 
     connection_type = ClientConnection
--- a/sedgepitch/protocols/mongodb/client_context.py
+++ b/sedgepitch/protocols/mongodb/client_context.py
@@ -1,4 +1,4 @@
-"""What all MongoDB client connections of one listener share."""
+"""State and settings that all MongoDB client connections of one listener share."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 class ClientContext:
     """State and settings shared by the connections of one listener; times are in seconds.
 
-    `group_of` gives a command's replica group, None where no group holds its namespace.
+    `group_of` returns the replica group of a command, None if no group holds its namespace.
     """
 
     engine: Engine
@@ -36,11 +36,11 @@
     classifier: Classifier
     cursors: CursorTable
     group_of: Callable[[Command], int | None]
-    answer_margin: float  # before the client's time is up its response is decided
+    answer_margin: float  # how long before the client's deadline the response is decided
     drain_grace: float
     shard_field: tuple[bytes, ...] = ()
     frame_bytes_max: int = codec.MESSAGE_BYTES_MAX
-    tenant_sources: tuple[str, ...] = ()  # the first that gives a name counts; none: no admission control
+    tenant_sources: tuple[str, ...] = ()  # the first with a name is used; empty: no admission control
     client_sources: tuple[str, ...] = ()
     process_id: bson.ObjectId = field(default_factory=bson.ObjectId)
     connections: set[ClientConnection] = field(default_factory=set)
@@ -50,6 +50,6 @@
     count_input_error: Callable[[str], None] = ignore
 
     def __post_init__(self) -> None:
-        """Make the handlers, which all connections share."""
+        """Create the handlers that all connections share."""
         self.command_handler = CommandHandler(self)
         self.cursor_handler = CursorHandler(self)
--- a/sedgepitch/protocols/mongodb/codec.py
+++ b/sedgepitch/protocols/mongodb/codec.py
@@ -1,7 +1,7 @@
-"""Messages of the MongoDB wire protocol as values: parse and build, no input or output.
+"""Parse and build messages of the MongoDB wire protocol, without I/O.
 
-Nothing here knows what a command means. Bodies stay bytes; only the framing, the flags, the checksum and
-compression are understood. Sources: the OP_MSG, OP_COMPRESSED and OP_QUERY pages of the
+This module does not interpret commands. Bodies stay bytes; only framing, flags, checksum and compression are
+handled. Sources: the OP_MSG, OP_COMPRESSED and OP_QUERY pages of the
 MongoDB wire protocol specification, and RFC 3720 appendix B.4 for CRC-32C.
 """
 
@@ -26,7 +26,7 @@
 OP_MSG = 2013
 CHECKSUM = 1  # flag bits of an OP_MSG
 MORE_TO_COME = 2
-REQUIRED_FLAGS = 0xFFFF  # those a reader must understand
+REQUIRED_FLAGS = 0xFFFF  # a receiver must reject unknown bits among these
 UNKNOWN_REQUIRED_FLAGS = REQUIRED_FLAGS & ~(CHECKSUM | MORE_TO_COME)
 SECTION_BODY = 0
 SECTION_SEQUENCE = 1
@@ -47,27 +47,27 @@
 _SECTIONS_AT = HEADER.size + _FLAGS.size
 _COMPRESSED_AT = HEADER.size + _COMPRESSED_HEAD.size
 _VARINT_BYTES_MAX = 5
-_VARINT_BITS = 0x7F  # of a byte; the eighth says that more follow
+_VARINT_BITS = 0x7F  # payload bits of a byte; the eighth bit is set if more bytes follow
 _REPLY_AWAIT_CAPABLE = 8
 _QUERY_SKIP_AND_RETURN_BYTES = 8
-_SEQUENCE_BYTES_MIN = 5  # length and the end of its name
+_SEQUENCE_BYTES_MIN = 5  # length and the terminator of an empty name
 
 
 class MalformedMessage(SedgepitchError):
-    """The peer broke the protocol; the text is one line that says how."""
+    """The other side violated the protocol; the text states how, in one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Section:
-    """A kind 1 section: documents that stand in a named field of the body."""
+    """A kind 1 section: the documents of a named array field of the body."""
 
     name: str
-    documents: bytes  # one after another
+    documents: bytes  # concatenated
 
 
 @dataclass(slots=True)
 class Message:
-    """An OP_MSG, or an OP_QUERY turned into its like."""
+    """An OP_MSG, or an OP_QUERY converted to the same form."""
 
     request_id: int
     response_to: int
@@ -75,24 +75,24 @@
     body: bytes
     sections: tuple[Section, ...] = ()
     frame: bytes = b""  # as received, uncompressed
-    end: int = 0  # where its sections end
-    legacy: bool = False  # received as OP_QUERY, so it is answered with OP_REPLY
-    compressor: int = 0  # the reply may be compressed with the same
-    arrived: float = 0.0  # when its last bytes arrived, in monotonic s; 0 where that is not known
+    end: int = 0  # offset in `frame` at which the sections end
+    legacy: bool = False  # received as OP_QUERY, so the reply is an OP_REPLY
+    compressor: int = 0  # of the request; the reply uses the same one
+    arrived: float = 0.0  # when its last bytes arrived, in monotonic seconds; 0 if unknown
 
     @property
     def raw(self) -> bytes:
-        """All sections as received."""
+        """Return all sections as received."""
         return self.frame[_SECTIONS_AT : self.end]
 
     @property
     def more_to_come(self) -> bool:
-        """Whether the sender wants no reply to this message."""
+        """Return whether the sender wants no reply to this message."""
         return bool(self.flags & MORE_TO_COME)
 
 
 def _snappy_size(data: bytes) -> int:
-    """Return the size that a snappy stream states at its front (a varint)."""
+    """Return the uncompressed size at the head of a snappy stream (a varint)."""
     size = 0
     for index, byte in enumerate(data[:_VARINT_BYTES_MAX]):
         size |= (byte & _VARINT_BITS) << (7 * index)
@@ -132,8 +132,8 @@
 def parse(frame: bytes) -> Message:
     """Parse one whole frame, header included; raises MalformedMessage with a one-line text.
 
-    Decompression is bounded: a message that would unpack to more than it states, or to more than
-    MESSAGE_BYTES_MAX, is refused before it is held in memory.
+    Decompression is bounded: a message that would decompress to more than its stated size, or to more than
+    MESSAGE_BYTES_MAX, is rejected before it is held in memory.
     """
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
     compressor = 0
@@ -152,7 +152,7 @@
 
 
 def head(frame: bytes) -> Message | None:
-    """Read what a reply needs and no more; None where that takes more, as in a compressed message."""
+    """Parse only what a reply needs; returns None if the header is not enough, as in a compressed message."""
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
     if opcode != OP_MSG or len(frame) <= _SECTIONS_AT:
         return None
@@ -172,7 +172,7 @@
         body = _DECOMPRESS[compressor](frame[_COMPRESSED_AT:], size)
     except MalformedMessage:
         raise
-    except Exception:  # each library has errors of its own, and all mean the same here
+    except Exception:  # each library raises its own types; all mean malformed input
         raise MalformedMessage("compressed message: it does not unpack") from None
     if len(body) != size:
         raise MalformedMessage("compressed message: sizes differ")
@@ -209,7 +209,7 @@
 
 
 def _checked_end(frame: bytes) -> int:
-    """Return where the sections end, before a checksum that is right."""
+    """Verify the checksum and return the offset at which the sections end."""
     end = len(frame) - _CHECKSUM.size
     if end < _SECTIONS_AT:
         raise MalformedMessage("OP_MSG: no room for the checksum")
@@ -219,7 +219,7 @@
 
 
 def _parse_sequence(frame: bytes, at: int, end: int) -> tuple[Section, int]:
-    """Return the document sequence at `at`, and where it ends."""
+    """Return the document sequence at offset `at`, and its end offset."""
     stop = at + int(_LENGTH.unpack_from(frame, at)[0])
     if stop > end or stop < at + _SEQUENCE_BYTES_MIN:
         raise MalformedMessage("OP_MSG: a document sequence has a wrong length")
@@ -246,7 +246,7 @@
 
 
 def build(body: bytes, request_id: int, response_to: int, flags: int = 0) -> bytes:
-    """Build an OP_MSG frame with one body; CHECKSUM in flags puts the checksum behind it."""
+    """Build an OP_MSG frame with one body; CHECKSUM in `flags` appends the checksum."""
     return build_raw(b"\0" + body, request_id, response_to, flags)
 
 
@@ -265,7 +265,7 @@
 
 
 def compress(frame: bytes, compressor: int) -> bytes:
-    """Return the frame as an OP_COMPRESSED one; NO_COMPRESSION leaves it as it is."""
+    """Return the frame as an OP_COMPRESSED one; NO_COMPRESSION returns it unchanged."""
     if compressor not in _COMPRESS:
         return frame
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
@@ -276,5 +276,5 @@
 
 
 def next_request_id(request_id: int) -> int:
-    """Return the id after this one; ids are positive and begin at 1 again after the largest."""
+    """Return the next request id; ids are positive and wrap around to 1 after REQUEST_ID_MAX."""
     return request_id % REQUEST_ID_MAX + 1
--- a/sedgepitch/protocols/mongodb/command_handler.py
+++ b/sedgepitch/protocols/mongodb/command_handler.py
@@ -1,6 +1,6 @@
-"""From a client's command to a request of the engine, and from the engine's response to a reply.
+"""Turn client commands into engine requests, and engine responses into replies.
 
-Commands about the connection itself are answered here and reach no endpoint.
+Commands about the connection itself are answered locally and reach no endpoint.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 BUILD_INFO_NAMES = ("buildInfo", "buildinfo")
 APP_NAME_CHARACTERS_MAX = 128
 AWAITED_HELLO_MAX_S = 60.0
-SESSION_AGE_MIN_S = 1e-6  # 0 would mean that there is no write to see
+SESSION_AGE_MIN_S = 1e-6  # 0 would mean that the read has no write to observe
 
 
 class AdmissionIdentity(NamedTuple):
-    """For whom a request is admitted, and which requests are attempts of the same."""
+    """The tenant and client of a request, and the keys that identify retries of the same request."""
 
     tenant: str = ""
     client: str = ""
     reservation_token: str = ""
-    idempotency_key: str = ""  # the same for each attempt of one request and for no other
+    idempotency_key: str = ""  # shared by all retries of one request and unique to it
 
 
 class CommandHandler:
@@ -47,7 +47,7 @@
         self._context = context
 
     def execute(self, connection: ClientConnection, message: Message) -> None:
-        """Execute one command; raises CommandError with the error that the client is to get."""
+        """Execute one command; raises CommandError with the error to return to the client."""
         command = read(message, connection.app_name, self._context.shard_field)
         if message.legacy and command.name not in HELLO_NAMES:
             raise CommandError(5739101, "UnsupportedOpQueryCommand", "OP_QUERY carries the first hello only")
@@ -94,12 +94,15 @@
             connection.request = pending
 
     def time_left(self, command: Command, deadline: float) -> float:
-        """Return the time in seconds in which the response must be decided: the client's or the class's."""
+        """Return the seconds until the response must be decided, from the shorter of both deadlines.
+
+        These are the client's maxTimeMS and the deadline of the request class, less the answer margin.
+        """
         stated = deadline if command.time_left is None else min(deadline, command.time_left)
         return stated - self._context.answer_margin
 
     def _session_age(self, command: Command, group: int, now: float) -> float | None:
-        """Return how long ago the commit was made that a read must see, in seconds; None for no such."""
+        """Return the age in seconds of the commit that a read must observe, None if it requires none."""
         if command.after is None or command.facts.writes:
             return None
         required = self._context.upstream.positions[group].required_position(command.after, now)
@@ -120,13 +123,13 @@
         tenant = _first_name(names, context.tenant_sources)
         client = _first_name(names, context.client_sources)
         transaction = _transaction_number(command)
-        # A stock client retries in the same session, on whatever connection.
+        # A standard client library retries in the same session, but possibly on another connection.
         session = command.session or str(connection.number)
         token = f"{tenant}/{session}/{command.name}/{command.namespace}/{transaction}"
         return AdmissionIdentity(tenant, client, token, f"{session}/{transaction}" if transaction else "")
 
     def response_callback(self, connection: ClientConnection, command: Command) -> Callable[[Response], None]:
-        """Return what sends the engine's response to the client."""
+        """Return a callback that sends the engine's response to the client."""
 
         def respond(response: Response) -> None:
             connection.request = None
@@ -157,7 +160,7 @@
             document = bson.decode(message.body)
         except bson.errors.BSONError:
             raise CommandError(22, "InvalidBSON", "hello: it does not decode") from None
-        _take_hello(connection, document)
+        _record_client_metadata(connection, document)
         context = self._context
         reply = hello_reply(
             context.process_id, connection.number, context.frame_bytes_max, connection.compressors
@@ -168,7 +171,7 @@
             connection.reply(message, body)
             return
 
-        # The proxy's own description never changes, so an awaited hello waits its whole time.
+        # The proxy's topology never changes, so an awaitable hello always waits for the full maxAwaitTimeMS.
         def end_wait() -> None:
             connection.awaited_hello = None
             connection.reply(message, body)
@@ -177,8 +180,8 @@
         connection.awaited_hello = context.clock.call_later(wait, end_wait)
 
 
-def _take_hello(connection: ClientConnection, document: dict[str, Any]) -> None:
-    """Keep what the client says of itself."""
+def _record_client_metadata(connection: ClientConnection, document: dict[str, Any]) -> None:
+    """Store the application name and the supported compressors of the client."""
     client = document.get("client")
     if isinstance(client, dict) and isinstance(client.get("application"), dict):
         connection.app_name = str(client["application"].get("name", ""))[:APP_NAME_CHARACTERS_MAX]
@@ -188,12 +191,12 @@
 
 
 def _first_name(names: dict[str, str], sources: tuple[str, ...]) -> str:
-    """Return the first of the sources' names that is not empty."""
+    """Return the first non-empty name among the sources."""
     return next((names[source] for source in sources if names[source]), "")
 
 
 def _transaction_number(command: Command) -> str:
-    """Return the number that a retryable write's attempts share, "" for any other command."""
+    """Return the txnNumber of a retryable write, "" for any other command."""
     if not command.facts.keyed:
         return ""
     body = command.message.body
--- a/sedgepitch/protocols/mongodb/command_table.py
+++ b/sedgepitch/protocols/mongodb/command_table.py
@@ -1,4 +1,4 @@
-"""The commands that are served, and those that a mongos knows but this proxy does not serve.
+"""The supported commands, and those that a mongos supports but this proxy does not.
 
 Source: MongoDB's command reference.
 """
@@ -40,8 +40,8 @@
     "buildinfo": CommandKind.LOCAL,
     "endSessions": CommandKind.LOCAL,
 }
-# What a mongos knows and this subset does not serve (MongoDB manual, "Database Commands"; the commands of
-# storage nodes only, and of tests, are not among them). Any other name is not known at all.
+# Commands of a mongos that this proxy does not support (MongoDB manual, "Database Commands"), without
+# commands that only storage nodes or tests use. Any other name is an unknown command.
 UNSUPPORTED = frozenset(
     """
     abortReshardCollection abortTransaction addShard addShardToZone analyze analyzeShardKey appendOplogNote
--- a/sedgepitch/protocols/mongodb/commands.py
+++ b/sedgepitch/protocols/mongodb/commands.py
@@ -1,8 +1,8 @@
-"""One command as read off the wire: what it is, what its fields ask, and what an endpoint is sent of it.
+"""Parse one command: its kind, the fields that routing needs, and the sections to forward to an endpoint.
 
-The body is walked once, without being decoded; only an aggregate's stages are looked at, since one of them
-may write. Sources: MongoDB's command reference; driver specifications for sessions, retryable writes and read
-preference.
+The body is walked once, without being decoded. Only the stages of an aggregate are inspected, since one of
+them may write. Sources: MongoDB's command reference; driver specifications for sessions, retryable writes and
+read preference.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class CommandError(ClientError):
-    """A command that cannot be taken: MongoDB's error code, its name, and one line."""
+    """A command that is invalid or not supported: MongoDB error code, code name, and a one-line text."""
 
     def __init__(self, code: int, name: str, text: str) -> None:
-        """State the error as the client is to get it."""
+        """Take the error as it is returned to the client."""
         super().__init__(text)
         self.code = code
         self.name = name
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Command:
-    """One command; what is forwarded is made of `message` when it is needed."""
+    """One command; the sections to forward are built from `message` on demand."""
 
     message: Message
     name: str
@@ -53,25 +53,25 @@
     database: str
     collection: str
     facts: CommandFacts
-    session: str = ""  # the session's id in hexadecimal, "" where there is none
-    after: OpTime | None = None  # a read must see this commit
-    time_left: float | None = None  # s, as maxTimeMS says
+    session: str = ""  # the session's id in hexadecimal, "" if there is none
+    after: OpTime | None = None  # the commit that a read must observe
+    time_left: float | None = None  # s, from maxTimeMS
     cursor_ids: tuple[int, ...] = ()
-    shard: object = None  # the value that tells the replica group
+    shard: object = None  # the shard key value, which selects the replica group
     _sections: bytes = field(default=b"", repr=False)
 
     @property
     def writes(self) -> bool:
-        """Whether it may change data."""
+        """Return whether the command may change data."""
         return self.facts.writes
 
     @property
     def namespace(self) -> str:
-        """Database and collection."""
+        """Return the namespace: database and collection, joined by a dot."""
         return f"{self.database}.{self.collection}"
 
     def sections(self) -> bytes:
-        """Return the sections to forward: unchanged, but that a read says it may run on a replica."""
+        """Return the sections to forward; a read without a read preference gets primaryPreferred."""
         if not self._sections:
             is_read = self.kind is CommandKind.READ and not self.facts.writes
             if is_read and not self.facts.read_preference:
@@ -82,7 +82,7 @@
         return self._sections
 
     def next_batch(self, endpoint_cursor_id: int) -> bytes:
-        """Return a getMore's sections with the endpoint's own cursor id."""
+        """Return the sections of a getMore with the cursor id of the endpoint."""
         cursor_id = bsonwalk.elements(self.message.body)[0]
         body = bsonwalk.replace_int64(self.message.body, cursor_id, endpoint_cursor_id)
         return BODY_SECTION + body + _encode_sequences(self.message)
@@ -99,9 +99,9 @@
 
 
 def read(message: Message, app_name: str = "", shard_field: tuple[bytes, ...] = ()) -> Command:
-    """Read one command; raises CommandError with the error that the client is to get.
+    """Parse one command; raises CommandError with the error to return to the client.
 
-    `shard_field` is the path of names to the value that tells the group, empty for none.
+    `shard_field` is the path of field names to the shard key value; empty if there is none.
     """
     try:
         return _read(message, app_name, shard_field)
@@ -183,7 +183,7 @@
 
 
 def _may_write(body: bytes, pipeline: Element | None) -> bool:
-    """Whether any stage writes; only the last may, but what cannot be read is taken for a write."""
+    """Return whether any stage may write. Stages that cannot be parsed count as writes."""
     if pipeline is None or pipeline.kind != bsonwalk.ARRAY:
         return True
     for stage in bsonwalk.elements(body, pipeline.start):
@@ -195,7 +195,7 @@
 
 
 def _read_preference(body: bytes, element: Element | None) -> tuple[str, float | None]:
-    """Return the mode and the staleness bound in seconds."""
+    """Return the read preference mode and the maximum staleness in seconds."""
     if element is None or element.kind != bsonwalk.DOCUMENT:
         return "", None
     mode = bsonwalk.text(body, bsonwalk.find(body, b"mode", element.start)) or ""
@@ -204,7 +204,7 @@
 
 
 def _read_concern(body: bytes, element: Element | None) -> tuple[str, OpTime | None]:
-    """Return the level and the commit that the read must see."""
+    """Return the read concern level and the commit that the read must observe."""
     if element is None or element.kind != bsonwalk.DOCUMENT:
         return "", None
     level = bsonwalk.text(body, bsonwalk.find(body, b"level", element.start)) or ""
@@ -215,7 +215,7 @@
 def _comment(body: bytes, element: Element | None) -> str:
     if element is None:
         return ""
-    if element.kind == bsonwalk.DOCUMENT:  # a tagged comment: its class is what rules match on
+    if element.kind == bsonwalk.DOCUMENT:  # a tagged comment: class rules match its `class` field
         return bsonwalk.text(body, bsonwalk.find(body, b"class", element.start)) or ""
     return (bsonwalk.text(body, element) or "")[:COMMENT_CHARACTERS_MAX]
 
@@ -244,7 +244,7 @@
 
 
 def _value_at(body: bytes, path: tuple[bytes, ...]) -> object:
-    """Return the string or number at a path of names, None where there is none."""
+    """Return the string or number at a path of field names, None if there is none."""
     *parents, last = path
     at = 0
     for name in parents:
--- a/sedgepitch/protocols/mongodb/cursor_handler.py
+++ b/sedgepitch/protocols/mongodb/cursor_handler.py
@@ -1,6 +1,6 @@
-"""Cursors: replies that open one, getMore, killCursors, and closing those that nobody needs any more.
+"""Cursors: replies that open one, getMore, killCursors, and closing unused cursors on endpoints.
 
-Clients see cursor ids of the proxy's own; an endpoint's id is put in place of it on the way there.
+Clients receive cursor ids that the proxy assigns; they are replaced with the endpoint's id when forwarding.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     from sedgepitch.protocols.mongodb.client import ClientConnection
     from sedgepitch.protocols.mongodb.client_context import ClientContext
 
-CLOSE_TIMEOUT_S = 1.0  # that an endpoint's answer to a killCursors is waited for
+CLOSE_TIMEOUT_S = 1.0  # for an endpoint's reply to killCursors
 
 
 class CursorHandler:
@@ -31,11 +31,11 @@
     __slots__ = ("_context",)
 
     def __init__(self, context: ClientContext) -> None:
-        """Serve the cursors of the connections that share this context."""
+        """Handle the cursors of the connections that share this context."""
         self._context = context
 
     def forward(self, connection: ClientConnection, command: Command, response: Response) -> None:
-        """Forward an endpoint's reply; a cursor that it opens gets an id of the proxy's own."""
+        """Forward an endpoint's reply; the id of a new cursor is replaced with one of the proxy."""
         reply: EndpointReply = response.reply
         body = reply.body
         if reply.cursor is not None and response.endpoint is not None:
@@ -56,7 +56,7 @@
         return cursor
 
     def get_more(self, connection: ClientConnection, command: Command) -> None:
-        """Ask the endpoint that holds a cursor for its next batch."""
+        """Request the next batch of a cursor from the endpoint that holds it."""
         context = self._context
         now = context.clock.now()
         cursor_id = command.cursor_ids[0]
@@ -87,7 +87,7 @@
     ) -> None:
         cursors = self._context.cursors
         if response.status is not ResponseStatus.SERVED:
-            # Whether the batch was taken from the cursor is not known, so it cannot be continued.
+            # It is unknown whether the endpoint advanced the cursor, so the cursor cannot be continued.
             cursors.close(cursor_id)
             connection.reply(command.message, error_replies.cursor_not_found(cursor_id))
             return
@@ -102,7 +102,7 @@
         connection.reply(command.message, body)
 
     def kill_cursors(self, connection: ClientConnection, command: Command) -> None:
-        """Close cursors for a client."""
+        """Close the cursors that a client names in killCursors."""
         killed: list[bson.Int64] = []
         unknown: list[bson.Int64] = []
         for cursor_id in command.cursor_ids:
@@ -122,7 +122,7 @@
         connection.reply(command.message, bson.encode(body))
 
     def close_on_endpoints(self, cursors: Iterable[Cursor]) -> None:
-        """Have endpoints close cursors that are not needed any more, where they may still be asked."""
+        """Send killCursors for unused cursors to their endpoints, unless the drain grace period is over."""
         context = self._context
         now = context.clock.now()
         for cursor in cursors:
--- a/sedgepitch/protocols/mongodb/endpoint_connection.py
+++ b/sedgepitch/protocols/mongodb/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: hello, then one command at a time and its reply."""
+"""One connection to an endpoint: a hello handshake, then one command in flight at a time."""
 
 from __future__ import annotations
 
@@ -18,50 +18,50 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionCallbacks:
-    """Whom a connection tells: `ready` or `failed` once, and `lost` once after `ready`."""
+    """Callbacks of a connection: either `ready` or `failed` is called once, `lost` once after `ready`."""
 
-    ready: Callable[[EndpointConnection, Message], None]  # with the answer to hello
+    ready: Callable[[EndpointConnection, Message], None]  # with the reply to hello
     failed: Callable[[str], None]
     lost: Callable[[str], None]
-    bytes_arrived: Callable[[float], None]  # gets the time of arrival in monotonic s, 0 where unknown
+    bytes_arrived: Callable[[float], None]  # with the arrival time in monotonic seconds, 0 if unknown
 
 
 class EndpointConnection(FrameReceiver):
-    """One connection to an endpoint: says `hello`, then carries one command at a time."""
+    """One connection to an endpoint: sends `hello`, then carries one command at a time."""
 
     def __init__(self, hello: Payload, callbacks: ConnectionCallbacks) -> None:
-        """Prepare a connection that opens with this `hello`."""
+        """Create a connection that starts with this `hello`."""
         super().__init__()
         self.hello = hello
         self.callbacks = callbacks
-        self.request_id = 0  # of the command in flight, or the last one
-        self.ready = False  # hello has been answered
+        self.request_id = 0  # of the command in flight or, if there is none, the last one
+        self.ready = False  # the reply to hello has arrived
         self.on_reply: Callable[[Message], None] | None = None
         self.close_reason = ""
 
     def connectionMade(self) -> None:
-        """Say hello first."""
+        """Send hello first."""
         self.transport.set_no_delay()
         self._write(self.hello)
 
-    # What the connection pool asks
+    # Called by the connection pool
 
     def start(self, payload: Payload, done: Callable[[Message], None]) -> None:
-        """Send one command; `done` gets its reply."""
+        """Send one command; `done` is called with its reply."""
         self.on_reply = done
         self._write(payload)
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
         self.close_reason = self.close_reason or "closed here"
         self.transport.abortConnection()
 
     def unsent(self) -> int:
-        """Return how many bytes wait for the socket to take them."""
+        """Return the number of bytes that are not yet written to the socket."""
         return unsent_bytes(self.transport)
 
     def usable(self) -> bool:
-        """Whether it may carry the next command."""
+        """Return whether the connection can carry the next command."""
         return socket_state.is_quiet(self.transport)
 
     def _write(self, payload: Payload) -> None:
@@ -71,12 +71,12 @@
     # Replies
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes, and report when they arrived."""
+        """Report the arrival time of the bytes, then process them."""
         self.callbacks.bytes_arrived(arrival_time(self.transport))
         super().dataReceived(data)
 
     def frame_received(self, frame: bytes) -> None:
-        """Take one reply. One that was not asked for ends the connection: nothing after it can be trusted."""
+        """Process one reply. An unsolicited reply closes the connection: later replies cannot be matched."""
         try:
             message = codec.parse(frame)
         except MalformedMessage as error:
@@ -95,20 +95,20 @@
         on_reply(message)
 
     def length_refused(self, length: int) -> None:
-        """End the connection on a frame length out of bounds."""
+        """Close the connection on a frame length out of bounds."""
         self._break(f"a reply of {length} bytes")
 
     # Closing
 
-    def _break(self, why: str) -> None:
-        self.close_reason = why
+    def _break(self, reason: str) -> None:
+        self.close_reason = reason
         self.broken = True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The connection has ended, by either side."""
-        why = self.close_reason or reason.getErrorMessage()
+        """Report that the connection was closed, by either side."""
+        text = self.close_reason or reason.getErrorMessage()
         if self.ready:
-            self.callbacks.lost(why)
+            self.callbacks.lost(text)
         else:
-            self.callbacks.failed(why)
+            self.callbacks.failed(text)
--- a/sedgepitch/protocols/mongodb/error_replies.py
+++ b/sedgepitch/protocols/mongodb/error_replies.py
@@ -1,7 +1,8 @@
-"""The documents that answer a client when no endpoint's reply does.
+"""Error documents that the proxy itself returns to clients.
 
-Rejected means that nothing ran: the labels invite a stock client to retry, and `retryAfterMS` says when.
-Failed promises nothing, so it carries no label and a code that no client library takes for a reason to retry.
+Rejected means that nothing ran: the error labels make a standard client library retry, and `retryAfterMS`
+gives the delay. Failed means that the command may have run, so the reply has no label and a code that no
+client library retries.
 Codes and labels: MongoDB's error_codes.yml, the retryable reads and writes specifications.
 """
 
@@ -20,14 +21,15 @@
 
 
 def error(code: int, name: str, text: str) -> bytes:
-    """Return an error without labels."""
+    """Return an error document without labels."""
     return bson.encode({"ok": 0.0, "errmsg": text, "code": code, "codeName": name})
 
 
 def rejected(why: str, retry_after: float, writes: bool, reserved: bool = False) -> bytes:
     """Return a rejection.
 
-    `retry_after` is in seconds, 0 for no advice; `reserved` says that capacity is reserved for that time.
+    `retry_after` is in seconds, 0 for none. `reserved` states whether capacity is reserved for the retry at
+    that time.
     """
     code, name = REJECTED
     document = {
@@ -44,11 +46,11 @@
 
 
 def failed(why: str, writes: bool) -> bytes:
-    """Return a failure."""
+    """Return the error for a command that failed, and may have run if it is a write."""
     text = f"failed, and may have run: {why}" if writes else f"failed: {why}"
     return error(*FAILED, text)
 
 
 def cursor_not_found(cursor_id: int) -> bytes:
-    """Return the answer for a cursor that is not open, or not any more."""
+    """Return the error for a cursor id that is unknown or already closed."""
     return error(*CURSOR_NOT_FOUND, f"cursor id {cursor_id} not found")
--- a/sedgepitch/protocols/mongodb/health_check.py
+++ b/sedgepitch/protocols/mongodb/health_check.py
@@ -1,4 +1,4 @@
-"""One health check: an endpoint's answer, held back while the primary is asked as well."""
+"""One health check: an endpoint's reply, reported once the parallel query of the primary has ended too."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class HealthCheck:
-    """Calls `on_end` once, when both answers are there. An unanswered question counts as answered."""
+    """Call `on_end` once, when both queries have ended. A query that times out counts as ended."""
 
     __slots__ = ("_on_end", "_outcome", "awaits_primary")
 
     def __init__(self, on_end: AttemptCallback) -> None:
-        """Begin with both answers missing; set `awaits_primary` where the primary is asked as well."""
+        """Start without results; the caller sets `awaits_primary` if it queries the primary as well."""
         self._on_end = on_end
         self._outcome: AttemptOutcome | None = None
         self.awaits_primary = False
 
     def answered(self, outcome: AttemptOutcome) -> None:
-        """The endpoint's answer, or that there was none."""
+        """Store the outcome of the query of the endpoint, including a time-out."""
         self._outcome = outcome
         self._end_if_complete()
 
     def primary_observed(self) -> None:
-        """The primary has been asked, with whatever success."""
+        """Note that the query of the primary has ended, successfully or not."""
         self.awaits_primary = False
         self._end_if_complete()
 
--- a/sedgepitch/protocols/mongodb/hello.py
+++ b/sedgepitch/protocols/mongodb/hello.py
@@ -1,4 +1,4 @@
-"""The hello command: what the proxy says of itself, what it asks endpoints, and what they answer."""
+"""The hello command: the proxy's reply to clients, its request to endpoints, and their replies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 DOCUMENT_BYTES_MAX = 16 * 1024 * 1024
 WRITE_BATCH_MAX = 100_000
-SESSION_TIMEOUT_MIN = 30
+SESSION_TIMEOUT_MIN = 30  # minutes
 WIRE_VERSION_MIN = 0
 WIRE_VERSION_MAX = 21
 BUILD_INFO = {
@@ -29,18 +29,18 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointHello:
-    """An endpoint's own report of itself."""
+    """The state that an endpoint reports about itself."""
 
     primary: bool
-    term: int  # of its last log entry
+    term: int  # of its last oplog entry
     optime: OpTime | None
-    load: float | None  # requests that wait there
+    load: float | None  # requests queued at the endpoint
 
 
 def hello_reply(
     process_id: bson.ObjectId, connection: int, frame_bytes_max: int, compressors: list[str]
 ) -> dict[str, Any]:
-    """Return what a mongos says of itself to a client; `connection` is the connection's number."""
+    """Return the hello reply of a mongos to a client; `connection` is the connection's number."""
     return {
         "isWritablePrimary": True,
         "ismaster": True,
@@ -62,7 +62,7 @@
 
 
 def hello_command(app_name: str) -> RawSections:
-    """Return the hello that opens a connection to an endpoint and is its health check."""
+    """Return the hello command that opens connections to endpoints and serves as their health check."""
     client = {
         "application": {"name": app_name},
         "driver": {"name": "sedgepitch", "version": "0.2.0"},
@@ -73,7 +73,7 @@
 
 
 def read_hello(message: Message) -> EndpointHello | None:
-    """Read an endpoint's answer to hello; None where it is an error or cannot be read."""
+    """Parse an endpoint's reply to hello; returns None for an error or a malformed reply."""
     try:
         document = bson.decode(message.body)
         if document.get("ok") != 1:
--- a/sedgepitch/protocols/mongodb/outcomes.py
+++ b/sedgepitch/protocols/mongodb/outcomes.py
@@ -1,6 +1,6 @@
-"""From an endpoint's reply to the outcome of an attempt.
+"""Map an endpoint's error reply to the outcome of an attempt.
 
-Every error that does not stand in the table is the answer to the client's request, and is forwarded. Codes
+An error that is not in the table is a result of the client's request, and is forwarded to the client. Codes
 and names: MongoDB's error_codes.yml.
 """
 
@@ -17,23 +17,23 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorMeaning:
-    """What an error code says of the attempt and of its endpoint."""
+    """What an error code means for the attempt and its endpoint."""
 
     result: AttemptResult
     rejects_writes: bool  # the endpoint is not the primary
-    text: str  # for the operator; the code follows
+    text: str  # for operators; the code is appended
 
 
 class Meaning(Enum):
-    """The meanings of the errors that are the endpoint's and not the request's."""
+    """The meanings of errors that concern the endpoint and not the request."""
 
-    # Rejected before anything ran: it is not the primary, or may not be read.
+    # Rejected, nothing ran: the endpoint is not the primary, or does not serve reads.
     NOT_PRIMARY = ErrorMeaning(AttemptResult.NOT_ELIGIBLE, True, "not primary")
-    # The endpoint lost its role while the command ran, which may have had an effect.
+    # The endpoint stepped down as primary while the command ran; the command may have had an effect.
     STEPPED_DOWN = ErrorMeaning(AttemptResult.ERROR, True, "stepped down")
     # The endpoint sheds load; nothing ran.
     OVERLOADED = ErrorMeaning(AttemptResult.OVERLOADED, False, "full")
-    # The endpoint's own fault; the command may have run.
+    # A fault of the endpoint; the command may have run.
     ENDPOINT_FAULT = ErrorMeaning(AttemptResult.ERROR, False, "member in trouble")
 
 
@@ -54,29 +54,30 @@
     9001: Meaning.ENDPOINT_FAULT,  # SocketException
     11600: Meaning.ENDPOINT_FAULT,  # InterruptedAtShutdown
 }
-NEVER_RAN_LABEL = b"NoWritesPerformed"
+NO_WRITES_LABEL = b"NoWritesPerformed"
 
 
 def error_meaning(summary: ReplySummary) -> ErrorMeaning | None:
-    """Return the meaning of an endpoint's error, None where the error answers the request itself.
+    """Return the meaning of an endpoint's error, None if it is a result of the request itself.
 
-    The label says that nothing ran, whatever the code; a lost role counts first.
+    NoWritesPerformed means that nothing ran, whatever the code. Codes that report the loss of the primary
+    role take precedence over the label.
     """
     meaning = MEANING_OF_CODE.get(summary.code)
     if meaning is not None and meaning.value.rejects_writes:
         return meaning.value
-    if NEVER_RAN_LABEL in summary.labels:
+    if NO_WRITES_LABEL in summary.labels:
         return Meaning.OVERLOADED.value
     return None if meaning is None else meaning.value
 
 
 def error_outcome(meaning: ErrorMeaning, summary: ReplySummary, message: Message) -> AttemptOutcome:
-    """Return the outcome of an attempt that ended in an endpoint's error."""
+    """Return the outcome of an attempt that an endpoint answered with this error."""
     primary = False if meaning.rejects_writes else None
     why = f"{meaning.text} (code {summary.code})"
     return AttemptOutcome(meaning.result, message, primary, why=why)
 
 
 def malformed_outcome(error: Exception) -> AttemptOutcome:
-    """Return the outcome of an attempt whose reply could not be read."""
+    """Return the outcome of an attempt whose reply is malformed."""
     return AttemptOutcome(AttemptResult.ERROR, why=f"bad reply: {error}")
--- a/sedgepitch/protocols/mongodb/payload.py
+++ b/sedgepitch/protocols/mongodb/payload.py
@@ -1,4 +1,4 @@
-"""What an endpoint is sent: the sections of one OP_MSG."""
+"""Commands as they are sent to an endpoint: the sections of one OP_MSG."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Payload(Protocol):
-    """The sections of a command, and whether it may change data."""
+    """A command to send: its sections, and whether it may change data."""
 
     @property
     def writes(self) -> bool:
-        """Whether it may change data."""
+        """Return whether the command may change data."""
 
     def sections(self) -> bytes:
         """Return the encoded sections."""
 
 
 class RawSections:
-    """A payload of sections that are encoded already."""
+    """A payload of already encoded sections."""
 
     __slots__ = ("_sections", "writes")
 
     def __init__(self, sections: bytes, writes: bool = False) -> None:
-        """Take encoded sections; `writes` says whether they may change data."""
+        """Take encoded sections; `writes` states whether the command may change data."""
         self._sections = sections
         self.writes = writes
 
--- a/sedgepitch/protocols/mongodb/reply.py
+++ b/sedgepitch/protocols/mongodb/reply.py
@@ -1,4 +1,4 @@
-"""What a reply of an endpoint says at its top level. Bodies stay bytes; one walk finds what is needed."""
+"""The top-level fields of an endpoint's reply, extracted in one walk. Bodies stay bytes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointReply:
-    """A reply as the client side needs it: the body, and its cursor document if it has one."""
+    """A reply to forward to a client: the body, and its cursor document if it has one."""
 
     body: bytes
     cursor: bsonwalk.Element | None
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True)
 class ReplySummary:
-    """What a reply says at its top level."""
+    """The top-level fields of a reply that the proxy evaluates."""
 
     ok: bool
-    code: int  # of an error, 0 where there is none
+    code: int  # error code, 0 if there is none
     labels: bytes  # the raw array of error labels
     optime: OpTime | None
     cursor: bsonwalk.Element | None
 
 
 def summarize(message: Message) -> ReplySummary:
-    """Walk a reply's top level; raises MalformedDocument."""
+    """Extract the top-level fields of a reply; raises MalformedDocument."""
     body = message.body
     summary = ReplySummary(ok=False, code=0, labels=b"", optime=None, cursor=None)
     for element in bsonwalk.elements(body):
--- a/sedgepitch/protocols/mongodb/upstream.py
+++ b/sedgepitch/protocols/mongodb/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream side of the MongoDB protocol: the endpoints' connection pools, health checks and positions."""
+"""The upstream side of the MongoDB protocol: connection pools, health checks and positions of endpoints."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 from sedgepitch.protocols.mongodb.reply import EndpointReply, ReplySummary, summarize
 from sedgepitch.routing.messages import AttemptResult, EndpointEntry, LoadReport
 
-PRIMARY_OBSERVATION_TIMEOUT_S = 0.05  # that a health check waits for the primary's position
+PRIMARY_OBSERVATION_TIMEOUT_S = 0.05  # how long a health check waits for the primary's position
 HEALTH_CHECK_CONNECTIONS_MAX = 4
-CONNECT_TIMEOUT_MIN_S = 1.0  # of one try; the pool's own bound ends an opening first
+CONNECT_TIMEOUT_MIN_S = 1.0  # of the TCP connect; the pool's own timeout is reached first
 
 
 class SentCommand(Protocol):
-    """What the connection pool tells of the attempt that a reply belongs to."""
+    """The part of the connection pool's attempt that reply handling needs."""
 
     payload: Payload
-    sent_at: float  # s of the clock
+    sent_at: float  # clock time in s
 
 
 @dataclass(slots=True)
 class EndpointPools:
-    """One endpoint: its address and its connections, with those of health checks apart."""
+    """One endpoint: its address, and separate connection pools for requests and health checks."""
 
     id: int
     group: int
@@ -56,9 +56,9 @@
 class MongoUpstream:
     """All endpoints of all groups: the engine's `Upstream` for this protocol.
 
-    `addresses` gives the endpoints' addresses: id -> (host, port). `health_check_timeout` is in seconds.
-    Where the newest observation of the primary is older than `observation_age_max` seconds, a health check of
-    a replica asks the primary as well.
+    `addresses` maps endpoint ids to (host, port). `health_check_timeout` is in seconds. If the latest
+    observation of the primary is older than `observation_age_max` seconds, a health check of a replica
+    queries the primary as well.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         health_check_timeout: float,
         observation_age_max: float,
     ) -> None:
-        """Begin without endpoints; `update_endpoints` opens their pools."""
+        """Start without endpoints; `update_endpoints` creates their pools."""
         self.reactor = reactor
         self.clock = clock
         self.addresses = addresses
@@ -79,44 +79,44 @@
         self.health_check_timeout = health_check_timeout
         self.observation_age_max = observation_age_max
         self.pools: dict[int, EndpointPools] = {}
-        # A group may be asked for before any list has named its endpoints, as by a proxy that just started.
+        # A group may be looked up before an endpoint list names its endpoints, for example after start-up.
         self.positions: defaultdict[int, GroupPositions] = defaultdict(GroupPositions)
         self.hello = hello_command(app_name)
         self.on_bytes_arrived: Callable[[float], None] = ignore
 
-    # The engine's side
+    # Called by the engine
 
     def update_endpoints(self, entries: tuple[EndpointEntry, ...], complete: bool) -> None:  # noqa: ARG002  # of Upstream
-        """Open pools for new endpoints; one that is gone keeps its pool for what is in flight."""
+        """Create pools for new endpoints; removed endpoints keep theirs for requests in flight."""
         for entry in entries:
             address = self.addresses.get(entry.endpoint)
             if address is None:
                 continue
-            known = self.pools.get(entry.endpoint)
-            if known is None or known.address != address:
-                if known is not None:
-                    known.close()
-                known = self._make_pools(entry, address)
-                self.pools[entry.endpoint] = known
-            known.listed_primary = entry.primary
+            pools = self.pools.get(entry.endpoint)
+            if pools is None or pools.address != address:
+                if pools is not None:
+                    pools.close()
+                pools = self._make_pools(entry, address)
+                self.pools[entry.endpoint] = pools
+            pools.listed_primary = entry.primary
 
     def send(self, endpoint: int, payload: object, on_end: AttemptCallback, send_by: float) -> AttemptHandle:
-        """Send a command; one that cannot leave by `send_by`, a time of the clock, ends as not sent."""
+        """Send a command; if it cannot be sent by the clock time `send_by`, it ends as not sent."""
         return self.pools[endpoint].pool.send(payload, on_end, send_by)
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the connections to an endpoint that are not in use."""
+        """Close the idle connections to an endpoint."""
         self.pools[endpoint].pool.close_idle()
 
     def close(self) -> None:
         """Close all connections."""
-        for known in self.pools.values():
-            known.close()
+        for pools in self.pools.values():
+            pools.close()
 
     # Health checks
 
     def check_health(self, endpoint: int, on_end: AttemptCallback) -> None:
-        """Ask an endpoint by hello, and the primary for its position where the newest is too old."""
+        """Send hello to an endpoint, and to the primary if its latest known position is too old."""
         checked = self.pools[endpoint]
         positions = self.positions[checked.group]
         primary = self._primary_of(checked.group)
@@ -129,16 +129,16 @@
         ):
             check.awaits_primary = True
             self._observe_primary(primary, check.primary_observed)
-        self._ask(checked, check.answered, self.health_check_timeout)
+        self._send_hello(checked, check.answered, self.health_check_timeout)
 
     def _primary_of(self, group: int) -> EndpointPools | None:
         primary = self.positions[group].primary
         if primary is not None:
             return self.pools.get(primary)
-        return next((x for x in self.pools.values() if x.group == group and x.listed_primary), None)
+        return next((p for p in self.pools.values() if p.group == group and p.listed_primary), None)
 
     def _observe_primary(self, primary: EndpointPools, then: Callable[[], None]) -> None:
-        """Ask the primary by hello; questions at the same time share one."""
+        """Send hello to the primary; concurrent callers share one hello."""
         primary.observation_waiters.append(then)
         if len(primary.observation_waiters) > 1:
             return
@@ -148,13 +148,13 @@
             for waiter in waiters:
                 waiter()
 
-        self._ask(primary, observed, PRIMARY_OBSERVATION_TIMEOUT_S)
+        self._send_hello(primary, observed, PRIMARY_OBSERVATION_TIMEOUT_S)
 
-    def _ask(self, endpoint: EndpointPools, on_end: AttemptCallback, timeout: float) -> None:
+    def _send_hello(self, endpoint: EndpointPools, on_end: AttemptCallback, timeout: float) -> None:
         endpoint.health_checks.send_with_timeout(self.hello, on_end, timeout)
 
     def _with_position(self, checked: EndpointPools, outcome: AttemptOutcome) -> AttemptOutcome:
-        """Bring a replica's position up to date with what was observed of the primary meanwhile."""
+        """Update a replica's position in the outcome with the latest observation of the primary."""
         report = outcome.report
         if report is None or report.primary is True:
             return outcome
@@ -170,10 +170,10 @@
         def connect(
             ready: Callable[[Any], None], failed: Callable[[str], None], lost: Callable[[str], None]
         ) -> Callable[[], None]:
-            asked = self.clock.now()
+            connect_started_at = self.clock.now()
 
             def on_ready(connection: EndpointConnection, message: Message) -> None:
-                self._observe_hello(endpoint, group, asked, read_hello(message))
+                self._observe_hello(endpoint, group, connect_started_at, read_hello(message))
                 ready(connection)
 
             return self._open(address, ConnectionCallbacks(on_ready, failed, lost, self.on_bytes_arrived))
@@ -198,7 +198,7 @@
         )
 
     def _open(self, address: tuple[str, int], callbacks: ConnectionCallbacks) -> Callable[[], None]:
-        """Begin to connect; what is returned gives it up."""
+        """Start to connect; returns a function that cancels the attempt."""
         timeout = self.limits.connect_timeout
         opening = OutgoingConnection(
             lambda: EndpointConnection(self.hello, callbacks), callbacks.failed, timeout
@@ -209,11 +209,11 @@
     # Replies
 
     def _observe_hello(
-        self, endpoint: int, group: int, asked: float, hello: EndpointHello | None
+        self, endpoint: int, group: int, sent_at: float, hello: EndpointHello | None
     ) -> EndpointEvidence:
         if hello is None:
             return UNPROVEN
-        return self.positions[group].observe_hello(endpoint, asked, hello.primary, hello.term, hello.optime)
+        return self.positions[group].observe_hello(endpoint, sent_at, hello.primary, hello.term, hello.optime)
 
     def _hello_outcome(
         self, endpoint: int, group: int, exchange: SentCommand, message: Message
