--- a/sedgepitch/peers/__init__.py
+++ b/sedgepitch/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip and zone failover on sockets, where the settings have a part `peers`. Nothing here decides."""
+"""Gossip and zone failover on sockets, for settings with a section `peers`; the logic is in `decisions`."""
--- a/sedgepitch/peers/__main__.py
+++ b/sedgepitch/peers/__main__.py
@@ -1,10 +1,10 @@
-"""A gossip peer without a proxy: joins the cluster and prints what it hears.
+"""A gossip peer without a proxy: joins the cluster and prints events.
 
 `python -m sedgepitch.peers --name NAME --key FILE [--listen 127.0.0.1:0] [--seed HOST:PORT ...]`
 
-Prints one JSON object a line: first `ready` with the address, then each event with its time on the monotonic
-clock. Takes commands on standard input: `tell KIND TEXT` publishes a state entry, `status [KIND ...]` prints
-what is known, `stop` leaves. For tests and for operators.
+Prints one JSON object per line: first `ready` with the address, then each event with its time on the
+monotonic clock. Reads commands from standard input: `tell KIND TEXT` publishes a state entry, `status [KIND
+...]` prints the known members and entries, `stop` leaves the cluster. For tests and operators.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 if TYPE_CHECKING:
     from sedgepitch.peers.service import PeerService, PeerSettings
 
-CLOSING_TIME_S = 0.05  # for the announcement to leave the sockets
-DIGITS = 4  # of seconds
+CLOSING_TIME_S = 0.05  # time to send the leave announcement before exit
+DIGITS = 4  # decimal places of times in seconds
 Reactor = Any  # Twisted's reactors have no common type
 
 
@@ -37,11 +37,13 @@
 
 
 @click.command()
-@click.option("--name", required=True, help="Of this peer; each has its own.")
-@click.option("--key", required=True, type=click.Path(dir_okay=False), help="The key file.")
+@click.option("--name", required=True, help="Name of this peer, unique in the cluster.")
+@click.option("--key", required=True, type=click.Path(dir_okay=False), help="The file with the shared keys.")
 @click.option("--listen", default="127.0.0.1:0", show_default=True)
-@click.option("--seed", "seeds", multiple=True, help="An address to ask first.")
-@click.option("--route", "routes", multiple=True, help="NAME=HOST:PORT: how a peer is reached from here.")
+@click.option("--seed", "seeds", multiple=True, help="Address of a peer to contact first.")
+@click.option(
+    "--route", "routes", multiple=True, help="NAME=HOST:PORT: address under which this peer reaches another."
+)
 @click.option("--period", default=0.25, show_default=True, type=click.FloatRange(0.02, 60.0))
 def main(
     name: str, key: str, listen: str, seeds: tuple[str, ...], routes: tuple[str, ...], period: float
@@ -92,7 +94,7 @@
         delimiter = b"\n"
 
         def lineReceived(self, line: bytes) -> None:
-            """Carry out one command."""
+            """Execute one command."""
             command, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
             if command == "tell":
                 _publish(service, rest)
@@ -112,7 +114,7 @@
 
 
 def _publish(service: PeerService, arguments: str) -> None:
-    """Publish `KIND TEXT`."""
+    """Publish a state entry given as `KIND TEXT`."""
     kind, _, text = arguments.partition(" ")
     try:
         service.publish(kind, text.encode())
@@ -121,7 +123,7 @@
 
 
 def _print_status(service: PeerService, kinds: list[str]) -> None:
-    """Print what the peer knows, with the state entries of these kinds."""
+    """Print the peer's status, with the state entries of the given kinds."""
     entries = {
         kind: {
             origin: (round(entry.age, DIGITS), entry.body.decode("utf-8", "replace"))
--- a/sedgepitch/peers/counters.py
+++ b/sedgepitch/peers/counters.py
@@ -1,4 +1,4 @@
-"""What a peer counts, under the names that its status shows."""
+"""Counters of a peer; their values are the keys on its status page."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     SEND_FAILED = "unsent"
     ACCEPTED = "taken"
     REPLAYED = "replayed"
-    UNPROVEN_SESSION = "unproven"  # dropped, since its sender was challenged just now
+    UNPROVEN_SESSION = "unproven"  # dropped, since its sender was challenged a moment ago
     MISADDRESSED = "not for me"
-    STALE = "old"  # waited in the socket while this process was suspended
+    STALE = "old"  # was queued in the socket while this process was suspended
     INVALID_DATAGRAM = "bad"
     INVALID_FRAME = "bad frames"
     STREAMS = "streams"
--- a/sedgepitch/peers/datagrams.py
+++ b/sedgepitch/peers/datagrams.py
@@ -1,7 +1,8 @@
 """Datagrams of a peer: sent and received on its UDP port, with replay protection.
 
-A datagram of an unproven session is kept for a moment while its sender is challenged, and handled once the
-session is proven. What waited in the socket while this process was suspended is stale and dropped.
+The first datagram of an unproven session is kept for UNPROVEN_KEPT_S while its sender is challenged, and
+handled once the session is proven. Datagrams that were queued in the socket while this process was suspended
+are stale and dropped.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 MAX_CHALLENGE_RESPONSES_PER_S = 50
 MAX_NONCE_BYTES = 64
-UNPROVEN_KEPT_S = 0.5  # how long a first datagram waits for its sender's response
+UNPROVEN_KEPT_S = 0.5  # how long a datagram is kept for the response to the challenge
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,21 +34,21 @@
 
 
 class Datagrams(DatagramProtocol):
-    """The UDP side of a peer service. `sessions` is shared with the streams, which prove sessions as well."""
+    """The UDP side of a peer service. `sessions` is shared with streams, which also prove sessions."""
 
     transport: Any
 
     def __init__(self, service: PeerService, sessions: SenderSessions) -> None:
-        """Begin without messages of unproven sessions."""
+        """Start without messages of unproven sessions."""
         self.sessions = sessions
         self.sent_bytes = 0
         self._service = service
         self._unproven: dict[str, _UnprovenMessage] = {}
-        self._response_second_from = 0.0
-        self._responses_in_second = 0
+        self._response_window_start = 0.0
+        self._responses_in_window = 0
 
     def send(self, to: str, address: Address, body: wire.Body) -> None:
-        """Send one message; where the socket's buffer is full it is as lost on the way."""
+        """Send one message; if the socket buffer is full, it is dropped and counted."""
         service = self._service
         if self.transport is None or service.stopped:
             return
@@ -61,7 +62,7 @@
         self.sent_bytes += len(data)
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
-        """Take a datagram; one that is not authentic has no effect but a count."""
+        """Handle a datagram; one that is not authentic is only counted."""
         service = self._service
         if service.node is None or service.stopped:
             return
@@ -80,13 +81,13 @@
         self._handle(service.clock.now(), envelope, addr)
 
     def session_proven(self, now: float, sender: str) -> None:
-        """Handle the message that waited for its sender's session to be proven, if it is not too old."""
-        waiting = self._unproven.pop(sender, None)
-        if waiting is not None and now - waiting.received_at <= UNPROVEN_KEPT_S:
-            self._service.handle_message(now, sender, waiting.message)
+        """Handle the message kept until its sender's session was proven, unless it is too old."""
+        unproven = self._unproven.pop(sender, None)
+        if unproven is not None and now - unproven.received_at <= UNPROVEN_KEPT_S:
+            self._service.handle_message(now, sender, unproven.message)
 
     def forget_unproven(self) -> None:
-        """Drop the messages that wait for a session to be proven."""
+        """Drop all messages of unproven sessions."""
         self._unproven.clear()
 
     def _handle(self, now: float, envelope: Envelope, source: Address) -> None:
@@ -123,12 +124,12 @@
         self.send(sender, self._service.address_of(sender) or source, Challenge(nonce))
 
     def _respond(self, now: float, sender: str, challenge: Challenge, source: Address) -> None:
-        """Repeat the nonce of a challenge, at a bounded rate."""
-        if now - self._response_second_from >= 1.0:
-            self._response_second_from = now
-            self._responses_in_second = 0
-        self._responses_in_second += 1
-        allowed = self._responses_in_second <= MAX_CHALLENGE_RESPONSES_PER_S
+        """Return the nonce of a challenge to its sender, at a limited rate."""
+        if now - self._response_window_start >= 1.0:
+            self._response_window_start = now
+            self._responses_in_window = 0
+        self._responses_in_window += 1
+        allowed = self._responses_in_window <= MAX_CHALLENGE_RESPONSES_PER_S
         if allowed and len(challenge.nonce) <= MAX_NONCE_BYTES:
             address = self._service.address_of(sender) or source
             self.send(sender, address, ChallengeResponse(challenge.nonce))
--- a/sedgepitch/peers/entry_kinds.py
+++ b/sedgepitch/peers/entry_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of state entries that instances publish; the names are on the wire."""
+"""Kinds of state entries that proxy instances publish; the values are sent on the wire."""
 
 ZONE_DIGEST = "zones"
 ZONE_COMMANDS = "orders"
--- a/sedgepitch/peers/keys.py
+++ b/sedgepitch/peers/keys.py
@@ -1,8 +1,8 @@
 """The key file, and the authentication of datagrams and frames.
 
-A key file has one key a line, 64 to 128 hexadecimal digits; lines that begin with # are comments. The first
-key authenticates what is sent, all of them are accepted, so that a key is changed by adding the new one
-everywhere, then putting it first, then removing the old one.
+A key file has one key per line, 64 to 128 hexadecimal digits; lines that begin with # are comments. Sent
+messages are authenticated with the first key; received ones may use any of the keys. To rotate a key, add the
+new one on all hosts, then move it to the first line, then remove the old one.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 VERSION = 1
 TAG_BYTES = 16
 KEY_BYTES_MIN = 32
-KEY_BYTES_MAX = 64  # of BLAKE2b
+KEY_BYTES_MAX = 64  # the maximum of BLAKE2b
 MAX_KEYS = 4
 MAX_FILE_BYTES = 4096
 PERSONALIZATION = b"sedgepitch peers"
@@ -28,22 +28,22 @@
 
 
 class KeyFileError(ConfigurationError, ValueError):
-    """A key file that cannot be used; one line that names the place."""
+    """A key file that cannot be used; the text is one line with file and line number."""
 
 
 class KeyLengthError(ConfigurationError, ValueError):
-    """No key, or one of a length that cannot be used."""
+    """There is no key, or a key has an unsupported length."""
 
 
 class AuthenticationError(PeerError):
-    """Bytes that no holder of a key wrote, or of a version that is not supported."""
+    """Bytes that were not sealed with a known key, or that have an unsupported version."""
 
 
 class Authenticator:
     """Adds and checks the version byte and the keyed BLAKE2b tag. Raises KeyLengthError."""
 
     def __init__(self, keys: list[bytes]) -> None:
-        """Authenticate with the first key, and accept all."""
+        """Use the first key to seal messages, and accept messages sealed with any of the keys."""
         if not keys or any(not KEY_BYTES_MIN <= len(key) <= KEY_BYTES_MAX for key in keys):
             raise KeyLengthError(f"a key has {KEY_BYTES_MIN} to {KEY_BYTES_MAX} bytes")
         self._keys = list(keys)
@@ -53,7 +53,7 @@
         return bytes((VERSION,)) + self._tag(self._keys[0], body) + body
 
     def open(self, data: bytes) -> bytes:
-        """Return the body; raises AuthenticationError."""
+        """Verify version and tag, and return the body; raises AuthenticationError."""
         if len(data) <= 1 + TAG_BYTES:
             raise AuthenticationError("too short")
         if data[0] != VERSION:
@@ -77,12 +77,12 @@
         if digits and not digits.startswith(b"#"):
             keys.append(_parse_key(f"{path}:{number}", digits))
     if not 0 < len(keys) <= MAX_KEYS:
-        raise KeyFileError(f"{path}: {len(keys)} keys, wanted 1 to {MAX_KEYS}")
+        raise KeyFileError(f"{path}: {len(keys)} keys, expected 1 to {MAX_KEYS}")
     return Authenticator(keys)
 
 
 def new_key_file(path: str | Path) -> None:
-    """Write a file with a new key that its owner alone may use; raises KeyFileError if it exists."""
+    """Create a file with a new random key and mode 600; raises KeyFileError if the file exists."""
     try:
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, OWNER_ONLY)
     except OSError as error:
@@ -92,7 +92,7 @@
 
 
 def _read_private(path: str | Path) -> bytes:
-    """Return the start of a file that nobody but its owner may use."""
+    """Return up to MAX_FILE_BYTES of a file; raises KeyFileError if group or others have access to it."""
     try:
         with open(path, "rb") as file:
             mode = stat.S_IMODE(os.fstat(file.fileno()).st_mode)
@@ -100,16 +100,20 @@
     except OSError as error:
         raise KeyFileError(f"{path}: {error.strerror or error}") from None
     if mode & OTHERS_PERMISSIONS:
-        raise KeyFileError(f"{path}: others than its owner may use it (mode {mode:o}, wants {OWNER_ONLY:o})")
+        raise KeyFileError(
+            f"{path}: others than its owner may use it (mode {mode:o}, expected {OWNER_ONLY:o})"
+        )
     return text
 
 
-def _parse_key(place: str, digits: bytes) -> bytes:
+def _parse_key(location: str, digits: bytes) -> bytes:
     try:
         key = bytes.fromhex(digits.decode("ascii"))
     except ValueError:
-        raise KeyFileError(f"{place}: not hexadecimal digits") from None
+        raise KeyFileError(f"{location}: not hexadecimal digits") from None
     if not KEY_BYTES_MIN <= len(key) <= KEY_BYTES_MAX:
         digits_min, digits_max = 2 * KEY_BYTES_MIN, 2 * KEY_BYTES_MAX
-        raise KeyFileError(f"{place}: a key has {digits_min} to {digits_max} digits, this one {2 * len(key)}")
+        raise KeyFileError(
+            f"{location}: a key has {digits_min} to {digits_max} digits, this one {2 * len(key)}"
+        )
     return key
--- a/sedgepitch/peers/service.py
+++ b/sedgepitch/peers/service.py
@@ -1,7 +1,7 @@
-"""A gossip node on sockets: carries datagrams, streams and timers to and from it, and decides nothing.
+"""A gossip node on sockets: connects datagrams, streams and timers to the node, which makes all decisions.
 
-What came while this process was suspended is not read as news: datagrams that wait in the socket when a timer
-is late are dropped, and streams that were open are closed.
+Input that arrived while this process was suspended is stale: when a timer fires late, datagrams queued in the
+socket are dropped, and open streams are closed.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 from sedgepitch.peers.streams import STREAM_TIMEOUT_S, AcceptedStreams, OpenedStream, Stream
 from sedgepitch.peers.wire import Envelope
 
-LISTEN_BACKLOG = 64  # streams that may wait to be accepted
-MAX_STREAMS = 32  # open at once, each way
+LISTEN_BACKLOG = 64  # connections waiting to be accepted
+MAX_STREAMS = 32  # open at the same time, in each direction
 TIMER_MIN_S = 0.001
-TIMER_TOLERANCE_S = 1e-4  # a timer that is set is kept if the next one is not sooner by more
+TIMER_TOLERANCE_S = 1e-4  # a set timer is kept unless the next one is due earlier by more
 SESSION_ID_BITS = 63
 SEED_BITS = 32
 Reactor = Any  # Twisted's reactors have no common type
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerSettings:
-    """Where this peer listens and whom it asks first. `routes`: how a peer is reached from here, by name."""
+    """Settings of a peer. It contacts `seeds` first; `routes` overrides the addresses of peers by name."""
 
     name: str
     listen: Address
@@ -63,15 +63,15 @@
 
 
 def _ignore_event(event: MemberEvent) -> None:
-    """Do nothing with a member's event."""
+    """Ignore a membership event."""
 
 
-def _log_nothing(event: str, **fields: object) -> None:
-    """Write no log event."""
+def _ignore_log(event: str, **fields: object) -> None:
+    """Discard a log event."""
 
 
 class PeerService:
-    """One peer. `on_event` hears each event of a member; `log` writes a structured log event."""
+    """One peer. `on_event` is called for each membership event; `log` writes a structured log event."""
 
     def __init__(
         self,
@@ -80,10 +80,10 @@
         settings: PeerSettings,
         authenticator: Authenticator,
         on_event: Callable[[MemberEvent], None] = _ignore_event,
-        log: Callable[..., None] = _log_nothing,
+        log: Callable[..., None] = _ignore_log,
         seed: int | None = None,
     ) -> None:
-        """Prepare a peer; nothing is opened before `start`. `seed` is for tests."""
+        """Create a peer; `start` opens its sockets. `seed` seeds the random generator in tests."""
         self.clock = clock
         self.settings = settings
         self.authenticator = authenticator
@@ -109,7 +109,7 @@
     # Start and stop
 
     def start(self) -> Address:
-        """Open both sockets on one port and return the address. Raises CannotListenError."""
+        """Open the TCP and UDP sockets on the same port; returns the address. Raises CannotListenError."""
         host, port = self.settings.listen
         self._tcp = listen(self._reactor, port, AcceptedStreams(self), host, LISTEN_BACKLOG)
         port = self._tcp.getHost().port
@@ -128,10 +128,10 @@
         return host, port
 
     def stop(self) -> None:
-        """Announce that this peer leaves, and close."""
+        """Announce that this peer leaves the cluster, and close all sockets."""
         if self.stopped or self.node is None:
             return
-        self._carry_out(self.node, self.node.leave())
+        self._execute(self.node, self.node.leave())
         self.stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -140,54 +140,54 @@
         for stream in list(self.streams):
             stream.abort()
 
-    # For the owner
+    # Called by the owner
 
     def publish(self, kind: str, body: bytes) -> None:
         """Publish a state entry. Raises StateEntryError if too large, NotStartedError before `start`."""
         if self.node is None:
             raise NotStartedError(f"the peer {self.settings.name} is not started")
         self.node.publish(self.clock.now(), kind, body)
-        self._arm()
+        self._schedule_timer()
 
     def entries_of_kind(self, kind: str) -> dict[str, PublishedEntry]:
         """Return the state entries of one kind by origin; none before `start`."""
         return self.node.entries_of_kind(kind, self.clock.now()) if self.node is not None else {}
 
     def status(self) -> dict[str, object]:
-        """Return what is known of members, for operators; empty before `start`."""
+        """Return the known members and counters, for operators; empty before `start`."""
         if self.node is None:
             return {}
         sent_bytes = self.stream_bytes + self._datagrams.sent_bytes
         return node_status(self.node, self.clock.now(), self.counters, sent_bytes)
 
-    # For datagrams and streams
+    # Called by datagrams and streams
 
     def envelope(self, to: str, body: wire.Body) -> Envelope:
-        """Wrap a message; each has the next number of this session."""
+        """Wrap a message with the next counter value of this session."""
         self._counter += 1
         return Envelope(self.settings.name, to, self._session_id, self._counter, body)
 
     def address_of(self, name: str) -> Address | None:
-        """Return where a member is reached; None if it is unknown."""
+        """Return the address of a member; None if it is unknown."""
         return self.node.table.address_of(name) if self.node is not None else None
 
     def was_suspended(self) -> bool:
-        """Whether this process was suspended until now: what waits to be read is as old as that."""
+        """Return whether this process has just resumed from a suspension, so that queued input is stale."""
         node = self.node
         return node is not None and node.timer_delay(self.clock.now()) > node.settings.pause_threshold
 
     def handle_message(self, now: float, sender: str, message: Message) -> None:
-        """Give a message of a proven session to the node."""
+        """Pass a message of a proven session to the node."""
         if self.node is not None:
-            self._carry_out(self.node, self.node.on_datagram(now, sender, message))
-            self._arm()
+            self._execute(self.node, self.node.on_datagram(now, sender, message))
+            self._schedule_timer()
 
     def may_accept_stream(self) -> bool:
-        """Whether one more stream may be opened to this peer."""
+        """Return whether another incoming stream may be accepted."""
         return sum(stream.accepted for stream in self.streams) < MAX_STREAMS
 
     def stream_completed(self, stream: Stream, envelope: Envelope, state: ClusterState | None) -> None:
-        """A stream has proved its other side's session, and brought its state or none."""
+        """Handle a stream that has proven the other side's session; `state` is None for a ping."""
         node = self.node
         if node is None or self.stopped:
             return
@@ -199,8 +199,8 @@
             node.stream_ping_answered(now, sender)
         if state is not None:
             node.merge(now, state, sender)
-            self._carry_out(node, [])
-        self._arm()
+            self._execute(node, [])
+        self._schedule_timer()
 
     # Timer and actions
 
@@ -213,11 +213,11 @@
             for stream in list(self.streams):
                 stream.abort()
             self._datagrams.forget_unproven()
-        self._carry_out(self.node, self.node.on_timer(self.clock.now()))
-        self._arm()
+        self._execute(self.node, self.node.on_timer(self.clock.now()))
+        self._schedule_timer()
 
-    def _arm(self) -> None:
-        """Set the timer for when the next thing is due."""
+    def _schedule_timer(self) -> None:
+        """Schedule the timer for the node's next due time."""
         if self.stopped or self.node is None:
             return
         due = self.node.due()
@@ -229,7 +229,7 @@
         self._timer_at = max(due, now + TIMER_MIN_S)
         self._timer = self.clock.call_later(self._timer_at - now, self._on_timer)
 
-    def _carry_out(self, node: GossipNode, actions: list[Action]) -> None:
+    def _execute(self, node: GossipNode, actions: list[Action]) -> None:
         for event in node.take_events():
             if event.kind is not EventKind.ENTRY_CHANGED:
                 self._log(f"peer.{event.kind.value}", peer=event.member)
--- a/sedgepitch/peers/status.py
+++ b/sedgepitch/peers/status.py
@@ -1,4 +1,4 @@
-"""What a peer knows, as JSON for operators; its keys are read by others and do not change with the code."""
+"""The state of a peer as JSON for operators; other tools read its keys, so they stay stable."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def node_status(
     node: GossipNode, now: float, counters: dict[PeerCounter, int], sent_bytes: int
 ) -> dict[str, object]:
-    """Return the node's view of itself and of all other members."""
+    """Return the state of the node and its view of all other members."""
     host, port = node.table.address
     return {
         "name": node.name,
@@ -39,5 +39,7 @@
         "for_s": round(now - member.state_since, AGE_DIGITS),
         "incarnation": member.incarnation,
         "accusers": sorted(member.accusers) if suspected else [],
-        "words": {kind: round(now - held.published_at, AGE_DIGITS) for kind, held in member.entries.items()},
+        "words": {
+            kind: round(now - entry.published_at, AGE_DIGITS) for kind, entry in member.entries.items()
+        },
     }
--- a/sedgepitch/peers/streams.py
+++ b/sedgepitch/peers/streams.py
@@ -1,6 +1,6 @@
-"""Streams between peers: one short exchange of states, or a ping, on a TCP connection.
+"""Streams between peers: one exchange of cluster states, or a ping, over a TCP connection.
 
-Each side repeats the other's nonce, so neither side of a stream can be a replay.
+Each side returns the other's nonce, which proves that neither side of a stream is a replay.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 class Stream(Int32StringReceiver):
     """One side of an exchange.
 
-    `accepted` tells the side that was connected to. `ping_target` names the member that the other side opened
-    the stream to ping; empty where states are exchanged.
+    `accepted` is true on the side that accepted the connection. `ping_target` is the member that this side
+    opened the stream to ping; empty if states are exchanged.
     """
 
     MAX_LENGTH = wire.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, service: PeerService, accepted: bool, ping_target: str = "") -> None:
-        """Begin an exchange with a fresh nonce."""
+        """Create one side of an exchange, with a new nonce."""
         self.accepted = accepted
         self.ping_target = ping_target
         self._service = service
@@ -55,20 +55,20 @@
         self._finished = False
 
     def connectionMade(self) -> None:
-        """Begin: the side that connected sends the first frame."""
+        """Start the exchange: the side that connected sends the first frame."""
         self._service.streams.add(self)
         self._timeout = self._service.clock.call_later(STREAM_TIMEOUT_S, self.abort)
         if not self.accepted:
             self._send(StreamHello(self._nonce), self.ping_target)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self._finished = True
         if self.transport is not None:
             self.transport.abortConnection()
 
     def stringReceived(self, string: bytes) -> None:
-        """Take a frame."""
+        """Handle one frame."""
         service = self._service
         if self._finished or service.stopped:
             return
@@ -82,11 +82,11 @@
             self._reject(str(error))
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Refuse a frame that is too long."""
+        """Reject a frame that is too long."""
         self._reject(f"a frame of {length} bytes")
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Clean up."""
+        """Remove the stream and cancel its timeout."""
         self._finished = True
         self._service.streams.discard(self)
         if self._timeout is not None:
@@ -94,7 +94,7 @@
             self._timeout = None
 
     def _handle(self, envelope: Envelope) -> None:
-        """Take the next frame of the exchange; raises InvalidMessageError for one out of turn."""
+        """Process the next frame of the exchange; raises InvalidMessageError if it is out of order."""
         node = self._service.node
         body, sender = envelope.body, envelope.sender
         if node is None or envelope.to not in (node.name, "") or sender == node.name:
@@ -115,7 +115,7 @@
         return not self.accepted and not self._peer_nonce and reply.echo == self._nonce
 
     def _finish(self, node: GossipNode, envelope: Envelope, body: StreamState) -> None:
-        """Hand over the other's state, answer with the own one if it connected, and close."""
+        """Report the other side's state, reply with the own state on the accepting side, and close."""
         self._service.stream_completed(self, envelope, body.state)
         if self.accepted:
             state = node.state(self._service.clock.now()) if body.state is not None else None
@@ -136,22 +136,22 @@
 
     def _reject(self, reason: str) -> None:
         source: IAddress = self.transport.getPeer()
-        place = (source.host, source.port) if isinstance(source, IPv4Address) else ("?", 0)
-        self._service.input_errors.invalid_frame(reason, place)
+        address = (source.host, source.port) if isinstance(source, IPv4Address) else ("?", 0)
+        self._service.input_errors.invalid_frame(reason, address)
         self.abort()
 
 
 class AcceptedStreams(ServerFactory):
-    """Makes the streams that others open to this peer, up to a bound."""
+    """Create the streams that other peers open to this peer, up to a limit."""
 
     noisy = False
 
     def __init__(self, service: PeerService) -> None:
-        """Make streams for this service."""
+        """Create streams for this service."""
         self._service = service
 
     def buildProtocol(self, _addr: IAddress | None) -> Stream | None:
-        """Return a stream; None refuses the connection."""
+        """Return a stream, or None to refuse the connection."""
         if not self._service.may_accept_stream():
             self._service.counters[PeerCounter.STREAMS_REFUSED] += 1
             return None
@@ -159,12 +159,12 @@
 
 
 class OpenedStream(ClientFactory):
-    """Makes the stream that this peer opens to another."""
+    """Create a stream that this peer opens to another peer."""
 
     noisy = False
 
     def __init__(self, service: PeerService, ping_target: str) -> None:
-        """Make the stream for this service."""
+        """Create the stream for this service."""
         self._service = service
         self._ping_target = ping_target
 
--- a/sedgepitch/peers/wire.py
+++ b/sedgepitch/peers/wire.py
@@ -1,7 +1,7 @@
-"""The encoding of datagrams and stream frames: msgpack in an authenticated envelope. Sans I/O.
+"""The encoding of datagrams and stream frames: msgpack in an authenticated envelope, without I/O.
 
-Unknown fields behind the known ones are ignored, so a later version may add some. The order of fields and the
-tags are the wire format: two versions of the program run in one cluster.
+Unknown trailing fields are ignored, so a later version may append fields. The order of fields and the tags
+are the wire format and must not change: different versions of the program run in one cluster.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 
 MAX_DATAGRAM_BYTES = 1400
 MAX_FRAME_BYTES = 1 << 20
-MAX_REASON_CHARACTERS = 200  # of a decoder's message in an error
+MAX_REASON_CHARACTERS = 200  # length limit for a decoder's message in an error text
 
 
 class Challenge(Struct, frozen=True, array_like=True, tag=6):
-    """Asks the sender of a datagram to repeat a nonce, which proves that its session is not replayed."""
+    """Asks the sender of a datagram to return a nonce, which proves that its session is not replayed."""
 
     nonce: bytes
 
 
 class ChallengeResponse(Struct, frozen=True, array_like=True, tag=7):
-    """Repeats the nonce of a Challenge."""
+    """Returns the nonce of a Challenge."""
 
     nonce: bytes
 
 
 class StreamHello(Struct, frozen=True, array_like=True, tag=8):
-    """The first frame of a stream, by the side that opened it; the envelope's `to` may be empty."""
+    """The first frame of a stream, sent by the side that opened it; the envelope's `to` may be empty."""
 
     nonce: bytes
 
 
 class StreamHelloReply(Struct, frozen=True, array_like=True, tag=9):
-    """Repeats the nonce of a StreamHello and gives one to repeat."""
+    """Returns the nonce of a StreamHello as `echo`, and carries a nonce for the other side to return."""
 
     echo: bytes
     nonce: bytes
 
 
 class StreamState(Struct, frozen=True, array_like=True, tag=10):
-    """Repeats a nonce and carries the complete state; none in a stream that only pings."""
+    """Returns a nonce and carries the complete cluster state; `state` is None in a stream that only pings."""
 
     echo: bytes
     state: ClusterState | None
@@ -66,7 +66,7 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """A message with its sender, receiver, and place in the sender's session."""
+    """A message with its sender and receiver, and its counter in the sender's session."""
 
     sender: str
     to: str
@@ -76,11 +76,11 @@
 
 
 class InvalidMessageError(PeerError):
-    """Bytes that are no message for this peer; one line."""
+    """Bytes that are not a valid message for this peer; the text is one line."""
 
 
 class MessageTooLargeError(ConfigurationError, ValueError):
-    """A message that cannot be shortened to what may be sent."""
+    """A message that exceeds the size limit even without its updates and state entries."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -88,9 +88,9 @@
 
 
 def encode(authenticator: Authenticator, envelope: Envelope, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
-    """Return the authenticated bytes; updates that have no room are left out from the end.
+    """Return the authenticated bytes; state entries, then updates, are dropped from the end until they fit.
 
-    Raises MessageTooLargeError where the message is too large even without them.
+    Raises MessageTooLargeError if the message is too large even without them.
     """
     while True:
         data = authenticator.seal(_encoder.encode(envelope))
@@ -103,7 +103,7 @@
 
 
 def decode(authenticator: Authenticator, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> Envelope:
-    """Return the envelope of authentic bytes; raises InvalidMessageError."""
+    """Authenticate and decode an envelope; raises InvalidMessageError."""
     if len(data) > max_bytes:
         raise InvalidMessageError(f"{len(data)} bytes, {max_bytes} are taken")
     try:
--- a/sedgepitch/peers/zone_commands.py
+++ b/sedgepitch/peers/zone_commands.py
@@ -1,4 +1,4 @@
-"""Operator commands on zones: taken from an operator, published to all instances and merged with theirs."""
+"""Operator commands on zones: accepted here, published to all instances, and merged with theirs."""
 
 from __future__ import annotations
 
@@ -21,36 +21,38 @@
 from sedgepitch.peers.service import PeerService
 
 NONCE_BYTES = 16
-MAX_NONCES = 16  # given out at a time
+MAX_NONCES = 16  # valid at the same time
 NONCE_LIFETIME_S = 30.0
 MAX_REASON_CHARACTERS = 200
 
 
 class CommandExchange:
-    """The commands that this instance knows, and the nonces that new ones must carry."""
+    """The commands known to this instance, and the nonces that new commands must carry."""
 
     def __init__(self, peers: PeerService, clock: Clock, log: Callable[..., None]) -> None:
-        """Begin without commands."""
+        """Start without commands."""
         self.commands = ZoneCommands()
         self.published_at = -inf
         self._peers = peers
         self._clock = clock
         self._log = log
-        self._received: dict[str, bytes] = {}  # the last state entry of each peer, so that it is read once
-        self._nonces: dict[str, float] = {}  # with the time when each was given out
+        self._received: dict[str, bytes] = {}  # the last state entry of each peer, to decode each only once
+        self._nonces: dict[str, float] = {}  # nonce -> time of issue
 
     def new_nonce(self) -> str:
-        """Return a nonce that one command must carry, so that a command overheard cannot be used again."""
+        """Issue a nonce for one command, so that an intercepted command cannot be replayed."""
         now = self._clock.now()
-        self._nonces = {n: at for n, at in self._nonces.items() if now - at <= NONCE_LIFETIME_S}
+        self._nonces = {
+            n: issued_at for n, issued_at in self._nonces.items() if now - issued_at <= NONCE_LIFETIME_S
+        }
         while len(self._nonces) >= MAX_NONCES:
             del self._nonces[next(iter(self._nonces))]
         nonce = secrets.token_hex(NONCE_BYTES)
         self._nonces[nonce] = now
         return nonce
 
-    def take(self, sealed: bytes, zones: list[str]) -> ZoneCommand:
-        """Take a command of a holder of the key, for one of these zones. Raises InvalidCommandError."""
+    def accept(self, sealed: bytes, zones: list[str]) -> ZoneCommand:
+        """Accept a command sealed with a known key, for one of these zones. Raises InvalidCommandError."""
         zone, action, duration = self._open(sealed)
         if action == CommandAction.LEAVE and zone not in zones:
             names = ", ".join(zones) or "none"
@@ -62,7 +64,7 @@
         return command
 
     def merge(self, node: GossipNode, now: float) -> None:
-        """Merge the commands that peers have published, and pass new ones on."""
+        """Merge the commands that peers have published, and publish the result if it has changed."""
         changed = False
         for name, entry in node.entries_of_kind(entry_kinds.ZONE_COMMANDS, now).items():
             if name != node.name and self._received.get(name) != entry.body:
@@ -76,7 +78,7 @@
             self.publish()
 
     def publish(self) -> None:
-        """Publish all commands that are known."""
+        """Publish all known commands."""
         self.published_at = self._clock.now()
         self._peers.publish(entry_kinds.ZONE_COMMANDS, operator_commands.encode(self.commands))
 
@@ -95,6 +97,6 @@
             raise InvalidCommandError(f"no order: {error!r}"[:MAX_REASON_CHARACTERS]) from None
 
     def _use_nonce(self, nonce: str) -> None:
-        given_at = self._nonces.pop(nonce, None)
-        if given_at is None or self._clock.now() - given_at > NONCE_LIFETIME_S:
+        issued_at = self._nonces.pop(nonce, None)
+        if issued_at is None or self._clock.now() - issued_at > NONCE_LIFETIME_S:
             raise InvalidCommandError("the order's number is not one that was given out, or it is too old")
--- a/sedgepitch/peers/zone_evidence_log.py
+++ b/sedgepitch/peers/zone_evidence_log.py
@@ -1,4 +1,4 @@
-"""The evidence behind what an instance does with a zone, as fields of log events."""
+"""The evidence behind an instance's zone decisions, as fields of log events."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from sedgepitch.decisions.zones.votes import Vote, partial_outages, votes
 from sedgepitch.peers.zone_status import VOTE_NAMES
 
-AGE_DIGITS = 2  # of seconds
-UNFIT = "unfit"  # an instance that does not judge
-PARTIAL_OUTAGE = "names"  # one that finds all it uses of a zone down, and uses too few to vote
+AGE_DIGITS = 2  # decimal places of ages in seconds
+UNFIT = "unfit"  # an instance whose digest has `may_judge` false
+PARTIAL_OUTAGE = "names"  # all endpoints that it uses in the zone are down, but too few for a vote
 
 
 def instance_vote(digest: ZoneDigest, zone: str) -> str:
-    """Return what a digest says of a zone, in the words of `zone status`."""
+    """Return the vote of a digest on a zone, in the terms of `zone status`."""
     if not digest.may_judge:
         return UNFIT
     if zone in partial_outages(digest):
@@ -23,21 +23,21 @@
 
 
 def instance_votes(digest: ZoneDigest) -> dict[str, str]:
-    """Return what a digest says of each zone."""
+    """Return the votes of a digest by zone."""
     return {row.zone: instance_vote(digest, row.zone) for row in digest.observations}
 
 
 def observed(row: ZoneObservation) -> dict[str, int]:
-    """Return an instance's own counts of a zone."""
+    """Return an instance's own counts for a zone."""
     return {
         name: getattr(row, name) for name in row.__struct_fields__ if name not in ("zone", "unreachable_bits")
     }
 
 
 def evidence_fields(view: ZoneView, node: GossipNode, zone: str) -> dict[str, object]:
-    """Return the own counts, each instance's vote with its age in seconds, and this instance's fitness."""
+    """Return the own counts, each instance's vote with its age in seconds, and the local health score."""
     row = view.own.observation(zone)
-    heard = {
+    votes_by_instance = {
         name: [instance_vote(received.digest, zone), round(received.age, AGE_DIGITS)]
         for name, received in sorted(view.received.items())
     }
@@ -45,7 +45,7 @@
         "zone": zone,
         "observed": observed(row) if row is not None else {},
         "own_vote": instance_vote(view.own, zone),
-        "votes": heard,
+        "votes": votes_by_instance,
         "alive": view.alive,
         "local_health": node.health.score,
     }
--- a/sedgepitch/peers/zone_observer.py
+++ b/sedgepitch/peers/zone_observer.py
@@ -1,4 +1,4 @@
-"""What this instance observes of zones: the engine reports attempts, the router knows the endpoints."""
+"""Zone observations of this instance, from the engine's attempts and the router's endpoint list."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class ZoneObserver:
-    """Counts attempts by endpoint. The engine calls the methods of `AttemptObserver`."""
+    """Count attempts by endpoint. Implements `AttemptObserver`, whose methods the engine calls."""
 
     def __init__(self, engine: Engine, clock: Clock) -> None:
-        """Begin without counts; `attach` begins to count."""
+        """Start without counts; `attach` starts counting."""
         self.observations = ZoneObservations()
         self._engine = engine
         self._clock = clock
 
     def attach(self) -> None:
-        """Begin to hear of attempts."""
+        """Register as the engine's attempt observer."""
         self._engine.attempt_observer = self
 
     def detach(self) -> None:
-        """Hear of attempts no more."""
+        """Unregister from the engine."""
         self._engine.attempt_observer = None
 
     def request_received(self) -> None:
-        """Count a request of a client."""
+        """Count a client request."""
         self.observations.request_received(self._clock.now())
 
     def attempt_sent(self, endpoint: int) -> None:
@@ -45,9 +45,9 @@
             self.observations.attempt_sent(self._clock.now(), endpoint, zone)
 
     def attempt_ended(self, endpoint: int, result: AttemptResult, latency_ratio: float) -> None:
-        """Count an outcome, with the latency over the latency objective.
+        """Count an outcome; `latency_ratio` is the latency divided by the latency objective.
 
-        An attempt that was cancelled, or never left, says nothing of the endpoint.
+        Attempts that were cancelled or never sent are ignored: they are no evidence about the endpoint.
         """
         zone = self._zone_of(endpoint)
         if zone is None:
@@ -61,14 +61,16 @@
             self.observations.failed(now, endpoint, zone)
 
     def rows(self, now: float, partly_used: Iterable[str]) -> tuple[ZoneObservation, ...]:
-        """Return one row for each zone that has endpoints in the list."""
+        """Return one row for each zone with endpoints that are up, for as many zones as a digest holds."""
         up = Counter(zone[:MAX_ZONE_NAME_LENGTH] for _, zone, _ in self._endpoints_up())
         endpoints_up = {zone: up[zone] for zone in self.zone_sizes()}
-        in_part = set(partly_used)
-        return self.observations.rows(now, self._unreachable(in_part), endpoints_up, in_part)
+        partly_used_zones = set(partly_used)
+        return self.observations.rows(
+            now, self._unreachable(partly_used_zones), endpoints_up, partly_used_zones
+        )
 
     def zone_sizes(self) -> dict[str, float]:
-        """Return the capacity of each zone's endpoints that are up, for as many zones as a digest holds."""
+        """Return the capacity of the endpoints that are up by zone, for as many zones as a digest holds."""
         sizes: dict[str, float] = {}
         for _, name, size in self._endpoints_up():
             zone = name[:MAX_ZONE_NAME_LENGTH]
@@ -76,16 +78,16 @@
         return dict(sorted(sizes.items())[:MAX_ZONES])
 
     def _endpoints_up(self) -> Iterator[tuple[int, str, float]]:
-        """Yield number, zone and capacity of endpoints that are up and have a zone."""
+        """Yield id, zone and capacity of the endpoints that are up and have a zone."""
         for endpoint in self._engine.router.endpoints.values():
             if endpoint.zone and endpoint.state is EndpointState.UP:
                 yield endpoint.id, endpoint.zone, endpoint.size
 
     def _unreachable(self, partly_used: Set[str]) -> dict[int, str]:
-        """Return the zones of endpoints that do not answer.
+        """Return the zones of unreachable endpoints by endpoint id.
 
-        One that is tried just now has not answered yet. In a partly used zone it has the benefit of the
-        doubt: else a return would be judged by its first trials before they can be answered.
+        In a partly used zone, an endpoint with a half-open trial in flight does not count as unreachable.
+        Otherwise the recovery of a zone would be judged by its first trials before their replies can arrive.
         """
         endpoints = self._engine.router.endpoints
         return {
--- a/sedgepitch/peers/zone_status.py
+++ b/sedgepitch/peers/zone_status.py
@@ -1,4 +1,4 @@
-"""What an instance knows of zones, as JSON for operators; its keys and values do not change with the code."""
+"""The zone state of an instance as JSON for operators; its keys and values stay stable for other tools."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def zone_status(service: ZoneService, node: GossipNode | None, now: float) -> dict[str, object]:
-    """Return the state of zones, the digests by instance, and whom each command has reached."""
+    """Return the state of zones, the digests by instance, and the instances that each command has reached."""
     entries = {} if node is None else node.entries_of_kind(entry_kinds.ZONE_DIGEST, now)
     zones = service.controller.zones
     return {
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -1,6 +1,6 @@
-"""Zones on a running proxy: publishes the own digest, receives others', and feeds the router zone weights.
+"""Zones on a running proxy: publish the own digest, receive those of peers, and feed weights to the router.
 
-What is decided stands in `decisions/zones`. This module has the timer, the state entries and the hand-over to
+The decision logic is in `decisions/zones`. This module has the timer, the state entries and the interface to
 the engine.
 """
 
@@ -29,12 +29,12 @@
 from sedgepitch.peers.zone_status import zone_status
 from sedgepitch.routing.messages import ZoneWeights
 
-CHECK_INTERVAL_S = 0.1  # between looks at the own observations
+CHECK_INTERVAL_S = 0.1  # between checks of the own observations
 PUBLISH_INTERVAL_MIN_S = 0.2  # between two digests of this instance
 COMMANDS_INTERVAL_S = 3.0  # between publications of known commands, so that new instances have them
-IDLE_STEP_INTERVAL_S = 1.0  # between judgements while nothing changes
+IDLE_STEP_INTERVAL_S = 1.0  # between controller steps while nothing changes
 PAUSE_THRESHOLD_S = 0.5  # a check later than this shows that the process was suspended
-UNFIT_AFTER_PAUSE_S = 2.0  # in which this instance judges nobody
+UNFIT_AFTER_PAUSE_S = 2.0  # how long this instance does not vote after a suspension
 HEARTBEAT_INTERVAL_S = 3.0  # between digests while nothing changes
 RATE_DIGITS = 2
 WEIGHT_DIGITS = 4
@@ -43,8 +43,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _ReadEntry:
-    """The last digest of a peer, so that it is decoded once; None for bytes that are no digest."""
+class _DecodedEntry:
+    """The last digest of a peer, cached so that it is decoded once; `digest` is None if it is invalid."""
 
     body: bytes
     digest: ZoneDigest | None
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _PublishedContent:
-    """What a digest says; a digest is published at once when this changes."""
+    """The part of a digest whose change causes publication without waiting for the heartbeat."""
 
     may_judge: bool
     votes: dict[str, Vote]
@@ -70,12 +70,12 @@
     )
 
 
-def _log_nothing(event: str, **fields: object) -> None:
-    """Write no log event."""
+def _ignore_log(event: str, **fields: object) -> None:
+    """Discard a log event."""
 
 
 class ZoneService:
-    """One instance's zones. The engine is fed `ZoneWeights` when they change."""
+    """The zones of one instance. Feeds `ZoneWeights` to the engine when they change."""
 
     def __init__(
         self,
@@ -85,9 +85,9 @@
         zone: str,
         settings: ZoneSettings,
         heartbeat_interval: float = HEARTBEAT_INTERVAL_S,
-        log: Callable[..., None] = _log_nothing,
+        log: Callable[..., None] = _ignore_log,
     ) -> None:
-        """Attach to the engine; the periodic check begins with `start`."""
+        """Attach to the engine; `start` begins the periodic check."""
         self.zone = zone[:MAX_ZONE_NAME_LENGTH]
         self.name = peers.settings.name
         self.observer = ZoneObserver(engine, clock)
@@ -100,40 +100,40 @@
         self._clock = clock
         self._log = log
         self._heartbeat_interval = heartbeat_interval
-        self._read: dict[str, _ReadEntry] = {}
+        self._decoded: dict[str, _DecodedEntry] = {}
         self._weights: dict[str, float] = {}
         self._published: _PublishedContent | None = None
         self._published_at = -DIGEST_MAX_AGE_S
-        self._said: dict[str, str] = {}
+        self._logged_votes: dict[str, str] = {}
         self._stepped_at = -DIGEST_MAX_AGE_S
         self._checked_at = clock.now()
         self._unfit_until = 0.0
-        self._news = True  # something was heard since the last step
+        self._has_updates = True  # a peer event or a command came since the last step
         self._stopped = False
         self.observer.attach()
 
     def start(self) -> None:
-        """Begin the periodic check."""
+        """Start the periodic check."""
         self._checked_at = self._clock.now()
         self._clock.call_later(CHECK_INTERVAL_S, self._check)
 
     def stop(self) -> None:
-        """End; the weights stay as they are."""
+        """Stop the periodic check; the weights stay as they are."""
         self._stopped = True
         self.observer.detach()
 
     def on_peer_event(self, _event: MemberEvent) -> None:
-        """A peer's state or one of its state entries has changed."""
-        self._news = True
+        """Note that a peer's state or one of its state entries has changed."""
+        self._has_updates = True
 
     def take_command(self, sealed: bytes) -> dict[str, object]:
-        """Carry out an operator command that a holder of the key gave. Raises InvalidCommandError."""
-        command = self.commands.take(sealed, list(self.observer.zone_sizes()))
-        self._news = True
+        """Accept an operator command sealed with a known key. Raises InvalidCommandError."""
+        command = self.commands.accept(sealed, list(self.observer.zone_sizes()))
+        self._has_updates = True
         return {"zone": command.zone, "number": command.number, "by": command.issuer}
 
     def status(self) -> dict[str, object]:
-        """Return the zones, the digests heard and the commands, for operators."""
+        """Return the zones, the received digests and the commands, for operators."""
         return zone_status(self, self._peers.node, self._clock.now())
 
     # The periodic check
@@ -145,14 +145,14 @@
         now = self._clock.now()
         after_pause = now - self._checked_at > PAUSE_THRESHOLD_S
         self._checked_at = now
-        if after_pause:  # counts are old, and who was suspended accuses nobody
+        if after_pause:  # after a suspension the counts are stale, and this instance must not vote
             self.observer.observations.forget(now)
             self._unfit_until = now + UNFIT_AFTER_PAUSE_S
         self.own = self._digest(now)
         content = _content(self.own)
         changed = content != self._published
         idle = now - self._stepped_at >= IDLE_STEP_INTERVAL_S
-        if self._news or changed or self._any_not_normal() or after_pause or idle:
+        if self._has_updates or changed or self._any_not_normal() or after_pause or idle:
             self._step(now, after_pause)
         if now - self._published_at >= (PUBLISH_INTERVAL_MIN_S if changed else self._heartbeat_interval):
             self._log_own_votes(now)
@@ -163,12 +163,14 @@
             self.commands.publish()
 
     def _log_own_votes(self, now: float) -> None:
-        """Log what this instance says of the zones, when it says something else than before."""
-        said = instance_votes(self.own)
-        if said != self._said:
-            self._said = said
+        """Log this instance's votes on the zones if they have changed."""
+        own_votes = instance_votes(self.own)
+        if own_votes != self._logged_votes:
+            self._logged_votes = own_votes
             score = self._peers.node.health.score if self._peers.node is not None else 0
-            self._log("zone.votes_changed", votes=said, local_health=score, at=round(now, LOG_TIME_DIGITS))
+            self._log(
+                "zone.votes_changed", votes=own_votes, local_health=score, at=round(now, LOG_TIME_DIGITS)
+            )
 
     def _any_not_normal(self) -> bool:
         return any(zone.state is not ZoneState.NORMAL for zone in self.controller.zones.values())
@@ -181,17 +183,17 @@
         return ZoneDigest(self.zone, request_rate, self._may_judge(now), rows, statuses)
 
     def _may_judge(self, now: float) -> bool:
-        """Whether this instance is well enough itself to judge others."""
+        """Return whether this instance may vote: not just resumed, healthy, and not overloaded."""
         node = self._peers.node
         unhealthy = node is not None and node.health.score >= node.settings.max_local_health // 2
         overloaded = self._engine.process_limit.overloaded_at(now)
         return now >= self._unfit_until and not unhealthy and not overloaded
 
-    # Judging
+    # Controller step
 
     def _step(self, now: float, after_pause: bool) -> None:
         self._stepped_at = now
-        self._news = False
+        self._has_updates = False
         node = self._peers.node
         if node is None:
             return
@@ -209,19 +211,19 @@
             self._engine.feed(ZoneWeights(tuple(sorted(weights.items()))))
 
     def _receive(self, node: GossipNode, now: float, alive: set[str]) -> dict[str, ReceivedDigest]:
-        """Return the digests of living peers, each decoded once."""
+        """Return the digests of alive peers; each is decoded once."""
         received: dict[str, ReceivedDigest] = {}
         for name, entry in node.entries_of_kind(entry_kinds.ZONE_DIGEST, now).items():
             if name == self.name or name not in alive:
                 continue
-            read = self._read.get(name)
-            if read is None or read.body != entry.body:
-                read = self._read[name] = _ReadEntry(entry.body, digests.decode(entry.body))
-                self.invalid_digests += read.digest is None
-            if read.digest is not None:
-                received[name] = ReceivedDigest(entry.age, read.digest)
-        for name in [name for name in self._read if name not in node.members]:
-            del self._read[name]
+            decoded = self._decoded.get(name)
+            if decoded is None or decoded.body != entry.body:
+                decoded = self._decoded[name] = _DecodedEntry(entry.body, digests.decode(entry.body))
+                self.invalid_digests += decoded.digest is None
+            if decoded.digest is not None:
+                received[name] = ReceivedDigest(entry.age, decoded.digest)
+        for name in [name for name in self._decoded if name not in node.members]:
+            del self._decoded[name]
         return received
 
     def _on_transition(self, view: ZoneView, node: GossipNode, transition: ZoneTransition) -> None:
