--- a/tests/test_mongodb_client.py
+++ b/tests/test_mongodb_client.py
@@ -1,4 +1,4 @@
-"""The client's side of the MongoDB proxy: frames in any shape, order, bounds, and bad input."""
+"""Client connections of the MongoDB proxy: framing, reply order, limits and malformed input."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return command(number, flags, insert="readings", documents=[{"_id": number}], **fields)
 
 
-def test_single_bytes_and_pipelined_commands_are_answered_in_order():
+def test_bytewise_and_pipelined_commands_are_answered_in_order():
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     for byte in command(1, ping=1) + command(2, hello=1) + command(3, buildInfo=1):
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("length", [0, -1, 15, 48_000_001, 2**31 - 1])
-def test_frame_lengths_that_cannot_be_end_the_connection_alone(length):
+def test_invalid_frame_length_closes_only_its_own_connection(length):
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     other, other_transport = proxy.client()
@@ -45,14 +45,14 @@
     assert replies(other_transport)[0][1]["ok"] == 1.0
 
 
-def test_an_awaited_hello_waits_its_time_and_ends_with_its_client():
+def test_awaitable_hello_waits_its_full_time_and_is_cancelled_on_disconnect():
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     connection.dataReceived(command(1, hello=1))
     proxy.turn()
-    known = replies(transport)[0][1]
-    assert known["msg"] == "isdbgrid"
-    awaited = command(2, hello=1, topologyVersion=known["topologyVersion"], maxAwaitTimeMS=10_000)
+    first_reply = replies(transport)[0][1]
+    assert first_reply["msg"] == "isdbgrid"
+    awaited = command(2, hello=1, topologyVersion=first_reply["topologyVersion"], maxAwaitTimeMS=10_000)
     connection.dataReceived(awaited)
     proxy.turn(9.9)
     assert len(replies(transport)) == 1
@@ -65,7 +65,7 @@
     assert len(replies(transport)) == 2
 
 
-def test_the_first_hello_may_come_as_op_query_and_nothing_else():
+def test_first_hello_is_accepted_as_op_query():
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     body = b"\0\0\0\0admin.$cmd\0" + struct.pack("<ii", 0, -1) + bson.encode({"isMaster": 1})
@@ -76,7 +76,7 @@
     assert bson.decode(data[36:])["msg"] == "isdbgrid"
 
 
-def test_checksum_is_verified_and_made():
+def test_checksum_is_verified_in_requests_and_added_to_replies():
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     frame = command(1, codec.CHECKSUM, ping=1)
@@ -102,21 +102,21 @@
     assert [number for number, _ in replies(transport)] == [7]
 
 
-def test_a_write_without_a_key_is_not_idempotent_whatever_its_class_says():
+def test_write_without_idempotency_key_gets_the_unsafe_class_variant():
     proxy = MongodbProxy()
     connection, _ = proxy.client()
     connection.dataReceived(insert(1))
     proxy.turn()
-    account = next(iter(proxy.engine.request_table.requests.values()))
-    assert account.request.class_name == "upload/unsafe"
+    entry = next(iter(proxy.engine.request_table.requests.values()))
+    assert entry.request.class_name == "upload/unsafe"
     keyed, _ = proxy.client()
     lsid = {"id": bson.Binary(bytes(16), 4)}
     keyed.dataReceived(insert(2, lsid=lsid, txnNumber=bson.Int64(1)))
     proxy.turn()
-    assert [a.request.class_name for a in proxy.engine.request_table.requests.values()][1] == "upload"
+    assert [e.request.class_name for e in proxy.engine.request_table.requests.values()][1] == "upload"
 
 
-def test_read_ahead_is_bounded_and_a_client_that_does_not_read_is_not_served_further():
+def test_read_ahead_is_bounded_and_commands_wait_while_replies_are_unread():
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     connection.dataReceived(insert(1))
@@ -126,7 +126,7 @@
     proxy.endpoints.sent[0].answer()
     proxy.turn()
     assert transport.producerState == "producing"
-    transport.producer.pauseProducing()  # the client does not take its answers
+    transport.producer.pauseProducing()  # the client does not read its replies
     connection.dataReceived(PING)
     proxy.turn()
     before = len(replies(transport))
@@ -138,7 +138,7 @@
     assert len(replies(transport)) == before + 11 - (before == 3)
 
 
-def test_rejected_and_failed_say_so_to_a_stock_client():
+def test_rejected_and_failed_replies_have_the_code_and_labels_of_their_meaning():
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     connection.dataReceived(command(1, insert="readings", documents=[{}], maxTimeMS=100))
@@ -150,11 +150,11 @@
     proxy.engine.stopping = True
     connection.dataReceived(command(2, insert="readings", documents=[{}]))
     proxy.turn()
-    refused = replies(transport)[1][1]
-    assert {"RetryableError", "SystemOverloadedError", "NoWritesPerformed"} <= set(refused["errorLabels"])
+    rejected = replies(transport)[1][1]
+    assert {"RetryableError", "SystemOverloadedError", "NoWritesPerformed"} <= set(rejected["errorLabels"])
 
 
-def test_a_forwarded_read_says_that_a_replica_may_answer_and_is_else_unchanged():
+def test_forwarded_read_gets_primary_preferred_and_is_otherwise_unchanged():
     proxy = MongodbProxy()
     connection, _ = proxy.client()
     connection.dataReceived(command(1, find="history", filter={"v": 1}, comment="history-read"))
@@ -164,16 +164,18 @@
     assert body == {"find": "history", "filter": {"v": 1}, "comment": "history-read", "$db": "sky"}
 
 
-def bad_answers() -> st.SearchStrategy[bytes]:
-    """Valid frames, damaged; and plain noise."""
-    good = st.sampled_from([PING, insert(1), command(3, find="x", filter={"a": {"b": [1, {"c": 2}]}})])
+def malformed_frames() -> st.SearchStrategy[bytes]:
+    """Generate damaged valid frames, malformed frames and random bytes."""
+    valid = st.sampled_from([PING, insert(1), command(3, find="x", filter={"a": {"b": [1, {"c": 2}]}})])
     damaged = st.builds(
-        lambda frame, at, byte: frame[: at % len(frame)] + bytes([byte]) + frame[at % len(frame) + 1 :],
-        good,
+        lambda frame, offset, byte: (
+            frame[: offset % len(frame)] + bytes([byte]) + frame[offset % len(frame) + 1 :]
+        ),
+        valid,
         st.integers(0, 500),
         st.integers(0, 255),
     )
-    packed = st.builds(
+    compressed = st.builds(
         lambda kind, size, data: codec.HEADER.pack(25 + len(data), 1, 0, codec.OP_COMPRESSED)
         + struct.pack("<iiB", codec.OP_MSG, size, kind)
         + data,
@@ -186,21 +188,21 @@
         st.sampled_from([codec.OP_MSG, codec.OP_QUERY, codec.OP_COMPRESSED, 1, 99]),
         st.binary(max_size=80),
     )
-    return st.one_of(damaged, packed, framed, st.binary(min_size=1, max_size=100))
+    return st.one_of(damaged, compressed, framed, st.binary(min_size=1, max_size=100))
 
 
 @settings(max_examples=400, deadline=None)
-@given(st.lists(bad_answers(), min_size=1, max_size=4), st.integers(1, 40))
-def test_no_input_ends_the_process_or_hurts_another_client(chunks, cut):
+@given(st.lists(malformed_frames(), min_size=1, max_size=4), st.integers(1, 40))
+def test_malformed_input_does_not_affect_another_client(frames, chunk_bytes):
     proxy = MongodbProxy()
     connection, transport = proxy.client()
     other, other_transport = proxy.client()
     other.dataReceived(insert(5))
     proxy.turn()
-    data = b"".join(chunks)
-    for at in range(0, len(data), cut):
+    data = b"".join(frames)
+    for offset in range(0, len(data), chunk_bytes):
         if not transport.disconnecting:
-            connection.dataReceived(data[at : at + cut])
+            connection.dataReceived(data[offset : offset + chunk_bytes])
         proxy.turn()
     assert connection.buffered <= len(data)
     proxy.endpoints.sent[0].answer({"n": 1})
@@ -210,8 +212,8 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(bad_answers())
-def test_the_codec_raises_its_own_error_and_no_other(frame):
+@given(malformed_frames())
+def test_codec_raises_only_malformed_message(frame):
     if len(frame) >= 16:
         try:
             codec.parse(frame)
@@ -220,11 +222,11 @@
 
 
 @pytest.mark.parametrize("compressor", [1, 2, 3])
-def test_compressed_frames_round_trip_and_bombs_are_rejected(compressor):
+def test_compressed_frames_round_trip_and_decompression_bombs_are_rejected(compressor):
     frame = command(9, ping=1, pad="smoke " * 50)
-    packed = codec.compress(frame, compressor)
-    assert codec.parse(packed).body == codec.parse(frame).body
+    compressed = codec.compress(frame, compressor)
+    assert codec.parse(compressed).body == codec.parse(frame).body
     bomb = codec.compress(codec.build_raw(bytes(5_000_000), 1, 0), compressor)
-    lying = bomb[:20] + struct.pack("<i", 100) + bomb[24:]
+    wrong_size = bomb[:20] + struct.pack("<i", 100) + bomb[24:]
     with pytest.raises(MalformedMessage):
-        codec.parse(lying)
+        codec.parse(wrong_size)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers as processes: killed, suspended, restarted, and sent garbage and replays by those without the key."""
+"""Peers as processes: killed, suspended and restarted, and exposed to garbage and replays without the key."""
 
 from __future__ import annotations
 
@@ -72,24 +72,23 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    cluster = PeerCluster(
-        tmp_path, 5, "--period", "0.5"
-    )  # slow, so that a busy machine is not taken for dead
+    # A slow probe period, so that load on the machine causes no false death.
+    cluster = PeerCluster(tmp_path, 5, "--period", "0.5")
     wait_until(lambda: cluster.agree(set(cluster.peers)))
     yield cluster
     cluster.kill()
 
 
-def test_all_know_each_other_and_a_killed_one_is_dead_to_all(cluster):
+def test_killed_peer_is_declared_dead_by_all_and_rejoins_after_restart(cluster):
     cluster.peers["d3"].kill()
-    left = {"d0", "d1", "d2", "d4"}
-    wait_until(lambda: cluster.agree(left))
-    assert all(cluster.peers[n].events("dead", "d3") for n in left)
+    remaining = {"d0", "d1", "d2", "d4"}
+    wait_until(lambda: cluster.agree(remaining))
+    assert all(cluster.peers[n].events("dead", "d3") for n in remaining)
     cluster.start("d3")
-    wait_until(lambda: cluster.agree(left | {"d3"}))
+    wait_until(lambda: cluster.agree(remaining | {"d3"}))
 
 
-def test_suspended_peers_are_dead_to_the_others_accuse_nobody_and_recover(cluster):
+def test_suspended_peers_are_declared_dead_recover_and_declare_no_death_themselves(cluster):
     suspended = {"d1", "d2"}
     running = {"d0", "d3", "d4"}
     for name in suspended:
@@ -100,11 +99,12 @@
         cluster.peers[name].signal(signal.SIGCONT)
     wait_until(lambda: cluster.agree(suspended | running))
     for name in suspended:
-        status = cluster.peers[name].status()  # it may have heard of the other's death, but found none itself
+        # It may have received the other peer's death, but must not have declared one itself.
+        status = cluster.peers[name].status()
         assert status["deaths"] == 0 and status["sleeps"] >= 1
 
 
-def test_state_entries_reach_all_and_a_restarted_peer_replaces_its_own(cluster):
+def test_state_entries_reach_all_peers_and_a_restarted_peer_replaces_its_entry(cluster):
     cluster.peers["d2"].command("tell zones first")
     wait_until(lambda: all("d2" in p.status("zones")["words"]["zones"] for p in cluster.peers.values()))
     cluster.peers["d2"].kill()
@@ -117,23 +117,25 @@
     )
 
 
-def test_a_peer_that_is_stopped_announces_that_it_leaves(cluster):
+def test_stopped_peer_announces_that_it_leaves(cluster):
     cluster.peers["d4"].signal(signal.SIGTERM)
     assert cluster.peers["d4"].process.wait(timeout=60) == 0
-    left = {"d0", "d1", "d2", "d3"}
-    wait_until(lambda: cluster.agree(left))
-    assert all(cluster.peers[n].events("left", "d4") or cluster.peers[n].events("dead", "d4") for n in left)
-    assert any(cluster.peers[n].events("left", "d4") for n in left)
+    remaining = {"d0", "d1", "d2", "d3"}
+    wait_until(lambda: cluster.agree(remaining))
+    assert all(
+        cluster.peers[n].events("left", "d4") or cluster.peers[n].events("dead", "d4") for n in remaining
+    )
+    assert any(cluster.peers[n].events("left", "d4") for n in remaining)
 
 
-def test_a_wrong_key_has_no_effect_and_is_logged(cluster, tmp_path):
+def test_peer_with_another_key_has_no_effect_and_is_logged(cluster, tmp_path):
     new_key_file(tmp_path / "other")
     before = cluster.peers["d0"].status()
-    stranger = cluster.start("d9", key=tmp_path / "other")
+    outsider = cluster.start("d9", key=tmp_path / "other")
     wait_until(lambda: cluster.peers["d0"].status()["counts"].get("bad frames"))
     after = cluster.peers["d0"].status()
     assert {p["name"] for p in after["peers"]} == {p["name"] for p in before["peers"]}
-    assert stranger.alive() == {"d9"}
+    assert outsider.alive() == {"d9"}
     assert [
         x
         for x in cluster.peers["d0"].events("line")
@@ -141,10 +143,10 @@
     ]
 
 
-def test_garbage_at_full_speed_changes_nothing_and_is_logged_once_a_second(cluster):
+def test_garbage_flood_has_no_effect_and_is_logged_once_per_second(cluster):
     host, _, port = cluster.peers["d0"].address().rpartition(":")
     out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(20_000):
         out.sendto(os.urandom(number % 1500), (host, int(port)))
     out.close()
@@ -153,31 +155,30 @@
     try:
         assert stream.recv(10) == b""
     except ConnectionResetError:
-        pass  # closed with what we sent unread
+        pass  # the peer closed the connection with unread bytes
     stream.close()
     wait_until(lambda: cluster.agree(set(cluster.peers)))
     lines = [x for x in cluster.peers["d0"].events("line") if x["event"] == "peers.invalid_datagram"]
-    assert lines and len(lines) <= time.monotonic() - began + 2
+    assert lines and len(lines) <= time.monotonic() - started_at + 2
     assert cluster.peers["d0"].status()["counts"]["bad"] > 100
     assert cluster.peers["d0"].process.poll() is None
 
 
-def test_replayed_datagrams_have_no_effect_not_even_on_the_next_session(tmp_path):
+def test_replayed_datagrams_have_no_effect_during_or_after_their_session(tmp_path):
     cluster = PeerCluster(tmp_path, 2)
     relay = Link(cluster.peers["d0"].address())
-    speaker = cluster.start("d2", "--route", f"d0={relay.address}")
+    sender = cluster.start("d2", "--route", f"d0={relay.address}")
     try:
         wait_until(lambda: cluster.agree({"d0", "d1", "d2"}) and len(relay.kept) > 10)
-        speaker.command("tell zones something")
+        sender.command("tell zones something")
         wait_until(lambda: "d2" in cluster.peers["d0"].status("zones")["words"]["zones"])
-        kept = list(relay.kept)
-        dropped = replay(relay, kept, cluster.peers["d0"])
+        datagrams = list(relay.kept)
+        dropped = replay(relay, datagrams, cluster.peers["d0"])
         assert dropped > 0
-        speaker.kill()
+        sender.kill()
         wait_until(lambda: cluster.agree({"d0", "d1"}))
-        assert (
-            replay(relay, kept, cluster.peers["d0"]) > 0
-        )  # of a session that has ended: nothing brings a dead member back
+        # The session has ended; a replay must not revive the dead member.
+        assert replay(relay, datagrams, cluster.peers["d0"]) > 0
         assert cluster.agree({"d0", "d1"})
         assert "d2" not in cluster.peers["d0"].status("zones")["words"]["zones"]
     finally:
@@ -185,24 +186,24 @@
         cluster.kill()
 
 
-def replay(relay, kept, to):
-    """Send all of it once more; returns how many were dropped as replays once the last has been read."""
-    counts = to.status()["counts"]
-    for data in kept:
+def replay(relay, datagrams, peer):
+    """Resend all datagrams, wait for a final marker, and return the number dropped as replays."""
+    counts = peer.status()["counts"]
+    for data in datagrams:
         relay.send(data)
     relay.send(b"the last")
-    wait_until(lambda: to.status()["counts"].get("bad", 0) > counts.get("bad", 0))
-    return to.status()["counts"].get("replayed", 0) - counts.get("replayed", 0)
+    wait_until(lambda: peer.status()["counts"].get("bad", 0) > counts.get("bad", 0))
+    return peer.status()["counts"].get("replayed", 0) - counts.get("replayed", 0)
 
 
-def test_datagrams_cut_off_while_streams_go_through_make_nobody_dead(tmp_path):
+def test_loss_of_datagrams_alone_causes_no_death_while_streams_pass(tmp_path):
     cluster = PeerCluster(tmp_path, 3, "--period", "1.0")
     relays = [Link(cluster.peers[n].address()) for n in ("d0", "d1", "d2")]
-    routes = [x for n, r in enumerate(relays) for x in ("--route", f"d{n}={r.address}")]
+    routes = [x for n, relay in enumerate(relays) for x in ("--route", f"d{n}={relay.address}")]
     try:
         wait_until(lambda: cluster.agree({"d0", "d1", "d2"}))
         cluster.start("d3", *routes)
-        for relay in relays:  # what d3 says by datagram is lost; the others' streams reach it
+        for relay in relays:  # all datagrams from d3 are lost; streams of the others still reach it
             relay.cut = True
         wait_until(lambda: cluster.agree({"d0", "d1", "d2", "d3"}))
         time.sleep(8.0)
@@ -213,11 +214,11 @@
         cluster.kill()
 
 
-# Without processes
+# Tests without processes
 
 
 @given(ENVELOPES)
-def test_what_is_written_is_read_and_fits_its_datagram(envelope):
+def test_envelopes_round_trip_and_fit_into_a_datagram(envelope):
     data = wire.encode(AUTHENTICATOR, envelope, wire.MAX_FRAME_BYTES)
     assert wire.decode(AUTHENTICATOR, data, wire.MAX_FRAME_BYTES) == envelope
     if not isinstance(envelope.body, StreamState):
@@ -231,21 +232,21 @@
 
 
 @given(st.one_of(st.binary(max_size=1500), st.binary(max_size=200).map(AUTHENTICATOR.seal)))
-def test_bytes_that_are_no_envelope_are_one_kind_of_error(data):
+def test_invalid_bytes_raise_invalid_message_error(data):
     with pytest.raises(InvalidMessageError) as caught:
         wire.decode(AUTHENTICATOR, data)
     assert "\n" not in str(caught.value)
 
 
 @given(ENVELOPES, st.integers(0, 10**6), st.integers(1, 255))
-def test_one_changed_byte_has_no_effect(envelope, place, change):
+def test_message_with_one_changed_byte_is_rejected(envelope, position, change):
     data = bytearray(wire.encode(AUTHENTICATOR, envelope, wire.MAX_FRAME_BYTES))
-    data[place % len(data)] ^= change
+    data[position % len(data)] ^= change
     with pytest.raises(InvalidMessageError):
         wire.decode(AUTHENTICATOR, bytes(data), wire.MAX_FRAME_BYTES)
 
 
-def test_fields_of_a_later_version_are_ignored_and_its_version_byte_is_not():
+def test_unknown_trailing_fields_are_ignored_and_an_unknown_version_is_rejected():
     import msgspec
 
     plain = msgspec.msgpack.encode(["a", "b", 1, 2, [1, 7, [], [], "new"], {"newer": 1}])
@@ -256,7 +257,7 @@
         wire.decode(AUTHENTICATOR, bytes(later))
 
 
-def test_a_key_is_changed_in_three_steps(tmp_path):
+def test_key_rotation_in_three_steps(tmp_path):
     old, new = Authenticator([b"o" * 32]), Authenticator([b"n" * 32])
     both = Authenticator([b"o" * 32, b"n" * 32])
     assert old.open(both.seal(b"x")) == both.open(new.seal(b"x")) == both.open(old.seal(b"x")) == b"x"
@@ -265,7 +266,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "mode", "why"),
+    ("text", "mode", "expected"),
     [
         (None, 0o600, "No such file"),
         ("", 0o600, "0 keys"),
@@ -275,24 +276,24 @@
         ("\n".join(["ab" * 32] * 5), 0o600, "5 keys"),
     ],
 )
-def test_a_key_file_that_cannot_be_used_is_reported_in_one_line(tmp_path, text, mode, why):
+def test_invalid_key_file_is_reported_in_one_line(tmp_path, text, mode, expected):
     path = tmp_path / "key"
     if text is not None:
         path.write_text(text)
         path.chmod(mode)
-    with pytest.raises(KeyFileError, match=why) as caught:
+    with pytest.raises(KeyFileError, match=expected) as caught:
         load_keys(path)
     assert "\n" not in str(caught.value)
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "sedgepitch.peers", "--name", "a", "--key", str(path)],
         capture_output=True,
         text=True,
         cwd=ROOT,
     )
-    assert ran.returncode == 1 and ran.stderr.count("\n") == 1 and why in ran.stderr
+    assert result.returncode == 1 and result.stderr.count("\n") == 1 and expected in result.stderr
 
 
-def test_a_new_key_file_is_its_owners_alone_and_never_written_over(tmp_path):
+def test_new_key_file_is_private_and_never_overwritten(tmp_path):
     new_key_file(tmp_path / "key")
     load_keys(tmp_path / "key")
     with pytest.raises(KeyFileError, match="exists"):
@@ -300,7 +301,7 @@
 
 
 @given(st.lists(st.integers(1, 200), max_size=80))
-def test_each_datagram_of_a_session_is_accepted_once_at_most(counters):
+def test_each_datagram_of_a_session_is_accepted_at_most_once(counters):
     sessions = SenderSessions(1)
     accepted = []
     sessions.establish(0.0, "a", 7, 0)
@@ -309,13 +310,13 @@
             accepted.append(counter)
     assert len(accepted) == len(set(accepted))
     highest = 0
-    for counter in counters:  # nothing is refused that came for the first time and not far behind
+    for counter in counters:  # a first arrival within the replay window of 64 must be accepted
         if counter > highest - 64 and counter not in counters[: counters.index(counter)]:
             assert counter in accepted or counter <= highest - 64
         highest = max(highest, counter)
 
 
-def test_a_session_is_accepted_only_once_it_repeats_a_fresh_nonce():
+def test_session_is_accepted_only_after_it_returns_a_fresh_nonce():
     sessions = SenderSessions(1)
     assert sessions.check(0.0, "a", 7, 1) is Verdict.CHALLENGE
     nonce = sessions.challenge(0.0, "a")
@@ -331,8 +332,8 @@
         sessions.check(0.4, "a", 8, 9) is Verdict.CHALLENGE
         and sessions.check(0.4, "a", 7, 6) is Verdict.ACCEPT
     )
-    late = sessions.challenge(1.0, "a")
-    assert late and not sessions.verify(9.0, "a", 8, 1, late)
+    expired = sessions.challenge(1.0, "a")
+    assert expired and not sessions.verify(9.0, "a", 8, 1, expired)
 
 
 def test_sessions_and_challenges_are_bounded():
--- a/tests/test_peers_serve.py
+++ b/tests/test_peers_serve.py
@@ -1,4 +1,4 @@
-"""Proxy instances as processes that gossip: they find each other, lose one, and serve on without peers."""
+"""Proxy instances as processes that gossip: discovery, failure detection, and service without peers."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def free_port() -> int:
-    with socket.socket() as bound:
-        bound.bind(("127.0.0.1", 0))
-        return bound.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
 
 
 @contextmanager
 def gossiping_instances(tmp_path, **parts):
-    """Three instances before one emulated fleet; yields them and the address of each one's status."""
+    """Start three instances with one emulated fleet; yields the stage and the metrics addresses by name."""
     new_key_file(tmp_path / "key")
     status_addresses = {}
     seeds = []
@@ -40,26 +40,26 @@
             instances.driver(name, peers=peers, **parts)
             log = tmp_path / f"{name}.log"
             wait_until(lambda log=log: "peers.listening" in log.read_text())
-            plain = re.sub(r"\x1b\[[0-9;]*m", "", log.read_text())
-            seeds.append(re.search(r"peers\.listening\s+address=(\S+)", plain)[1])
+            text = re.sub(r"\x1b\[[0-9;]*m", "", log.read_text())
+            seeds.append(re.search(r"peers\.listening\s+address=(\S+)", text)[1])
             status_addresses[name] = metrics
         yield instances, status_addresses
 
 
 @pytest.fixture
 def gossiping(tmp_path):
-    """Three instances that gossip, and the address of each one's status."""
+    """Three gossiping instances, and their metrics addresses by name."""
     with gossiping_instances(tmp_path) as started:
         yield started
 
 
 def member_states(address: str) -> dict[str, str]:
-    """Return the state of each member that an instance knows."""
-    with urllib.request.urlopen(f"http://{address}/peers", timeout=60) as answer:
-        return {p["name"]: p["life"] for p in json.load(answer)["peers"]}
+    """Return the state of each member that the instance reports."""
+    with urllib.request.urlopen(f"http://{address}/peers", timeout=60) as response:
+        return {p["name"]: p["life"] for p in json.load(response)["peers"]}
 
 
-def test_instances_find_each_other_and_a_killed_one_is_dead_while_all_serve(gossiping, tmp_path):
+def test_instances_discover_each_other_and_serve_while_a_killed_one_is_declared_dead(gossiping, tmp_path):
     instances, addresses = gossiping
     wait_until(lambda: all(list(member_states(a).values()) == ["alive", "alive"] for a in addresses.values()))
     instances.drivers["n1"].kill()
@@ -72,14 +72,16 @@
         with pymongo.MongoClient(host, port) as client:
             client.sky.readings.insert_one({"_id": name})
             assert client.sky.readings.find_one({"_id": name}) == {"_id": name}
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "sedgepitch", "peers", "status", "--config", str(tmp_path / "n0.yaml")],
         capture_output=True,
         text=True,
         cwd=ROOT,
     )
     assert (
-        ran.returncode == 0 and re.search(r"n1\s+dead", ran.stdout) and re.search(r"n2\s+alive", ran.stdout)
+        result.returncode == 0
+        and re.search(r"n1\s+dead", result.stdout)
+        and re.search(r"n2\s+alive", result.stdout)
     )
     instances.driver("n1")
     wait_until(
@@ -88,7 +90,7 @@
     )
 
 
-def test_an_instance_without_peers_opens_no_socket_and_imports_nothing_of_it(calm):
+def test_instance_without_peers_opens_no_udp_socket_and_imports_no_peer_modules(calm):
     pid = calm.drivers["calm-1"].process.pid
     with open("/proc/net/udp", encoding="ascii") as table:
         inodes = {line.split()[9] for line in table.readlines()[1:]}
@@ -99,8 +101,10 @@
     code = (
         "import sedgepitch.cli.daemon, sys; print([m for m in sys.modules if 'peers' in m or 'msgspec' in m])"
     )
-    ran = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
-    assert ran.stdout == "[]\n"
+    result = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    assert result.stdout == "[]\n"
 
 
 def serve(path, *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -113,18 +117,20 @@
     )
 
 
-def test_settings_of_peers_that_cannot_be_used_are_reported_in_one_line(tmp_path):
+def test_invalid_peer_settings_are_reported_without_traceback(tmp_path):
     import yaml
 
     settings = example()
     settings["listen"] = "127.0.0.1:0"
     path = tmp_path / "s.yaml"
-    for part, arguments, why in (
+    for peers, arguments, expected in (
         ({"listen": "127.0.0.1:0", "key_file": str(tmp_path / "none")}, (), "none: No such file"),
         ({"listen": "127.0.0.1:0", "key_file": "x"}, ("--workers", "2"), "workers share one address"),
         ({"listen": "127.0.0.1:0"}, (), "key_file"),
         ({"listen": "127.0.0.1:0", "key_file": "x", "period": "1 ms"}, (), "period must be"),
     ):
-        path.write_text(yaml.safe_dump(settings | {"peers": part}))
-        ran = serve(path, *arguments)
-        assert ran.returncode == 1 and why in ran.stderr and "Traceback" not in ran.stderr, ran.stderr
+        path.write_text(yaml.safe_dump(settings | {"peers": peers}))
+        result = serve(path, *arguments)
+        assert (
+            result.returncode == 1 and expected in result.stderr and "Traceback" not in result.stderr
+        ), result.stderr
--- a/tests/test_pymongo.py
+++ b/tests/test_pymongo.py
@@ -1,4 +1,4 @@
-"""A stock client on the whole path: pymongo, a driver, stand-in members."""
+"""End-to-end tests with a standard client library: pymongo, a proxy and emulated servers."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from pymongo.errors import BulkWriteError, DuplicateKeyError, OperationFailure
 
 
-def client(stage, **options):
+def connect(stage, **options):
     host, port = stage.addresses[next(iter(stage.addresses))]
     return pymongo.MongoClient(host, port, serverSelectionTimeoutMS=20000, **options)
 
 
 @pytest.fixture
 def mongo(calm):
-    with client(calm) as held:
-        yield held
+    with connect(calm) as client:
+        yield client
 
 
-def test_reads_find_what_writes_wrote(mongo):
+def test_reads_return_written_documents(mongo):
     rows = mongo.sky.crud
     assert rows.insert_one({"_id": 1, "v": 1}).acknowledged
     assert rows.insert_many([{"_id": n, "v": n} for n in range(2, 9)]).inserted_ids == list(range(2, 9))
@@ -42,7 +42,7 @@
         assert totals[0]["n"] == 7
 
 
-def test_bulk_write_reports_the_document_at_fault(mongo):
+def test_bulk_write_reports_the_index_of_the_failed_document(mongo):
     rows = mongo.sky.bulk
     rows.insert_one({"_id": 2})
     with pytest.raises(BulkWriteError) as caught:
@@ -51,7 +51,7 @@
     assert caught.value.details["nInserted"] == 1
 
 
-def test_cursor_over_several_batches_and_one_given_up(mongo):
+def test_cursor_over_several_batches_and_cursor_closed_early(mongo):
     rows = mongo.sky.cursors
     rows.insert_many([{"_id": n} for n in range(500)])
     with mongo.start_session() as session:
@@ -85,43 +85,43 @@
 
 @pytest.mark.parametrize("compressor", ["zlib", "zstd", "snappy"])
 def test_compressors(calm, compressor):
-    with client(calm, compressors=compressor) as held:
-        rows = held.sky["packed_" + compressor]
-        with held.start_session() as session:
+    with connect(calm, compressors=compressor) as client:
+        rows = client.sky["packed_" + compressor]
+        with client.start_session() as session:
             rows.insert_many([{"_id": n, "text": "smoke " * 100} for n in range(50)], session=session)
             assert len(rows.find({}, session=session).to_list()) == 50
 
 
-def test_pool_of_a_hundred(calm):
-    failed = []
-    with client(calm, maxPoolSize=100) as held:
-        held.sky.pool.insert_one({"_id": 0})
-        gate = threading.Barrier(100)
+def test_pool_of_100_connections(calm):
+    errors = []
+    with connect(calm, maxPoolSize=100) as client:
+        client.sky.pool.insert_one({"_id": 0})
+        barrier = threading.Barrier(100)
 
         def work(number: int) -> None:
-            gate.wait()
+            barrier.wait()
             try:
-                held.sky.pool.insert_one({"_id": number})
+                client.sky.pool.insert_one({"_id": number})
             except Exception as error:
-                failed.append(error)
+                errors.append(error)
 
         threads = [threading.Thread(target=work, args=(n,)) for n in range(1, 101)]
         [t.start() for t in threads]
         [t.join() for t in threads]
-        assert not failed
-        with held.start_session() as session:
-            held.sky.pool.insert_one({"_id": 101}, session=session)
-            assert held.sky.pool.count_documents({}, session=session) == 102
+        assert not errors
+        with client.start_session() as session:
+            client.sky.pool.insert_one({"_id": 101}, session=session)
+            assert client.sky.pool.count_documents({}, session=session) == 102
 
 
 def test_async_client(calm):
     async def work() -> int:
         host, port = calm.addresses["calm-1"]
-        async with pymongo.AsyncMongoClient(host, port) as held:
-            await held.sky.later.insert_many([{"_id": n} for n in range(30)])
-            async with held.start_session() as session:
-                await held.sky.later.insert_one({"_id": 30}, session=session)
-                return len(await held.sky.later.find({}, batch_size=7, session=session).to_list())
+        async with pymongo.AsyncMongoClient(host, port) as client:
+            await client.sky.later.insert_many([{"_id": n} for n in range(30)])
+            async with client.start_session() as session:
+                await client.sky.later.insert_one({"_id": 30}, session=session)
+                return len(await client.sky.later.find({}, batch_size=7, session=session).to_list())
 
     assert asyncio.run(work()) == 31
 
@@ -145,13 +145,13 @@
     assert caught.value.code == 263
 
 
-def test_client_continues_after_the_proxy_was_killed_and_restarted(rough):
+def test_client_continues_after_the_proxy_is_killed_and_restarted(rough):
     rough.driver("again")
-    with client(rough) as held:
-        held.sky.again.insert_one({"_id": 1})
+    with connect(rough) as client:
+        client.sky.again.insert_one({"_id": 1})
         rough.drivers["again"].kill()
         rough.driver("again")
-        held.sky.again.insert_one({"_id": 2})
-        with held.start_session() as session:
-            held.sky.again.insert_one({"_id": 3}, session=session)
-            assert held.sky.again.count_documents({}, session=session) == 3
+        client.sky.again.insert_one({"_id": 2})
+        with client.start_session() as session:
+            client.sky.again.insert_one({"_id": 3}, session=session)
+            assert client.sky.again.count_documents({}, session=session) == 3
