--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -25,7 +25,7 @@
 
 
 class ClientConnection(FrameReceiver):
-    """One client connection. `number` is its sequence number among the listener's connections.
+    """One client connection. `number` counts the listener's connections since process start.
 
     Frames are `paused` while a command is executing or waits for its turn after other clients.
     """
