--- a/sedgepitch/core/clock.py
+++ b/sedgepitch/core/clock.py
@@ -53,7 +53,7 @@
         self.now = time.monotonic
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> TimerHandle:
-        """Call after `delay` seconds; the handle may be cancelled even after the call has run."""
+        """Call after `delay` seconds; cancelling the handle after the call has run does nothing."""
         if self.loop is not None:
             return self.loop.call_later(max(0.0, delay), call, *args)
         return _CancellableCall(self.reactor.callLater(max(0.0, delay), call, *args))
@@ -118,11 +118,11 @@
     monotonic: Callable[[], float] = time.monotonic,
     samples: int = OFFSET_SAMPLES,
 ) -> float:
-    """Return Unix time minus monotonic time, in seconds; the error is never negative.
+    """Return Unix time minus monotonic time, in seconds; the result may be too large, never too small.
 
-    If the process were suspended between the two clock reads, it would overestimate the freshness of every
-    replica by the length of the suspension for the rest of its run. So of several samples, the one that took
-    the least time is used.
+    If the process is suspended between the two clock reads, the offset is too large by the length of the
+    suspension, and every replica seems fresher by that much for the rest of the run. So of several samples,
+    the one that took the least time is used.
     """
     least = float("inf")
     offset = 0.0
--- a/sedgepitch/core/completion.py
+++ b/sedgepitch/core/completion.py
@@ -15,7 +15,7 @@
 
 
 class Completion:
-    """Completes requests and reports the outcome of each attempt to the router."""
+    """Completes the requests of one engine and reports the outcome of each attempt to the router."""
 
     __slots__ = ("engine",)
 
--- a/sedgepitch/core/connection_pool.py
+++ b/sedgepitch/core/connection_pool.py
@@ -58,7 +58,7 @@
 
 
 class ConnectionPool:
-    """The connections to one endpoint; `judge` is the protocol's function from a reply to an outcome."""
+    """The connections to one endpoint; `judge` is the protocol's function that maps a reply to an outcome."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
             connection.start()
             return attempt
         opening = next((c for c in self.connections if c.connection is None and c.attempt is None), None)
-        if opening is not None:  # its attempt was abandoned
+        if opening is not None:  # still being opened for an attempt that was abandoned
             self._assign(opening, attempt)
             return attempt
         if len(self.connections) >= self.limits.max_connections or self.closed:
@@ -109,7 +109,10 @@
         return attempt
 
     def send_with_timeout(self, payload: object, on_end: AttemptCallback, timeout: float) -> None:
-        """Start an attempt that times out after `timeout` seconds, unless its reply has arrived unread."""
+        """Start an attempt that times out after `timeout` seconds.
+
+        A reply that has arrived by then but has not been read yet still counts.
+        """
 
         def end(outcome: AttemptOutcome) -> None:
             timer.cancel()
@@ -171,7 +174,7 @@
             connection.give_up(ENDPOINT_MOVED)
 
     def close(self) -> None:
-        """Close all connections; attempts in flight end as reset."""
+        """Close all connections; attempts in flight end as reset, those without a connection as not sent."""
         self.closed = True
         for pooled in list(self.connections):
             if pooled.connection is not None:
--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -26,10 +26,10 @@
 
 
 class Deadlines:
-    """Ends requests whose deadline has passed, by the router's answer or, failing that, by the engine's own.
+    """Ends requests whose deadline has passed: by the router's answer, or by the *last guard* without one.
 
-    The *last guard* is the latter: it answers a request that is still pending LAST_GUARD_AFTER seconds after
-    the router was notified that the deadline has passed.
+    The last guard is the engine's own answer to a request that is still pending LAST_GUARD_AFTER seconds
+    after the router was notified that the deadline has passed.
     """
 
     __slots__ = ("_guards", "_heap", "_tick_due", "engine")
@@ -39,7 +39,7 @@
         self.engine = engine
         # (deadline, request id); ended requests stay until `add` drops them or they are due
         self._heap: list[tuple[float, int]] = []
-        self._guards: deque[tuple[float, PendingRequest]] = deque()  # with the time of the guard
+        self._guards: deque[tuple[float, PendingRequest]] = deque()  # with the time of the last guard
         self._tick_due = NEVER
 
     def add(self, pending: PendingRequest, now: float) -> None:
@@ -55,7 +55,7 @@
         """Bring the deadlines of all pending requests forward to `moment`, when the process shuts down."""
         for pending in self.engine.request_table.requests.values():
             if pending.deadline > moment:
-                pending.deadline = moment  # the router has a later deadline and is not asked again
+                pending.deadline = moment  # the router keeps the later one; the engine answers without it
                 heappush(self._heap, (moment, pending.id))
         if self._heap:
             self._schedule_tick(self.engine.clock.now())
@@ -123,8 +123,10 @@
     def _time_out(self, pending: PendingRequest) -> None:
         """Time out every attempt of a request, so that the router gives its final answer.
 
-        The last guard runs LAST_GUARD_AFTER from now regardless of the lag: earlier, the router would not
-        have had its turn; later, a delay that has already passed would postpone the answer.
+        The engine answers at once if the request bypasses the router, if the router's deadline is still
+        ahead, or if the router has been notified before. Otherwise the last guard is due LAST_GUARD_AFTER
+        from now regardless of the lag: earlier, the router would not have had its turn; later, a delay that
+        is already over would postpone the answer.
         """
         if pending.timed_out or pending.sticky or self._router_has_time(pending):
             self._answer_last(pending)
@@ -135,15 +137,15 @@
             self.engine.completion.expire_attempt(pending, attempt, reasons.NO_ANSWER_BY_DEADLINE)
 
     def _router_has_time(self, pending: PendingRequest) -> bool:
-        """Return whether the router's deadline is still ahead: the lag has grown since it was set."""
+        """Return whether the router's deadline is still ahead, as when the lag has grown since it was set."""
         return pending.router_deadline > self.engine.clock.now() + CLOCK_TOLERANCE
 
     def _answer_last(self, pending: PendingRequest) -> None:
         """Answer a request for which the router has made no final decision.
 
-        Needed when the event loop lag has grown since the router was given the deadline, and as a guard
-        against a request that is lost in any layer. The counters expose such a defect, which this answer
-        would otherwise hide.
+        This happens to requests that bypass the router, to all when the event loop lag has grown since the
+        router was given the deadline, and to a request that is lost in any layer. That is a defect, which
+        this answer would hide if `answered_by_last_guard` did not count it.
         """
         engine = self.engine
         early = not pending.timed_out and self._router_has_time(pending)
--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -166,7 +166,7 @@
         self.engine.upstream.close_idle(action.endpoint)
 
     def watch_endpoint_list(self, _action: api.WatchEndpointList) -> None:
-        """Subscribe to changes of the endpoint list at discovery."""
+        """Subscribe to changes of the endpoint list at discovery; report a failure if there is none."""
         if self.engine.watch is None:
             self.feed(api.EndpointListFailed())
         else:
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -38,9 +38,9 @@
     """Runs one router with the endpoints of one upstream side.
 
     `clock` is the only clock used by the engine and by what it calls. `max_in_flight` bounds pending
-    requests. `handover_limit` is the maximum time in seconds between a decision that ages and the sending of
-    its bytes. `watch` subscribes to changes of the endpoint list at discovery, `log` receives the router's
-    messages, `on_response` each final answer with the seconds since the request's arrival, and
+    requests. `handover_limit` is the maximum time in seconds between a decision that may expire and the
+    sending of its bytes. `watch` subscribes to changes of the endpoint list at discovery, `log` receives the
+    router's messages, `on_response` each final answer with the seconds since the request's arrival, and
     `on_callback_error` each exception raised by a callback.
     """
 
@@ -115,9 +115,9 @@
         self.deadlines.before_reading()
 
     def reject_unread(self, waited: float, tenant: str) -> bool:
-        """Return whether to reject a request unread after `waited` seconds; if so, count it.
+        """Return whether to reject, without reading it, a request that waited `waited` seconds.
 
-        See `decisions/admission/process_concurrency_limit.py`.
+        A rejection is counted. See `decisions/admission/process_concurrency_limit.py`.
         """
         most_active = self.admission is None or tenant == self.admission.most_active_tenant
         if not self.process_limit.rejects_unread(waited, most_active):
--- a/sedgepitch/core/intake.py
+++ b/sedgepitch/core/intake.py
@@ -150,7 +150,7 @@
     def _rejection_on_arrival(self, pending: PendingRequest, margin: float, now: float) -> Response | None:
         """Return the rejection of a request that cannot be accepted, or None if it can be.
 
-        The grounds are limits of this process and too little time left.
+        The grounds are a shutdown, limits of this process and too little time left.
         """
         engine = self.engine
         count = engine.request_table.pending
@@ -178,8 +178,8 @@
     ) -> AdmissionRequest:
         """Return the admission request of a pending request.
 
-        A write whose class has a late priority weight (it has value after its latency objective) may wait
-        until its deadline.
+        A write whose class has a late priority weight, and so keeps some value after its latency objective,
+        may wait until its deadline: its objective is passed as 0.
         """
         request = pending.request
         latency_objective = request_class.latency_objective - (now - pending.arrived_at)
--- a/sedgepitch/core/pooled_connection.py
+++ b/sedgepitch/core/pooled_connection.py
@@ -89,7 +89,7 @@
     def withdraw(self) -> bool:
         """Withdraw the attempt; return whether nothing had been sent.
 
-        If its bytes are queued behind a full socket, the connection is closed and they are discarded.
+        If some of its bytes are queued behind a full socket, the connection is closed to discard them.
         """
         if not self.has_started:
             self.abandon()
--- a/sedgepitch/core/request_table.py
+++ b/sedgepitch/core/request_table.py
@@ -76,8 +76,8 @@
 class RequestTable:
     """All pending requests, and ended ones that still have attempts in flight.
 
-    Completed and cancelled requests stay until the router has processed the event that ended them, so that an
-    attempt that it decided on before that can be reported as not sent.
+    Completed and cancelled requests stay until the router has processed the event that ended them. Until
+    then it may decide on another attempt, which can thus be reported as not sent.
     """
 
     def __init__(self) -> None:
@@ -103,7 +103,7 @@
         return pending
 
     def complete(self, pending: PendingRequest) -> ResponseCallback | None:
-        """End a request with an answer; return the callback to answer to, or None if it had ended."""
+        """End a request with an answer; return its callback, or None if the request had already ended."""
         on_response = pending.on_response
         if on_response is None:
             self.duplicate_responses += 1
--- a/sedgepitch/core/types.py
+++ b/sedgepitch/core/types.py
@@ -41,7 +41,7 @@
     idempotency_key: str = ""  # the same in each retry of one request only; empty if the protocol has none
 
 
-@dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
+@dataclass(slots=True, eq=False)  # one per attempt; creating a frozen instance costs twice as much
 class AttemptOutcome:
     """How one attempt at an endpoint ended; `why` is a short reason for the operator."""
 
@@ -54,7 +54,7 @@
     received_at: float = 0.0  # when the reply's bytes arrived, 0 if unknown
 
 
-@dataclass(slots=True, eq=False)  # made for each request: frozen ones cost twice as much
+@dataclass(slots=True, eq=False)  # one per request; creating a frozen instance costs twice as much
 class Response:
     """The final answer of a request."""
 
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -22,9 +22,9 @@
 class DiscoveryClient:
     """The watch streams of one proxy instance.
 
-    `unix_offset` is Unix time minus the monotonic clock, in seconds. `held_revision` returns the revision
-    after which changes are requested. `on_version` is called with each version, `on_lost` with the reason
-    when a stream is lost or silent.
+    `unix_offset` is Unix time minus the monotonic clock, in seconds. `held_revision` returns the revision of
+    the current list, after which changes are requested. `on_version` is called with each version, `on_lost`
+    with the reason when a stream is lost or silent.
     """
 
     def __init__(
--- a/sedgepitch/discovery/json_stream.py
+++ b/sedgepitch/discovery/json_stream.py
@@ -1,7 +1,7 @@
 """Splits a byte stream into JSON objects, for any white space and any division into chunks.
 
-Incremental JSON parsers build values while reading; splitting first allows a size limit per object and yields
-a single error for an invalid one.
+Incremental JSON parsers build values while reading. Splitting first allows a size limit per object, and an
+invalid object causes a single error.
 """
 
 from __future__ import annotations
--- a/sedgepitch/net/accepting.py
+++ b/sedgepitch/net/accepting.py
@@ -63,7 +63,7 @@
 
     @property
     def lasting(self) -> bool:
-        """Whether the shortage has lasted LASTING_SHORTAGE_S, so that descriptors have to be freed."""
+        """Whether the pauses sum to LASTING_SHORTAGE_S, so that descriptors have to be freed."""
         return self._paused_s >= LASTING_SHORTAGE_S
 
     def failed(self, error: int) -> AcceptFailure:
--- a/sedgepitch/net/listener.py
+++ b/sedgepitch/net/listener.py
@@ -5,7 +5,7 @@
 connection, so connections stay in the backlog until they can be accepted (net/accepting.py).
 
 An accepted connection whose transport cannot be set up for the moment (no memory for a descriptor's flags or
-for the poller) is kept and set up after a pause.
+for the poller) is kept and set up after a pause. It is closed after SET_UP_ATTEMPTS failures.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
     call: str  # "accept" or "set_up"
     error: int  # errno, 0 if the system gave none
-    retry_in_s: float  # 0 if the retry is made at once
+    retry_in_s: float  # 0: `accept` is called again at once; the connection of a failed set-up was closed
 
     @property
     def name(self) -> str:
@@ -70,7 +70,7 @@
     `may_accept` is called before connections are accepted. While it returns False, connections wait in the
     backlog, the cheapest place while the process cannot keep up with the connections that it has.
     `on_descriptors_out` is called to free a descriptor by closing an idle connection; its argument is whether
-    the shortage has lasted.
+    the shortage has lasted. `on_problem` receives each failed accept or set-up.
     """
 
     transport = TimestampedServer  # type: ignore[assignment]
@@ -118,7 +118,7 @@
             return True
 
     def _accept_next(self) -> bool:
-        """Accept one connection; return whether to go on."""
+        """Accept one connection; return whether to call `accept` again at once."""
         try:
             connected, address = self.socket.accept()
         except OSError as error:
--- a/sedgepitch/net/transport.py
+++ b/sedgepitch/net/transport.py
@@ -157,7 +157,10 @@
         return failed_at - self._failing_since < TRANSIENT_LIMIT_S
 
     def _pending_error(self) -> int:
-        """Return the socket's pending errno; 0 if there is none, it is unknown, or the connection is open."""
+        """Return the socket's pending errno.
+
+        0 if there is none, if it is unknown, or if the socket is still open with nothing to read.
+        """
         try:
             number = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError:
--- a/sedgepitch/node/endpoint_snapshot.py
+++ b/sedgepitch/node/endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""Log snapshot of each endpoint: the state held by the router and the connection pool."""
+"""Snapshots of the endpoints for the log, from the state of the router and the connection pools."""
 
 from __future__ import annotations
 
--- a/sedgepitch/node/graceful_shutdown.py
+++ b/sedgepitch/node/graceful_shutdown.py
@@ -55,7 +55,11 @@
             self._clock.call_later(CHECK_INTERVAL_S, self._check)
 
     def _close_port(self, now: float) -> None:
-        """Accept the backlog and close the port; retried on a shortage of descriptors or memory."""
+        """Accept the backlog and close the port.
+
+        During a shortage, which ends as other connections close, each check retries until `close_idle_from`;
+        the port is then closed with the connections that are left in the backlog.
+        """
         if self._port is None:
             return
         if self._port.accept_all() or now >= self._schedule.close_idle_from:
--- a/sedgepitch/node/proxy.py
+++ b/sedgepitch/node/proxy.py
@@ -79,7 +79,7 @@
         self.accept_failures = AcceptFailureLog(self.clock, log.log_event)
         self.port: Listener | None = None
         self.port_binding: PortBinding | None = None
-        self._discovery_problem = ""  # last reason logged, to log a repeated one only once
+        self._discovery_problem = ""  # last reason logged; repetitions are not logged
 
     def _make_upstream(self, unix_offset: float) -> PostgresUpstream:
         limits = PoolLimits(
@@ -178,7 +178,7 @@
     # Reload and shutdown
 
     def reload(self, config: NodeConfig) -> None:
-        """Switch discovery to its new address; log the changed fields that need a restart."""
+        """Switch discovery to its new address, from the current revision; log changes that need a restart."""
         current = self.config
         ignored = [name for name in FIXED_FIELDS if getattr(config, name) != getattr(current, name)]
         self.config = dataclasses.replace(current, discovery=config.discovery)
--- a/sedgepitch/protocols/postgresql/client.py
+++ b/sedgepitch/protocols/postgresql/client.py
@@ -135,7 +135,10 @@
             return
 
     def _note_activity(self) -> None:
-        """Record whether this client is idle or has sent an incomplete message."""
+        """Record whether this client is idle or has sent an incomplete message.
+
+        If there are too many idle clients, one of them is closed.
+        """
         if self.state not in READING_STATES:
             return
         listener = self.listener
@@ -173,7 +176,7 @@
         if self.state is not ClientState.YIELDING:
             return
         self.state = ClientState.READY
-        self.message_started_at = self.listener.clock.now()  # queueing behind earlier statements not counted
+        self.message_started_at = self.listener.clock.now()  # the wait for earlier statements is not counted
         self._advance_if_open()
 
     def _advance_if_open(self) -> None:
@@ -254,7 +257,7 @@
             self.close_reason = reason
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Release everything held for the connection, whichever side closed it."""
+        """Count and report the close, release the connection's resources and cancel its request."""
         listener = self.listener
         listener.closes.closed(self._close_report(reason))
         listener.connections.discard(self)
--- a/sedgepitch/protocols/postgresql/client_listener.py
+++ b/sedgepitch/protocols/postgresql/client_listener.py
@@ -57,7 +57,7 @@
         self.disconnects_found_unread = 0  # clients found disconnected while their socket was paused
         self.disconnects_found_late = 0  # clients found disconnected when their statement was about to run
         self.close_idle_from = NEVER  # connections without a request are closed from this time on
-        self.answer_by = NEVER  # every request has its response by this time, when the process ends
+        self.answer_by = NEVER  # no request is pending after this time, when the process ends
         self.stall = LoopStall(CHECK_INTERVAL_S, clock.now())
         clock.call_later(CHECK_INTERVAL_S, self._check_due)
 
@@ -82,8 +82,8 @@
     def evict_for(self, new_connection: ClientConnection, now: float) -> ClientConnection:
         """Return the connection to close so that `new_connection` gets a descriptor.
 
-        Connections with unread bytes are skipped, since closing them would lose a request. If every other
-        connection is busy, the new one itself is returned.
+        Connections with unread bytes are skipped, since closing them would lose a request. If no other
+        connection can be closed, the new one itself is returned.
         """
         while (evicted := self.activity.evict(now)) is not None:
             if socket_state.is_open_and_idle(evicted.transport):
--- a/sedgepitch/protocols/postgresql/codec.py
+++ b/sedgepitch/protocols/postgresql/codec.py
@@ -76,12 +76,12 @@
         self.bounds = bounds
         self._buffer = b""
         self._offset = 0  # offset in the buffer of the first message not yet returned
-        self._more = bytearray()  # received since the buffer was last joined
+        self._more = bytearray()  # received since the last join, not yet part of the buffer
         self._held = 0  # bytes received and not yet returned
         self._want = HEADER_BYTES  # minimum number of bytes for the next message to be complete
 
     def feed(self, data: bytes) -> None:
-        """Append received bytes; they are joined only once a message may be complete, to avoid copies."""
+        """Append received bytes; they are copied into one buffer only once a message may be complete."""
         if self._held:
             self._more += data
         else:
--- a/sedgepitch/protocols/postgresql/endpoint_connection.py
+++ b/sedgepitch/protocols/postgresql/endpoint_connection.py
@@ -1,6 +1,6 @@
 """One connection to an endpoint: start-up, then one statement at a time with its reply.
 
-A complete reply that is followed by unexpected bytes is still used, but the connection is closed.
+If unexpected bytes follow a complete reply, the reply is still used, but the connection is closed.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
         self.now = now
         self.callbacks = callbacks
         self.reader = Reader(codec.FROM_ENDPOINT)
-        self.started = False  # start-up is complete
+        self.startup_complete = False
         self.broken = False  # closing; further input is ignored
         self.on_reply: Callable[[Reply], None] | None = None
         self.reply: Reply | None = None
@@ -139,7 +139,7 @@
             self._malformed(str(error), arrived)
 
     def _read_message(self, kind: bytes, raw: bytes, arrived: float) -> None:
-        if not self.started:
+        if not self.startup_complete:
             self._read_startup(kind, raw)
             return
         reply = self.reply
@@ -169,7 +169,7 @@
         elif kind not in STARTUP_KINDS or self.startup_messages > STARTUP_MESSAGES_MAX:
             self._abort(f"a greeting with {kind!r}")
         elif kind == codec.READY_FOR_QUERY:
-            self.started = True
+            self.startup_complete = True
             self.callbacks.ready(self)
 
     def _read_ready(self, reply: Reply, raw: bytes, arrived: float) -> None:
@@ -213,7 +213,7 @@
         why = self.close_reason or reason.getErrorMessage()
         if self.trace is not None:
             self.trace("ended", why=why, uses=self.uses, busy=self.reply is not None)
-        if not self.started:
+        if not self.startup_complete:
             self.callbacks.failed(why)
             return
         reply = self.reply
--- a/sedgepitch/protocols/postgresql/statement_handler.py
+++ b/sedgepitch/protocols/postgresql/statement_handler.py
@@ -17,9 +17,9 @@
     from sedgepitch.protocols.postgresql.client import ClientConnection
     from sedgepitch.protocols.postgresql.client_listener import ClientListener
 
-ANSWER_MARGIN_S = 0.015  # before the client's deadline the response is decided; more than a timer tick
+ANSWER_MARGIN_S = 0.015  # from the engine's deadline to the client's; longer than a timer tick
 DISCONNECT_CHECK_AFTER_S = 0.05  # a statement read later than this is checked for a disconnect
-REQUIRED_AGE_MIN_S = 1e-6  # minimum age of a session's last write; 0 means that there was none
+REQUIRED_AGE_MIN_S = 1e-6  # least age sent for a session's last write: 0 would mean that there was none
 EMPTY_STATEMENT_CHARS = b" \t\r\n;"
 SQLSTATE_REJECTED = "53300"  # too_many_connections: nothing ran, the client may retry
 SQLSTATE_FAILED = "58000"  # system_error: the statement may have run
@@ -56,7 +56,10 @@
         self._submit(connection, statement)
 
     def _is_id_free(self, request_id: bytes) -> bool:
-        """Return whether the id is free; abandon a request with it whose client left before any attempt."""
+        """Return whether no open request has this id.
+
+        An open request without any attempt whose client has disconnected is abandoned, which frees its id.
+        """
         owner = self._listener.open_request_ids.get(request_id)
         if owner is None:
             return True
--- a/sedgepitch/settings.py
+++ b/sedgepitch/settings.py
@@ -1,7 +1,7 @@
 """Translates settings, as the platform and the simulator provide them, to the router's own types.
 
-All callers share this translation; the terms of the wire format are not used beyond it. It uses only the
-standard library, because the simulator's adapter imports it.
+All callers share this translation, so the terms of the wire format stay in it. It uses only the standard
+library, because the simulator's adapter imports it.
 """
 
 from __future__ import annotations
@@ -87,9 +87,9 @@
 
 
 def read_word(table: dict[str, T], value: object, where: str, default: T | None = None) -> T:
-    """Return the table's value for a word on the wire, or `default`; raises InvalidInputError.
+    """Return the value that the table has for a word on the wire, or `default` for an unknown word.
 
-    Without a default, an unknown word is an error.
+    Raises InvalidInputError for a value that is not a string, and for an unknown word without a default.
     """
     if not isinstance(value, str):
         raise InvalidInputError(f"{where} is not a word")
@@ -143,9 +143,9 @@
     if len(kinds) != len(classes) or len(ages) != len(classes):
         raise InvalidInputError("setup.specifics: 'freshness' and 'maxAgeS' must match the classes")
     translated = []
-    for index, (stated, kind, age) in enumerate(zip(classes, kinds, ages, strict=True)):
+    for index, (raw_class, kind, age) in enumerate(zip(classes, kinds, ages, strict=True)):
         max_staleness = read_number({"maxAgeS": age}, "maxAgeS", 0.0, "setup.specifics")
-        translated.append(translate_class(stated, kind, max_staleness, f"setup.classes[{index}]"))
+        translated.append(translate_class(raw_class, kind, max_staleness, f"setup.classes[{index}]"))
     if len({c.name for c in translated}) != len(translated):
         raise InvalidInputError("setup.classes: two classes of one name")
     return tuple(translated)
@@ -168,7 +168,8 @@
 def translate_settings(raw: Wire) -> api.Settings:
     """Translate the settings passed at start-up; raises InvalidInputError, which names the field.
 
-    Unknown fields are ignored; an unknown word is read as the strictest value of its field.
+    Unknown fields are ignored. An unknown word in `keyScope`, `behind` or `sessionMarks` is read as the
+    strictest value of the field; in `effect` or `freshness` it is an error.
     """
     specifics, limits = read_object(raw, "specifics"), read_object(raw, "limits")
     rules, stats = read_object(raw, "rules"), read_object(raw, "stats")
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -190,7 +190,10 @@
         )
 
     def sort_event(self, item: Wire, events: dict[str, list[api.Event]]) -> None:
-        """Add one event to the events of its instance; raises InvalidInputError."""
+        """Store a list, create or remove an instance, or add the event to those of its instance.
+
+        Unknown events and events for a removed instance are ignored. Raises InvalidInputError.
+        """
         kind = read_required(item, "type", str, "items")
         if kind == "manifest":
             self.store_list(item)
