--- a/sedgepitch/core/clock.py
+++ b/sedgepitch/core/clock.py
@@ -120,17 +120,17 @@
 ) -> float:
     """Return Unix time minus monotonic time, in seconds; the result may be too large, never too small.
 
-    If the process is suspended between the two clock reads, the offset is too large by the length of the
-    suspension, and every replica seems fresher by that much for the rest of the run. So of several samples,
-    the one that took the least time is used.
+    An offset that is too small would make replicas look fresher than they are, so the monotonic clock is read
+    first. A suspension between the two reads makes the offset too large by its length, and replicas look
+    staler for the rest of the run. So of several samples, the one that took the least time is used.
     """
-    least = float("inf")
+    shortest = float("inf")
     offset = 0.0
     for _ in range(samples):
         before = monotonic()
         unix = wall()
-        took = monotonic() - before
-        if took < least:
-            least = took
+        duration = monotonic() - before
+        if duration < shortest:
+            shortest = duration
             offset = unix - before
     return offset
--- a/sedgepitch/core/deadlines.py
+++ b/sedgepitch/core/deadlines.py
@@ -26,7 +26,7 @@
 
 
 class Deadlines:
-    """Ends requests whose deadline has passed: by the router's answer, or by the *last guard* without one.
+    """Ends requests whose deadline has passed: by the router's answer or by the *last guard*.
 
     The last guard is the engine's own answer to a request that is still pending LAST_GUARD_AFTER seconds
     after the router was notified that the deadline has passed.
@@ -143,9 +143,9 @@
     def _answer_last(self, pending: PendingRequest) -> None:
         """Answer a request for which the router has made no final decision.
 
-        This happens to requests that bypass the router, to all when the event loop lag has grown since the
-        router was given the deadline, and to a request that is lost in any layer. That is a defect, which
-        this answer would hide if `answered_by_last_guard` did not count it.
+        There is none for a request that bypasses the router, for one whose router deadline is still ahead
+        because the event loop lag has grown, and for one that is lost in any layer. The last case is a
+        defect, which this answer would hide; `answered_by_last_guard` counts it.
         """
         engine = self.engine
         early = not pending.timed_out and self._router_has_time(pending)
--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -26,7 +26,7 @@
     def __init__(self, engine: Engine) -> None:
         """Dispatch for `engine`, whose `completion` must already be set."""
         self.engine = engine
-        self.events: list[api.Event | PendingRequest] = []  # a pending request stands for its arrival
+        self.events: list[api.Event | PendingRequest] = []  # a pending request stands for its RequestReceived
         self.decided_at = 0.0  # time of the events behind the router's current decisions
         self._flush_due = False
         self._flushing = False
--- a/sedgepitch/core/endpoint_changes.py
+++ b/sedgepitch/core/endpoint_changes.py
@@ -55,8 +55,8 @@
     def _withdraw_unsent(self, endpoints: set[int]) -> None:
         """End the unsent attempts at these endpoints, such as those that wait for a connection to open.
 
-        So nothing is sent to an endpoint that is listed as draining, gone or restarted. The drawback: this
-        uses up one of the request's attempts.
+        So nothing is sent to an endpoint that is listed as draining, gone or restarted, except requests that
+        only it can serve. The drawback: this uses up one of the request's attempts.
         """
         engine = self.engine
         for pending in list(engine.request_table.requests.values()):
--- a/sedgepitch/net/connecting.py
+++ b/sedgepitch/net/connecting.py
@@ -42,7 +42,7 @@
         self._retry: DelayedCall | None = None
 
     def open(self, reactor: Reactor, address: tuple[str, int], timeout_s: float) -> None:
-        """Start to connect; `timeout_s` bounds one attempt."""
+        """Start to connect; `timeout_s` bounds one call of `connect`."""
         self.connector = connect(reactor, *address, self, timeout_s)
 
     def cancel(self) -> None:
--- a/sedgepitch/net/transport.py
+++ b/sedgepitch/net/transport.py
@@ -170,12 +170,12 @@
     def writeSomeData(self, data: bytes) -> int | error.ConnectionLost:  # noqa: N802 (Twisted's name)
         """Write as much as the socket accepts; a transient error is treated as a full socket."""
         try:
-            taken = self.socket.send(data)
+            sent = self.socket.send(data)
         except OSError as problem:
             number = problem.errno or 0
             return 0 if number in NOT_READY or self._is_transient(number) else main.CONNECTION_LOST
         self._failing_since = None
-        return taken
+        return sent
 
     def set_no_delay(self) -> None:
         """Send small writes at once (TCP_NODELAY); if the option cannot be set, the socket is used as is."""
@@ -191,12 +191,12 @@
         queued = self._tempDataBuffer or self.dataBuffer
         if self.connected and not (queued or self._writeDisconnected or self._aborting):
             try:
-                taken = self.socket.send(data)
+                sent = self.socket.send(data)
             except OSError:
-                taken = 0  # full, or lost: the queued write gets the same error and reports it
-            if taken == len(data):
+                sent = 0  # full, or lost: the queued write gets the same error and reports it
+            if sent == len(data):
                 return
-            data = data[taken:]
+            data = data[sent:]
         super().write(data)
 
     def unsent(self) -> int:
--- a/sedgepitch/node/__main__.py
+++ b/sedgepitch/node/__main__.py
@@ -87,8 +87,8 @@
 
 
 def exit_now(exit_code: int) -> NoReturn:
-    """Exit without interpreter teardown, which on a busy machine may last until the platform kills it."""
-    with contextlib.suppress(OSError, ValueError):  # the reader of standard error may have gone
+    """Exit without interpreter teardown: on a busy machine it may outlast the platform's kill timeout."""
+    with contextlib.suppress(OSError, ValueError):  # standard error may be a closed pipe
         sys.stderr.flush()
     os._exit(exit_code)
 
--- a/sedgepitch/node/signals.py
+++ b/sedgepitch/node/signals.py
@@ -1,7 +1,7 @@
 """Installs signal handlers as the first step of the program and queues signals until a receiver is set.
 
 Imported before the slow modules. Otherwise a signal that arrives during loading, or between the last turn of
-the reactor and the exit, would have its default effect, and that of SIGHUP is to end the process.
+the reactor and the exit, would have its default effect: SIGHUP, too, would end the process.
 """
 
 from __future__ import annotations
--- a/sedgepitch/protocols/postgresql/read_ahead.py
+++ b/sedgepitch/protocols/postgresql/read_ahead.py
@@ -1,4 +1,4 @@
-"""Limits the input buffered per client while a statement is in flight; beyond it the socket is not read.
+"""Limits the input buffered per client while a statement is in flight; above it, reading is paused.
 
 The end of a client's stream is queued behind all data that it has sent, so a disconnect is not seen while the
 kernel's buffers are full. A few clients therefore get a larger limit, so that their disconnects are noticed.
