--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -74,7 +74,7 @@
         self.event_loop_lag = EventLoopLag()
         self.process_limit = _process_limit(router.settings)
         self.rejected_for_load = 0  # by the process concurrency limit
-        self.rejected_for_lag = 0  # on arrival: less time left than the deadline margin
+        self.rejected_for_lag = 0  # on arrival: time left below the deadline margin plus MIN_TIME_LEFT
         self.answered_early = 0  # before the router's deadline, because the lag had grown
         self.answered_by_last_guard = 0  # without a decision; above 0 indicates a defect
         self.request_table = RequestTable()
--- a/sedgepitch/core/intake.py
+++ b/sedgepitch/core/intake.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from sedgepitch.core.engine import Engine
 
-MIN_TIME_LEFT = 0.02  # s beyond the deadline margin; a request with less is rejected on arrival
+MIN_TIME_LEFT = 0.02  # s beyond a deadline margin above 0; a request with less is rejected on arrival
 
 
 class Intake:
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -137,7 +137,7 @@
             return
         now = self.clock.now()
         if self.streams.should_open(evaluated_at):
-            if self.streams.open_at == NEVER:
+            if self.streams.open_at == NEVER:  # due because the newest stream is silent, not by schedule
                 self.on_lost("discovery is silent")
             revision = 0 if self.needs_complete_list else self.held_revision()
             watch = WatchConnection(self, self.address, revision)
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -159,7 +159,7 @@
     def __init__(self) -> None:
         """Start without instances."""
         self.instances: dict[str, Instance] = {}
-        self.known_names: set[str] = set()
+        self.known_names: set[str] = set()  # also of removed instances
         self.endpoint_lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
     def answer(self, line: str) -> str:
