--- a/sedgepitch/core/dispatch.py
+++ b/sedgepitch/core/dispatch.py
@@ -26,7 +26,7 @@
     def __init__(self, engine: Engine) -> None:
         """Dispatch for `engine`, whose `completion` must already be set."""
         self.engine = engine
-        self.events: list[api.Event | PendingRequest] = []  # a pending request stands for its arrival
+        self.events: list[api.Event | PendingRequest] = []  # a pending request stands for its RequestReceived
         self.decided_at = 0.0  # time of the events behind the router's current decisions
         self._flush_due = False
         self._flushing = False
@@ -166,7 +166,7 @@
         self.engine.upstream.close_idle(action.endpoint)
 
     def watch_endpoint_list(self, _action: api.WatchEndpointList) -> None:
-        """Subscribe to changes of the endpoint list at discovery."""
+        """Subscribe to changes of the endpoint list at discovery; report a failure if there is none."""
         if self.engine.watch is None:
             self.feed(api.EndpointListFailed())
         else:
--- a/sedgepitch/core/engine.py
+++ b/sedgepitch/core/engine.py
@@ -38,9 +38,9 @@
     """Runs one router with the endpoints of one upstream side.
 
     `clock` is the only clock used by the engine and by what it calls. `max_in_flight` bounds pending
-    requests. `handover_limit` is the maximum time in seconds between a decision that ages and the sending of
-    its bytes. `watch` subscribes to changes of the endpoint list at discovery, `log` receives the router's
-    messages, `on_response` each final answer with the seconds since the request's arrival, and
+    requests. `handover_limit` is the maximum time in seconds between a decision that may expire and the
+    sending of its bytes. `watch` subscribes to changes of the endpoint list at discovery, `log` receives the
+    router's messages, `on_response` each final answer with the seconds since the request's arrival, and
     `on_callback_error` each exception raised by a callback.
     """
 
@@ -74,7 +74,7 @@
         self.event_loop_lag = EventLoopLag()
         self.process_limit = _process_limit(router.settings)
         self.rejected_for_load = 0  # by the process concurrency limit
-        self.rejected_for_lag = 0  # on arrival: less time left than the deadline margin
+        self.rejected_for_lag = 0  # on arrival: time left below the deadline margin plus MIN_TIME_LEFT
         self.answered_early = 0  # before the router's deadline, because the lag had grown
         self.answered_by_last_guard = 0  # without a decision; above 0 indicates a defect
         self.request_table = RequestTable()
@@ -115,9 +115,9 @@
         self.deadlines.before_reading()
 
     def reject_unread(self, waited: float, tenant: str) -> bool:
-        """Return whether to reject a request unread after `waited` seconds; if so, count it.
+        """Return whether to reject, without reading it, a request that waited `waited` seconds.
 
-        See `decisions/admission/process_concurrency_limit.py`.
+        A rejection is counted. See `decisions/admission/process_concurrency_limit.py`.
         """
         most_active = self.admission is None or tenant == self.admission.most_active_tenant
         if not self.process_limit.rejects_unread(waited, most_active):
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -22,9 +22,9 @@
 class DiscoveryClient:
     """The watch streams of one proxy instance.
 
-    `unix_offset` is Unix time minus the monotonic clock, in seconds. `held_revision` returns the revision
-    after which changes are requested. `on_version` is called with each version, `on_lost` with the reason
-    when a stream is lost or silent.
+    `unix_offset` is Unix time minus the monotonic clock, in seconds. `held_revision` returns the revision of
+    the current list, after which changes are requested. `on_version` is called with each version, `on_lost`
+    with the reason when a stream is lost or silent.
     """
 
     def __init__(
@@ -137,7 +137,7 @@
             return
         now = self.clock.now()
         if self.streams.should_open(evaluated_at):
-            if self.streams.open_at == NEVER:
+            if self.streams.open_at == NEVER:  # due because the newest stream is silent, not by schedule
                 self.on_lost("discovery is silent")
             revision = 0 if self.needs_complete_list else self.held_revision()
             watch = WatchConnection(self, self.address, revision)
--- a/sedgepitch/wirehost.py
+++ b/sedgepitch/wirehost.py
@@ -159,7 +159,7 @@
     def __init__(self) -> None:
         """Start without instances."""
         self.instances: dict[str, Instance] = {}
-        self.known_names: set[str] = set()
+        self.known_names: set[str] = set()  # also of removed instances
         self.endpoint_lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
     def answer(self, line: str) -> str:
@@ -190,7 +190,10 @@
         )
 
     def sort_event(self, item: Wire, events: dict[str, list[api.Event]]) -> None:
-        """Add one event to the events of its instance; raises InvalidInputError."""
+        """Store a list, create or remove an instance, or add the event to those of its instance.
+
+        Unknown events and events for a removed instance are ignored. Raises InvalidInputError.
+        """
         kind = read_required(item, "type", str, "items")
         if kind == "manifest":
             self.store_list(item)
