--- a/sedgepitch/decisions/admission/capacity_estimate.py
+++ b/sedgepitch/decisions/admission/capacity_estimate.py
@@ -1,14 +1,14 @@
 """Limits the admitted requests in flight of one pool so that they hardly queue at its endpoints.
 
-The router's concurrency limits of each endpoint keep latency within the objective. Under overload they settle
+The router's concurrency limit of each endpoint keeps latency within the objective. Under overload it settles
 where an answer takes nearly the whole objective, which leaves no time for queueing in admission control. This
 limit covers all endpoints of a pool together and controls queueing instead: it holds the median latency at
 TARGET_RATIO times the baseline, which is the latency without a queue. It only bounds the total; the router
 still decides which endpoint gets which request.
 
 The rule, applied once per span, is that of delay-based congestion control (Brakmo and Peterson, TCP Vegas,
-1995; the gradient form of Netflix' concurrency-limits): above the target ratio the limit falls in proportion;
-below it the limit grows a little if it is in use. There are three differences:
+1995; the gradient form of Netflix's concurrency-limits): above the target ratio the limit falls in
+proportion; below it the limit grows a little if it is in use. There are three differences:
 
 - Latency is compared per request class, each with its own baseline, so that a change in the mix of classes
   does not look like a change in speed.
@@ -17,9 +17,9 @@
 - The baseline is measured regularly instead of remembered (as BBR probes the round-trip time; Cardwell and
   others, 2016). From time to time the limit is lowered for a moment, and the latency of the requests admitted
   then becomes the new baseline, whether it is higher or lower. So a process that starts under overload finds
-  the true baseline, endpoints that slow down to half their speed are not taken for overloaded, and the
-  baseline does not drift. Between probes a span with a lower latency lowers the baseline. Probes become rarer
-  while they find no change.
+  the true baseline, endpoints that slow down to half their speed are not mistaken for overloaded ones, and
+  the baseline does not drift. Between probes a span with a lower latency lowers the baseline. Probes become
+  rarer while they find no change.
 
 The limit starts low and doubles each span while answers stay fast (slow start), so a process that starts
 under overload first sees its endpoints without a queue.
@@ -102,7 +102,10 @@
         return self.current_limit < self.limit
 
     def record_latency(self, class_name: str, objective: float, seconds: float, sent_at: float) -> None:
-        """Record the latency of one answer whose request was sent at `sent_at`."""
+        """Record the latency of one answer whose request was sent at `sent_at`.
+
+        During a probe, it counts only if the requests from before the probe had drained by then.
+        """
         if self.probing and not 0.0 <= self._drained_at <= sent_at:
             return
         sample = self._samples.get(class_name)
@@ -176,7 +179,10 @@
                 self._begin_probe()
 
     def _latency_ratio(self, latencies: dict[str, ClassSample]) -> float:
-        """Return median latency over baseline, averaged over answers; lower baselines of faster classes."""
+        """Return the ratio of median latency to baseline, averaged over all answers.
+
+        Also lower the baseline of each class whose median latency is below it.
+        """
         ratio = 0.0
         total = 0.0
         for name, latency in latencies.items():
--- a/sedgepitch/decisions/admission/controller.py
+++ b/sedgepitch/decisions/admission/controller.py
@@ -182,7 +182,7 @@
 
     def state(self, now: float) -> dict[str, object]:
         """Return the JSON values that `sedgepitch admission` shows."""
-        rooms = [
+        pools = [
             {
                 "group": group,
                 "primary_only": primary_only,
@@ -199,7 +199,7 @@
             for (group, primary_only), pool in sorted(self.pools.items())
         ]
         largest = [{"tenant": name, "used_s": round(used, 3)} for name, used in self._usage.largest(now)]
-        return {"held": self.queued, "rooms": rooms, "largest_tenants": largest}
+        return {"held": self.queued, "rooms": pools, "largest_tenants": largest}
 
     # Rules
 
--- a/sedgepitch/decisions/admission/fair_queue.py
+++ b/sedgepitch/decisions/admission/fair_queue.py
@@ -122,7 +122,7 @@
 
 
 class FairQueue:
-    """The queued requests of one pool. Operations are logarithmic in the queued tenants."""
+    """The queued requests of one pool. `push` and `pop` are logarithmic in the queued tenants."""
 
     def __init__(self, max_tracked_tenants: int) -> None:
         """Create an empty queue that remembers at most `max_tracked_tenants` idle tenants."""
--- a/sedgepitch/decisions/admission/process_concurrency_limit.py
+++ b/sedgepitch/decisions/admission/process_concurrency_limit.py
@@ -2,18 +2,18 @@
 
 When the proxy's own processor is the bottleneck, endpoints look idle and none of their limits is reached:
 admitted requests wait in this process, each iteration of the event loop gets longer, and answers come late.
-So the limit follows the mean wait in a span, measured from arrival to read and from due to called. Above the
-tolerable wait the limit falls to DECREASE of the requests in process. Below MAX_GROWTH_WAIT_SHARE of it, and
-with the limit in use, it grows, doubling at first (slow start). Admission control applies it as one more
-limit; without admission control, requests beyond it are rejected at once. One long pause is one span and so
-one decrease.
+So the limit follows the mean wait in a span, from the arrival of bytes until they are read and from the due
+time of a timer until it runs. Above the tolerable wait the limit falls to DECREASE of the requests in
+process. Below MAX_GROWTH_WAIT_SHARE of it, and with the limit in use, it grows, doubling at first (slow
+start). Admission control applies it as one more limit; without admission control, requests beyond it are
+rejected at once. One long pause is one span and so one decrease.
 
 Under still higher load even reading requests takes too long. While consecutive spans are that late
 (`overloaded`), a request that itself waited too long may be rejected unread: first those of the most active
-tenant, and those of other tenants once they waited several times as long. The request never ran, so the
-rejection is truthful, and most of its time is gone already. No new connections are accepted meanwhile.
-Overload therefore ends by itself when nothing has been read for OVERLOAD_MAX_AGE_S: after the last connection
-has closed, no further wait could show its end.
+tenant, and those of other tenants once they waited several times as long. The request has not run, as a
+rejection states, and most of its time is gone already. No new connections are accepted meanwhile. Overload
+therefore ends by itself when nothing has been read for OVERLOAD_MAX_AGE_S: after the last connection has
+closed, no further wait could show its end.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
         return self.late_spans >= OVERLOADED_SPANS
 
     def overloaded_at(self, now: float) -> bool:
-        """Return whether the process is overloaded now and should not accept connections or judge others."""
+        """Return whether the process is overloaded now and should not accept connections or vote on zones."""
         return self.overloaded and now - self._recorded_at <= OVERLOAD_MAX_AGE_S
 
     def rejects_unread(self, waited: float, most_active: bool) -> bool:
--- a/sedgepitch/decisions/admission/reservations.py
+++ b/sedgepitch/decisions/admission/reservations.py
@@ -37,7 +37,7 @@
     tenant: str
     slot: int
     cost: float
-    at: float
+    at: float  # drawn time within the slot, at which the client should retry
 
     def expires_at(self) -> float:
         """Return the latest time at which it can be redeemed."""
--- a/sedgepitch/decisions/admission/retry_budget.py
+++ b/sedgepitch/decisions/admission/retry_budget.py
@@ -28,7 +28,7 @@
         self._retries = DecayingSketch(SKETCH_WIDTH, 1, HALF_LIFE_S, seed + 1, now)
 
     def is_retry(self, idempotency_key: str) -> bool:
-        """Return whether a request repeats a rejected one; if so, forget the key."""
+        """Return whether a request repeats a rejected or failed one; if so, forget the key."""
         if idempotency_key not in self.rejected_keys:
             return False
         del self.rejected_keys[idempotency_key]
@@ -44,7 +44,7 @@
         return retries <= FREE_RETRIES + self.share * self._first_attempts.estimate(tenant, now)
 
     def remember_rejected(self, idempotency_key: str) -> None:
-        """Remember the key of a rejected request, so that its retry is recognised."""
+        """Remember the key of a rejected or failed request, so that its retry is recognised."""
         if not idempotency_key:
             return
         self.rejected_keys[idempotency_key] = None
--- a/sedgepitch/decisions/connections/descriptor_budget.py
+++ b/sedgepitch/decisions/connections/descriptor_budget.py
@@ -1,9 +1,10 @@
 """The budget of file descriptors, shared by client connections and endpoint connections.
 
-A process may hold a fixed number of descriptors. Each connection is granted before it is opened, so that the
-limit is reached here and not as EMFILE in `accept` or `connect`. Clients may hold at most CLIENT_SHARE of the
-descriptors that can be shared, so that descriptors for endpoints remain however many clients connect. A side
-that is refused closes an idle connection of its own.
+A process may hold a fixed number of descriptors. An endpoint connection is granted before it is opened, and a
+client connection is counted when it is accepted, so that the limit is reached here and not as EMFILE in
+`accept` or `connect`. Clients may hold at most CLIENT_SHARE of the descriptors that can be shared, so that
+descriptors for endpoints remain however many clients connect. A side that is refused closes an idle
+connection of its own.
 """
 
 from __future__ import annotations
--- a/sedgepitch/decisions/discovery/watch_streams.py
+++ b/sedgepitch/decisions/discovery/watch_streams.py
@@ -22,7 +22,7 @@
 ==================  ==========================================================================================
 
 The owner reads the bytes that have arrived before it checks for silence, so a delay of this process is not
-taken for silence of the source. A source that is slow rather than silent gets a second stream.
+mistaken for silence of the source. A source that is slow rather than silent gets a second stream.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
     def next_open_at(self) -> float:
         """Return when to open the next stream if no event occurs before; NEVER if none is due."""
         if self.open_at < NEVER:
-            return self.open_at  # also while the active one is silent: the backoff applies to a refusal
+            return self.open_at  # a backoff also applies while the active stream is silent
         if self.candidates:
             newest = self._streams[self.candidates[-1]]
             return newest.last_activity + newest.silence_limit_s
@@ -115,7 +115,10 @@
         return self._remove(replaced)
 
     def partial_object(self, key: Key, started_at: float, now: float) -> None:
-        """Record part of an object that began at `started_at`; it is a heartbeat for a limited time."""
+        """Record part of an object that began at `started_at`.
+
+        It counts as activity for HEARTBEAT_TIMEOUT_S after that, and does not make the stream active.
+        """
         stream = self._streams.get(key)
         if stream is not None and now - started_at < HEARTBEAT_TIMEOUT_S:
             stream.last_activity = now
--- a/sedgepitch/decisions/gossip/failure_detection.py
+++ b/sedgepitch/decisions/gossip/failure_detection.py
@@ -101,7 +101,7 @@
         self._sender.send(now, target, Ping(self._sequence), actions)
 
     def end_overdue(self, now: float, actions: list[Action]) -> None:
-        """Start the indirect probe, suspect a target without an answer, and expire relayed probes."""
+        """Start the indirect probe, suspect a target without an answer, and nack expired relayed probes."""
         probe = self._probe
         if probe is not None and not probe.requested and now >= probe.indirect_at:
             self._probe_indirectly(now, probe, actions)
--- a/sedgepitch/decisions/gossip/node.py
+++ b/sedgepitch/decisions/gossip/node.py
@@ -168,7 +168,7 @@
         self.due()
 
     def leave(self) -> list[Action]:
-        """Announce that this node leaves to a few members, which spread the update."""
+        """Tell a few members that this node leaves; they spread the update."""
         self.membership.leaving = True
         self.table.incarnation += 1
         update = replace(self.table.own_update(), state=int(MemberState.LEFT))
--- a/sedgepitch/decisions/positions.py
+++ b/sedgepitch/decisions/positions.py
@@ -207,7 +207,7 @@
         return now if required is None else min(required, now)
 
     def needs_observation(self, now: float, age_max: float) -> bool:
-        """Return whether the newest observation is more than `age_max` s old and proves no freshness."""
+        """Return whether no observation is recent enough to prove a staleness of at most `age_max` s."""
         newest = self.observations.newest()
         return newest is None or now - newest.at > age_max
 
--- a/sedgepitch/decisions/request_classes.py
+++ b/sedgepitch/decisions/request_classes.py
@@ -1,8 +1,10 @@
 """Which request class a command belongs to, and how fresh its data must be.
 
-A class states an idempotency and a freshness. A command may require more and never gets less: each class has
-the variants `name/fresh`, `name/session` and `name/unsafe`, each of which differs in that one property, so
-that the router's limits use the same figures. Rules are compiled once; the first matching rule applies.
+A class states an idempotency and a freshness. A command may require more than its class, never less. For
+that a class of reads has the variants `name/fresh` and `name/session`, if they are stricter than the class,
+and a class of writes with idempotency keys has `name/unsafe`, for commands without a key. A variant differs
+from its class in that one property, so that the router's limits use the same figures. Rules are compiled
+once; the first matching rule applies.
 """
 
 from __future__ import annotations
@@ -140,7 +142,9 @@
     def choose_variant(
         self, cls: RequestClass, facts: CommandFacts, time_left: float, session_age: float | None
     ) -> ClassifiedCommand:
-        """Return the variant for this command: the strictest of class, preference, concern and session.
+        """Return the variant for this command.
+
+        The strictest of class, read preference, read concern and session applies.
 
         `time_left` is in seconds. `session_age` is the age in seconds of the newest commit that the read must
         see, None if there is no such commit.
--- a/sedgepitch/decisions/zones/capacity.py
+++ b/sedgepitch/decisions/zones/capacity.py
@@ -61,7 +61,7 @@
 
 
 def alternatives(zone: Zone, evidence: FleetEvidence, table: ZoneTable) -> list[Zone]:
-    """Return the zones that stay when this one is left: in full use, without a verdict against them."""
+    """Return the zones that remain when this one is left: in full use, and neither failing nor lost."""
     return [
         other
         for other in table.zones.values()
--- a/sedgepitch/decisions/zones/controller.py
+++ b/sedgepitch/decisions/zones/controller.py
@@ -36,14 +36,17 @@
         return self.table.zones
 
     def step(self, view: ZoneView) -> dict[str, float]:
-        """Evaluate all zones in descending order of the weight against them, and return the share of each."""
+        """Evaluate all zones in descending order of the weight against them, and return the share of each.
+
+        After a pause, or with digests of too few instances, the states and shares stay as they are.
+        """
         self.table.keep_only(view.now, view.sizes)
         evidence = FleetEvidence(self._name, view)
         if not view.after_pause and evidence.enough_received():
             self.capacity.update(evidence)
             against = {name: evidence.weight_against(name) for name in self.zones}
             for zone in sorted(self.zones.values(), key=lambda zone: (-against[zone.name], zone.name)):
-                self._judge(zone, evidence, against[zone.name])
+                self._evaluate(zone, evidence, against[zone.name])
         return {zone.name: zone.share for zone in self.zones.values()}
 
     def statuses(self, now: float) -> tuple[ZoneStatus, ...]:
@@ -58,7 +61,7 @@
 
     # States
 
-    def _judge(self, zone: Zone, evidence: FleetEvidence, weight_against: float) -> None:
+    def _evaluate(self, zone: Zone, evidence: FleetEvidence, weight_against: float) -> None:
         verdict_holds = self._update_verdict(zone, evidence)
         command = evidence.view.leave_commands.get(zone.name)
         match zone.state:
@@ -107,8 +110,8 @@
     def _may_follow(self, zone: Zone, evidence: FleetEvidence) -> bool:
         """Return whether this instance may adopt its zone peers' state, as after a late start or a pause.
 
-        Not shortly after it has itself returned to the zone: if it returned before its peers, their digests
-        are older than its own step.
+        It may not do so shortly after its own return to the zone: if it returned before its peers, their
+        digests are older than its own step.
         """
         just_returned = evidence.view.now - zone.returned_at < self.table.settings.slow_start_window
         return not just_returned and bool(alternatives(zone, evidence, self.table))
@@ -133,9 +136,10 @@
             self.recovery.watch(zone, evidence)
 
     def _left_by_command(self, zone: Zone, evidence: FleetEvidence, command: ZoneCommand) -> None:
-        """Adjust the share to the other zones' capacity.
+        """Adjust the share to the other zones' capacity, by at most ADJUSTMENT_SHARE per COUNTED_TIME_S.
 
-        The evidence decides again once the command is withdrawn.
+        A zone that was left for a verdict keeps its share. The evidence decides again once the command is
+        withdrawn.
         """
         now = evidence.view.now
         zone.reason = f"ordered by {command.issuer}"
--- a/sedgepitch/decisions/zones/evidence.py
+++ b/sedgepitch/decisions/zones/evidence.py
@@ -9,8 +9,8 @@
 median, so no vote weighs more than twice another. If L of n voting instances are Byzantine, their share of
 the weight is at most 2L / (n + L), which reaches one half at L = n / 3. With fewer, they can neither make the
 fleet leave a healthy zone nor prevent it from leaving a lost one. Among k zone peers, with their two-thirds
-quorum, Byzantine instances can force a healthy zone to be left if L > k / 2 (and L >= 3, where there are
-three peers), and can block leaving a lost one from L = k / 5 on; then the fleet's one-half quorum decides.
+quorum, Byzantine instances can force a healthy zone to be left if L > k / 2 (and L >= 3 if k >= 3), and
+can block leaving a lost one from L = k / 5 on; then the fleet's one-half quorum decides.
 """
 
 from __future__ import annotations
@@ -139,7 +139,9 @@
             against = self.count_votes(self.zone_peers, zone, level)
             if self._peers_agree(zone, level, against):
                 return level
-            # Instances inside a partitioned zone still see it healthy; outside votes count only if none does.
+            # Instances inside a partitioned zone still see it healthy. An instance inside a zone therefore
+            # follows the fleet only if none of its zone peers sees the zone healthy and at least one votes
+            # against it.
             inside_disagrees = self.zone == zone and (healthy > 0.0 or against.count == 0)
             if healthy >= FLEET_QUORUM or inside_disagrees:
                 continue
--- a/sedgepitch/decisions/zones/recovery.py
+++ b/sedgepitch/decisions/zones/recovery.py
@@ -17,7 +17,9 @@
 TRIAL_REQUESTS = 4.0  # requests that a trial turn should be long enough for
 TRIAL_TURN_FACTOR_MAX = 4.0  # limit of the extension of a turn at a low request rate
 RATE_MIN = 0.01  # requests per second; avoids a division by zero
-STEP_TOLERANCE_S = 0.1  # s between calls of ZoneController.step while a zone is not in full use
+# A ramp step may be taken this much early. ZoneController.step is called at this interval while a zone is not
+# in full use.
+STEP_TOLERANCE_S = 0.1
 SHARE_TOLERANCE = 1e-3  # shares are published in permille, so rounded
 NAMES_IN_REASON = 3
 RANK_BYTES = 8
--- a/sedgepitch/decisions/zones/votes.py
+++ b/sedgepitch/decisions/zones/votes.py
@@ -12,7 +12,7 @@
 OUTAGE_SHARE = 0.7  # fraction of the tried endpoints that are unreachable in a lost zone
 OUTAGE_ENDPOINTS_MAX = 4  # unreachable endpoints that suffice for an outage of a zone of any size
 UNANSWERED_MIN = 2  # attempts since the last success, for LOST below OUTAGE_SHARE of unreachable endpoints
-SILENCE_GAPS = 4.0  # mean gaps between successes without one, after which a zone is silent
+SILENCE_GAPS = 4.0  # a zone is silent after this many times the mean gap between its successes
 SILENCE_MIN_MS = 500.0  # shortest time without a success that counts as silence
 ATTEMPTS_MIN = 8  # with fewer, a failure ratio is not significant
 SLOW_ANSWERS_MIN = 3  # one may be chance; a slow zone gives few, so a higher limit would leave it unjudged
--- a/sedgepitch/routing/concurrency_limit.py
+++ b/sedgepitch/routing/concurrency_limit.py
@@ -1,10 +1,11 @@
 """Concurrency limits: how many of this instance's requests an endpoint may have in flight.
 
 Also decides which optional reads the primary serves. A response that indicates overload multiplies the
-endpoint's limit by a factor below one, a response in time increases it. The limit is always maintained, but
-it only takes effect when responses are late. A limit below one is the fraction of time in which one request
+endpoint's limit by a factor below one, a response in time increases it if at least half of it is in use. The
+limit is checked before every attempt except half-open trials, but it matters mainly when responses are late,
+because otherwise it grows with the traffic. A limit below one is the fraction of time in which one request
 may be in flight. It is applied through each request's sampling draw, so that many proxy instances with little
-traffic each respect it in total.
+traffic respect it in total.
 """
 
 from __future__ import annotations
@@ -138,7 +139,10 @@
             endpoint.primary_read_share = min(1.0, endpoint.primary_read_share + INCREASE_MIN)
 
     def connect_failed(self, endpoint: Endpoint) -> None:
-        """Count a failed connect to a running process, whose connection table may be full."""
+        """Count a failed connect to a running process; after repeated failures, lower the limit.
+
+        The connection table of the process may be full.
+        """
         endpoint.recent_connect_failures += 1.0
         if endpoint.recent_connect_failures > CONNECT_FAILURES_TOLERATED:
             endpoint.concurrency_limit = max(LIMIT_MIN, len(endpoint.in_flight) * DECREASE_FACTOR)
--- a/sedgepitch/routing/endpoint_list.py
+++ b/sedgepitch/routing/endpoint_list.py
@@ -86,7 +86,7 @@
         return endpoint
 
     def set_zone_weights(self, weights: dict[str, float]) -> None:
-        """Set the zone weights below 1; allow trials in zones whose weight rises from 0."""
+        """Replace the zone weights, without those of 1; allow trials in zones whose weight rises from 0."""
         returned = self.slow_start.set_zone_weights(weights)
         for group in self.state.groups.values():
             for endpoint in group.ejected.values():
--- a/sedgepitch/routing/events.py
+++ b/sedgepitch/routing/events.py
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneWeights:
-    """Share of its reads that each zone may serve; a zone that is not listed serves all of them."""
+    """For each zone, the share of its usual reads that it may serve; 1 for a zone that is not listed."""
 
     shares: tuple[tuple[str, float], ...]
 
--- a/sedgepitch/routing/freshness.py
+++ b/sedgepitch/routing/freshness.py
@@ -45,8 +45,8 @@
     def required_position(self, request: RoutedRequest) -> float:
         """Return the position, as a time, that an endpoint needs to serve a session's read.
 
-        The position can advance while the read waits or is retried. While a write of the session is in
-        flight, it is the current time: the write may already be committed, although its response has not
+        The required position can advance while the read waits or is retried. While a write of the session is
+        in flight, it is the current time: the write may already be committed, although its response has not
         arrived.
         """
         if self.tracks_sessions:
@@ -71,7 +71,7 @@
             request.required_position = self.state.now - age
 
     def write_started(self, request: RoutedRequest) -> None:
-        """Record that a write attempt was sent; its session's reads require the present until it ends."""
+        """Record a write attempt in flight; until it ends, its session's reads require the present state."""
         if self._is_tracked_write(request):
             writes = request.group.session_writes
             writes[request.session] = writes.get(request.session, 0) + 1
--- a/sedgepitch/routing/idle_connections.py
+++ b/sedgepitch/routing/idle_connections.py
@@ -13,7 +13,7 @@
 from sedgepitch.routing.records import NEVER, Endpoint
 
 IDLE_MIN_LATENCIES = 8.0  # idle time, in typical latencies, above which a connection counts as idle
-LOSSES_IN_A_ROW = 2  # consecutive unanswered first sends after an idle time that set the limit
+LOSSES_IN_A_ROW = 2  # first sends after an idle time, all unanswered, that it takes to set the limit
 LIMIT_GROWTH = 1.5  # factor by which the limit grows each period, so that it expires over time
 NEVER_SENT_S = 1e9  # an idle time above this means that nothing has been sent before
 
--- a/sedgepitch/routing/outlier_detection.py
+++ b/sedgepitch/routing/outlier_detection.py
@@ -24,12 +24,11 @@
 ERROR_WEIGHT = 0.15  # weight of an attributed error in the error rate
 ERROR_RATE_MAX = 0.35  # error rate above which an endpoint is ejected
 SUCCESSES_TO_RETURN = 3  # consecutive successful trials that end an ejection for errors
-RUNNING_WINDOW_S = (
-    0.5  # a process that responded within this time is running, even if it refuses a connection
-)
+# A process that responded within this time is considered running, even if it refuses a connection.
+RUNNING_WINDOW_S = 0.5
 
 NOT_RUNNING = (AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
-"""Results of an attempt at a process that is not running."""
+"""Results that suggest that the endpoint's process is not running."""
 
 
 @dataclass(slots=True, eq=False)
@@ -139,7 +138,8 @@
     def connection_failed(self, endpoint: Endpoint, key: AttemptKey, result: AttemptResult) -> None:
         """Handle a failed connect or a broken connection.
 
-        The endpoint is ejected if the attempt was its trial. If it is not ejected, the failure is counted.
+        If the attempt was the trial of an ejected endpoint, the endpoint is ejected again. The failure of an
+        endpoint that is not ejected is counted.
         """
         if endpoint.trial == key:
             self.eject(endpoint, EjectionReason.UNREACHABLE)
@@ -167,7 +167,10 @@
     # Results of health checks
 
     def health_check_finished(self, endpoint: Endpoint, event: HealthCheckFinished) -> None:
-        """Update the endpoint's state after a health check. A successful one shows only a running process."""
+        """Update the endpoint's state after a health check.
+
+        A successful check shows only that the process is running, so it does not end an ejection by itself.
+        """
         reason = endpoint.ejection_reason
         if reason is EjectionReason.UNREACHABLE:
             self._unreachable_checked(endpoint, event.result is AttemptResult.OK)
--- a/sedgepitch/routing/primary_discovery.py
+++ b/sedgepitch/routing/primary_discovery.py
@@ -97,7 +97,7 @@
         return None
 
     def check_roles(self, group: ReplicaGroup) -> None:
-        """Check the roles of random endpoints, one for each waiting request, while no primary serves."""
+        """While no primary serves, check the roles of random endpoints, as many as requests wait."""
         current = group.primary
         if current is not None and current.ejection_reason is None:
             return
--- a/sedgepitch/routing/records.py
+++ b/sedgepitch/routing/records.py
@@ -12,9 +12,7 @@
 from sedgepitch.routing.messages import EndpointState, RequestClass
 
 NEVER = float("inf")  # a time that is never reached; -NEVER is the time of an event that has not happened
-POSITION_ROUNDING_S = (
-    0.001  # positions and commit times are reported in whole milliseconds, rounded either way
-)
+POSITION_ROUNDING_S = 0.001  # positions and commit times are reported in whole ms, rounded either way
 
 AttemptKey = tuple[int, int]
 """Identifies an attempt: the request's number and the attempt's number within the request."""
@@ -24,8 +22,11 @@
     """Why an endpoint is ejected."""
 
     UNREACHABLE = "unreachable"
+    """Connections to it fail."""
     SILENT = "silent"
+    """Attempts get no response; also the reason of an unreachable endpoint once a health check succeeds."""
     FAILING = "failing"
+    """Too many of its responses are errors."""
 
 
 class ReadPreference(Enum):
@@ -66,7 +67,7 @@
     """Maximum of this instance's requests in flight at the endpoint; below one, a fraction of time."""
     limit_reduced_at: float = -NEVER
     primary_read_share: float = 1.0
-    """Share of the reads that another endpoint could also serve which this one takes as the primary."""
+    """While it is the primary: its share of those reads that another endpoint could serve as well."""
     recent_connect_failures: float = 0.0
 
     # primary_discovery
@@ -101,6 +102,7 @@
 
     # silence_detection
     silence_reset_at: float = -NEVER
+    """Time of its last silence that did not lead to an ejection; earlier silence is not counted again."""
 
     # outlier_detection
     ejection_reason: EjectionReason | None = None
--- a/sedgepitch/routing/selection.py
+++ b/sedgepitch/routing/selection.py
@@ -21,7 +21,8 @@
 POSITION_CHECKS_MAX = 2  # position checks of replicas that one read may trigger before it is placed
 POSITION_CHECK_MARGINS = 2.0  # remaining wait of a read, in answer margins, that such a check requires
 LIKELY_REPLICAS = 2  # number of replicas from which such a check chooses
-ENDPOINT_USE_INTERVAL_S = 0.5  # reads are spread over so many endpoints that each gets one this often
+# Reads are spread over the number of endpoints at which each endpoint gets one read per this interval.
+ENDPOINT_USE_INTERVAL_S = 0.5
 ENDPOINTS_MIN = 2  # lower bound on that number of endpoints
 OTHER_ZONE_PENALTY = 0.15  # added to the latency ratio of endpoints in other zones to break ties in load
 # Expired positions are checked in advance if each endpoint gets more reads than this per staleness bound.
--- a/sedgepitch/routing/slow_start.py
+++ b/sedgepitch/routing/slow_start.py
@@ -19,10 +19,10 @@
 
     state: RouterState
     zone_weights: dict[str, float] = field(default_factory=dict)
-    """Share of its reads that each zone may serve; a zone that is not listed serves all of them."""
+    """For each zone, the share of its usual reads that it may serve; 1 for a zone that is not listed."""
 
     def set_zone_weights(self, weights: dict[str, float]) -> set[str]:
-        """Set the zone weights below 1; return the zones whose weight has risen from 0."""
+        """Replace the zone weights, without those of 1; return the zones whose weight has risen from 0."""
         previous = self.zone_weights
         self.zone_weights = weights
         return {zone for zone, weight in previous.items() if weight <= 0.0 < weights.get(zone, 1.0)}
