--- a/sedgepitch/decisions/discovery/watch_streams.py
+++ b/sedgepitch/decisions/discovery/watch_streams.py
@@ -67,7 +67,7 @@
         self._streams: dict[Key, _Stream] = {}
         self._backoff_s = 0.0
 
-    def holds(self, key: Key) -> bool:
+    def in_use(self, key: Key) -> bool:
         """Return whether a stream is still in use, so that its messages apply."""
         return key in self._streams
 
--- a/sedgepitch/discovery/client.py
+++ b/sedgepitch/discovery/client.py
@@ -76,7 +76,7 @@
 
     def object_received(self, watch: WatchConnection, data: bytes) -> None:
         """Parse one object and forward its version. Raises MalformedListError."""
-        if self.stopped or not self.streams.holds(watch):
+        if self.stopped or not self.streams.in_use(watch):
             return
         try:
             raw = json.loads(data)
@@ -107,7 +107,7 @@
 
     def lost(self, watch: WatchConnection, reason: str) -> None:
         """Record the loss of a stream that is still in use."""
-        if self.stopped or not self.streams.holds(watch):
+        if self.stopped or not self.streams.in_use(watch):
             return
         self.streams.lost(watch, self.clock.now())
         self.on_lost(reason)
--- a/tests/test_watch_streams.py
+++ b/tests/test_watch_streams.py
@@ -93,7 +93,7 @@
     due = streams.next_open_at()
     assert due == HEARTBEAT_TIMEOUT_S and streams.should_open(due) and not streams.should_open(due - 0.01)
     assert streams.opened("b", due) == []
-    assert streams.holds("a") and streams.holds("b")
+    assert streams.in_use("a") and streams.in_use("b")
     assert streams.heartbeat("b", due + 0.1) == ["a"] and streams.active == "b"
 
 
@@ -103,7 +103,7 @@
     streams.heartbeat("a", 0.0)
     streams.opened("b", 3.0)
     assert streams.heartbeat("a", 3.1) == []
-    assert streams.holds("a") and streams.holds("b")
+    assert streams.in_use("a") and streams.in_use("b")
 
 
 def test_an_accepted_stream_has_a_heartbeat_interval_for_its_first_object():
@@ -128,10 +128,10 @@
     streams.opened("a", 0.0)
     streams.heartbeat("a", 0.0)
     streams.opened("b", 3.0)
-    assert streams.source_moved() == ["b"] and streams.holds("a") and streams.should_open(3.0)
+    assert streams.source_moved() == ["b"] and streams.in_use("a") and streams.should_open(3.0)
     streams.opened("c", 3.0)
     streams.lost("c", 3.1)  # the new address refuses connections
-    assert streams.holds("a") and streams.next_open_at() < 3.5
+    assert streams.in_use("a") and streams.next_open_at() < 3.5
 
 
 STEPS = st.lists(
