--- a/sedgepitch/decisions/zones/settings.py
+++ b/sedgepitch/decisions/zones/settings.py
@@ -33,7 +33,8 @@
     degraded_hold: float = 1.0  # the same for a zone that still answers
     leave_duration: float = 2.0  # time over which a zone that still answers is left
     watch_share: float = 0.1  # kept in a left zone that still answers, to observe it
-    trial_delay: float = 1.0  # before the first trial of a lost zone; doubles with each relapse
+    # Time before the trials of a lost zone; also how long a degraded one must be healthy before the return.
+    trial_delay: float = 1.0  # doubles with each relapse
     trial_delay_max: float = 60.0
     trial_turn: float = 1.5  # how long the same instances try a lost zone
     trial_instances: int = 2
--- a/sedgepitch/decisions/zones/states.py
+++ b/sedgepitch/decisions/zones/states.py
@@ -30,7 +30,7 @@
     """One zone as this instance uses it. Times are seconds on this instance's monotonic clock."""
 
     name: str
-    trial_delay: float  # before the first trial of a lost zone; doubles with each relapse
+    trial_delay: float  # before trials of a lost zone or the return to a degraded one; doubles per relapse
     state: ZoneState = ZoneState.NORMAL
     state_since: float = 0.0
     share: float = 1.0  # share of reads that may go to the zone
--- a/sedgepitch/routing/router.py
+++ b/sedgepitch/routing/router.py
@@ -49,11 +49,11 @@
         self.groups = state.groups
         self.requests = state.requests
         self.next_period_at = -NEVER
-        self._build_endpoint_parts(state)
-        self._build_request_parts(state)
-        self._build_event_parts(state)
+        self._build_endpoint_components(state)
+        self._build_request_components(state)
+        self._build_event_components(state)
 
-    def _build_endpoint_parts(self, state: RouterState) -> None:
+    def _build_endpoint_components(self, state: RouterState) -> None:
         self.latencies = LatencyEstimates(state)
         self.slow_start = SlowStart(state)
         self.health_checks = HealthChecks(state)
@@ -67,7 +67,7 @@
         )
         self.primary_discovery = PrimaryDiscovery(state, self.eligibility, self.health_checks)
 
-    def _build_request_parts(self, state: RouterState) -> None:
+    def _build_request_components(self, state: RouterState) -> None:
         self.retries = Retries(state, self.slow_start)
         self.selection = Selection(
             state=state,
@@ -95,7 +95,7 @@
             attempts=self.attempts,
         )
 
-    def _build_event_parts(self, state: RouterState) -> None:
+    def _build_event_components(self, state: RouterState) -> None:
         self.request_intake = RequestIntake(
             state, self.limits, self.freshness, self.retries, self.wait_queue, self.trials
         )
