--- a/sedgepitch/emulator/execution.py
+++ b/sedgepitch/emulator/execution.py
@@ -19,7 +19,7 @@
     """The queued and running commands of one server. Service times are emulated by timers."""
 
     def __init__(self, server: EmulatedServer) -> None:
-        """Create it without commands."""
+        """Start without commands."""
         self._server = server
         self._waiting: deque[ReceivedCommand] = deque()
         self._running = 0
--- a/sedgepitch/emulator/fault_control.py
+++ b/sedgepitch/emulator/fault_control.py
@@ -31,9 +31,9 @@
 
     A request names the fault in `do`: hang (for), slow (factor, for), lag (factor, for), crash (for), drain
     (for), promote, cut (driver, for), claim (for), refuse (for), table (connections, for), and faults of the
-    next replies to commands of kind `when` ("write" or "read"): lose_reply, cut_reply, reset, wrong_reply,
-    twice (count, then: {"do": ...}). `member` is an id, "primary" or "replica" (with `nth`). Times are in
-    seconds.
+    next replies to commands of kind `when` ("write" or "read"): lose_reply, cut_reply, reset, wrong_reply and
+    twice, each with (count, then: {"do": ...}). `member` is an id, "primary" or "replica" (with `nth`). Times
+    are in seconds.
     """
 
     def __init__(self, fleet: EmulatedFleet) -> None:
--- a/sedgepitch/emulator/faults.py
+++ b/sedgepitch/emulator/faults.py
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class ActiveFaults:
-    """What is wrong with a server at present."""
+    """The lasting faults that are active on a server."""
 
     paused_until: float = 0.0  # s of the clock; nothing is read, run, applied or answered before
     slowdown: float = 1.0  # factor on the service time of commands
--- a/sedgepitch/emulator/fleet.py
+++ b/sedgepitch/emulator/fleet.py
@@ -26,7 +26,7 @@
 from sedgepitch.protocols.common.callbacks import ignore
 
 LINE_BYTES_MAX = 1 << 20
-QUIT_DELAY_S = 0.05  # lets the answer leave first
+QUIT_DELAY_S = 0.05  # so that the answer is sent before the fleet stops
 CONTROL_BACKLOG = 50
 ERROR_CHARACTERS_MAX = 200
 
--- a/sedgepitch/emulator/postgresql_server.py
+++ b/sedgepitch/emulator/postgresql_server.py
@@ -18,7 +18,7 @@
 WORK_MEAN_S = 0.006
 REPLICA_LAG_S = 0.15
 READ_ONLY, SHUTTING_DOWN = "25006", "53300"
-PROBES = ("SELECT 1", "SHOW usage")
+HEALTH_CHECK_STATEMENTS = ("SELECT 1", "SHOW usage")
 _FIELD = re.compile(r"(\w+)=([^, ]*)")
 
 Record = Callable[..., None]
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Commit:
-    """The effect of one write."""
+    """One committed write."""
 
     index: int
     at: float  # monotonic s
@@ -134,7 +134,7 @@
         if kind != codec.QUERY:
             return False
         statement = body.rstrip(b"\0").decode()
-        if statement in PROBES:
+        if statement in HEALTH_CHECK_STATEMENTS:
             await self._wait_while_hanging()
             writer.write(self._row(self._usage().encode()))
             return True
--- a/sedgepitch/emulator/proxy_connection.py
+++ b/sedgepitch/emulator/proxy_connection.py
@@ -43,7 +43,7 @@
         self.server.connections.discard(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Receive bytes; record how long they waited to be read, which is delay of this process."""
+        """Receive bytes; record how long they waited to be read, a delay that the emulator itself causes."""
         if self.transport.arrived:
             self.server.record.record_wait(time.monotonic() - self.transport.arrived)
         super().dataReceived(data)
--- a/sedgepitch/emulator/queries.py
+++ b/sedgepitch/emulator/queries.py
@@ -24,7 +24,7 @@
     """The open cursors of one server, each with its remaining documents."""
 
     def __init__(self) -> None:
-        """Create it without open cursors."""
+        """Start without open cursors."""
         self._open: dict[int, tuple[str, list[Document]]] = {}  # id -> (namespace, documents)
         self._last_id = FIRST_CURSOR_ID
 
--- a/sedgepitch/emulator/server.py
+++ b/sedgepitch/emulator/server.py
@@ -212,11 +212,11 @@
             self._note_arrival(request)
             self._execute_unless_paused(request)
         elif request.accesses_data:
-            # Lost in transit, so the content must not be recorded.
+            # Lost in transit: the server cannot know the content, so only the loss is recorded.
             self.record("unseen", m=self.id, d=connection.proxy)
 
     def _is_received(self, request: ReceivedCommand) -> bool:
-        """Return whether a command arrives; a hello sets the proxy name before the check."""
+        """Return whether a command reaches the server; a hello sets the proxy name before the check."""
         if request.name == "hello":
             request.connection.note_hello(request.command)
         return not self.faults.cuts_off(request.connection.proxy)
--- a/sedgepitch/model/gossipnet.py
+++ b/sedgepitch/model/gossipnet.py
@@ -24,7 +24,7 @@
 MAX_CLOCK_OFFSET_S = 500.0
 MIN_TIMER_S = 1e-4  # minimum delay of a timer, so that virtual time always advances
 STATE_TRANSFER_S = 0.002
-STREAM_ROUND_TRIPS = 4.0  # one-way delays of a handshake, a request and its response
+STREAM_ONE_WAY_DELAYS = 4.0  # of a handshake, a request and its response
 SECONDS_PER_HOUR = 3600.0
 
 
@@ -110,7 +110,10 @@
         self.suspended[name] = []
 
     def resume(self, name: str, read_waiting: bool = False) -> None:
-        """Resume a member. Buffered datagrams are dropped as too old, as real sockets do, or delivered."""
+        """Resume a member. Buffered datagrams are dropped as stale, as in `PeerService`.
+
+        With `read_waiting` they are delivered instead.
+        """
         buffered = self.suspended.pop(name, [])
         if read_waiting:
             for sender, message in buffered:
@@ -225,7 +228,7 @@
                 self.nodes[name].stream_ping_answered(self.clock(name), to)
 
         delay = self.rng.uniform(self.network.min_delay, self.network.max_delay)
-        self.at(self.now + STREAM_ROUND_TRIPS * delay, answered)
+        self.at(self.now + STREAM_ONE_WAY_DELAYS * delay, answered)
 
     def _sync(self, name: str, to: str) -> None:
         if not self._connects(name, to):
--- a/sedgepitch/peers/datagrams.py
+++ b/sedgepitch/peers/datagrams.py
@@ -24,7 +24,7 @@
 
 MAX_CHALLENGE_RESPONSES_PER_S = 50
 MAX_NONCE_BYTES = 64
-UNPROVEN_KEPT_S = 0.5  # how long a datagram is kept for the response to the challenge
+UNPROVEN_KEPT_S = 0.5  # how long a datagram is kept until the response to the challenge arrives
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,7 +62,7 @@
         self.sent_bytes += len(data)
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
-        """Handle a datagram; one that is not authentic is only counted."""
+        """Handle a datagram; an invalid one is counted, and logged at a limited rate."""
         service = self._service
         if service.node is None or service.stopped:
             return
--- a/sedgepitch/peers/keys.py
+++ b/sedgepitch/peers/keys.py
@@ -40,10 +40,10 @@
 
 
 class Authenticator:
-    """Adds and checks the version byte and the keyed BLAKE2b tag. Raises KeyLengthError."""
+    """Adds and checks the version byte and the keyed BLAKE2b tag."""
 
     def __init__(self, keys: list[bytes]) -> None:
-        """Use the first key to seal messages, and accept messages sealed with any of the keys."""
+        """Seal with the first key, and accept messages sealed with any of them. Raises KeyLengthError."""
         if not keys or any(not KEY_BYTES_MIN <= len(key) <= KEY_BYTES_MAX for key in keys):
             raise KeyLengthError(f"a key has {KEY_BYTES_MIN} to {KEY_BYTES_MAX} bytes")
         self._keys = list(keys)
--- a/sedgepitch/peers/streams.py
+++ b/sedgepitch/peers/streams.py
@@ -115,7 +115,7 @@
         return not self.accepted and not self._peer_nonce and reply.echo == self._nonce
 
     def _finish(self, node: GossipNode, envelope: Envelope, body: StreamState) -> None:
-        """Report the other side's state, reply with the own state on the accepting side, and close."""
+        """Report the other side's state; on the accepting side, reply with its own; then close."""
         self._service.stream_completed(self, envelope, body.state)
         if self.accepted:
             state = node.state(self._service.clock.now()) if body.state is not None else None
--- a/sedgepitch/peers/wire.py
+++ b/sedgepitch/peers/wire.py
@@ -88,9 +88,10 @@
 
 
 def encode(authenticator: Authenticator, envelope: Envelope, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
-    """Return the authenticated bytes; state entries, then updates, are dropped from the end until they fit.
+    """Return the authenticated bytes of an envelope of at most `max_bytes`.
 
-    Raises MessageTooLargeError if the message is too large even without them.
+    State entries, then updates, are dropped from the end until the message fits. Raises MessageTooLargeError
+    if it is too large even without them.
     """
     while True:
         data = authenticator.seal(_encoder.encode(envelope))
--- a/sedgepitch/peers/zone_commands.py
+++ b/sedgepitch/peers/zone_commands.py
@@ -52,7 +52,10 @@
         return nonce
 
     def accept(self, sealed: bytes, zones: list[str]) -> ZoneCommand:
-        """Accept a command sealed with a known key, for one of these zones. Raises InvalidCommandError."""
+        """Accept a command sealed with a known key; a leave command must name one of `zones`.
+
+        Raises InvalidCommandError.
+        """
         zone, action, duration = self._open(sealed)
         if action == CommandAction.LEAVE and zone not in zones:
             names = ", ".join(zones) or "none"
--- a/sedgepitch/peers/zone_evidence_log.py
+++ b/sedgepitch/peers/zone_evidence_log.py
@@ -35,7 +35,7 @@
 
 
 def evidence_fields(view: ZoneView, node: GossipNode, zone: str) -> dict[str, object]:
-    """Return the own counts, each instance's vote with its age in seconds, and the local health score."""
+    """Return the local counts, each instance's vote with its age in seconds, and the local health score."""
     row = view.own.observation(zone)
     votes_by_instance = {
         name: [instance_vote(received.digest, zone), round(received.age, AGE_DIGITS)]
--- a/sedgepitch/peers/zone_observer.py
+++ b/sedgepitch/peers/zone_observer.py
@@ -61,7 +61,7 @@
             self.observations.failed(now, endpoint, zone)
 
     def rows(self, now: float, partly_used: Iterable[str]) -> tuple[ZoneObservation, ...]:
-        """Return one row for each zone with endpoints that are up, for as many zones as a digest holds."""
+        """Return one row for each zone with endpoints that are up, for the first MAX_ZONES zones by name."""
         up = Counter(zone[:MAX_ZONE_NAME_LENGTH] for _, zone, _ in self._endpoints_up())
         endpoints_up = {zone: up[zone] for zone in self.zone_sizes()}
         partly_used_zones = set(partly_used)
@@ -70,7 +70,7 @@
         )
 
     def zone_sizes(self) -> dict[str, float]:
-        """Return the capacity of the endpoints that are up by zone, for as many zones as a digest holds."""
+        """Return, by zone, the capacity of the endpoints that are up; the first MAX_ZONES zones by name."""
         sizes: dict[str, float] = {}
         for _, name, size in self._endpoints_up():
             zone = name[:MAX_ZONE_NAME_LENGTH]
--- a/sedgepitch/peers/zones.py
+++ b/sedgepitch/peers/zones.py
@@ -1,4 +1,4 @@
-"""Zones on a running proxy: publish the own digest, receive those of peers, and feed weights to the router.
+"""Zones on a running proxy: publish digests, receive those of peers, and feed weights to the router.
 
 The decision logic is in `decisions/zones`. This module has the timer, the state entries and the interface to
 the engine.
@@ -29,7 +29,7 @@
 from sedgepitch.peers.zone_status import zone_status
 from sedgepitch.routing.messages import ZoneWeights
 
-CHECK_INTERVAL_S = 0.1  # between checks of the own observations
+CHECK_INTERVAL_S = 0.1  # between checks of this instance's observations
 PUBLISH_INTERVAL_MIN_S = 0.2  # between two digests of this instance
 COMMANDS_INTERVAL_S = 3.0  # between publications of known commands, so that new instances have them
 IDLE_STEP_INTERVAL_S = 1.0  # between controller steps while nothing changes
@@ -108,7 +108,7 @@
         self._stepped_at = -DIGEST_MAX_AGE_S
         self._checked_at = clock.now()
         self._unfit_until = 0.0
-        self._has_updates = True  # a peer event or a command came since the last step
+        self._has_updates = True  # a peer event or a command has arrived since the last step
         self._stopped = False
         self.observer.attach()
 
--- a/sedgepitch/protocols/mongodb/bsonwalk.py
+++ b/sedgepitch/protocols/mongodb/bsonwalk.py
@@ -147,7 +147,7 @@
 
 
 def number(buf: bytes, element: Element | None) -> float | None:
-    """Return a numeric or boolean value, None if the element is neither."""
+    """Return the value of an int32, int64, double or boolean; None for any other element or none."""
     if element is None:
         return None
     if element.kind == INT32:
--- a/sedgepitch/protocols/mongodb/client.py
+++ b/sedgepitch/protocols/mongodb/client.py
@@ -27,7 +27,7 @@
 class ClientConnection(FrameReceiver):
     """One client connection. `number` counts the listener's connections since process start.
 
-    Frames are `paused` while a command is executing or waits for its turn after other clients.
+    Frames are `paused` while a command is executing or is scheduled for a later event loop iteration.
     """
 
     def __init__(self, context: ClientContext, number: int) -> None:
@@ -117,7 +117,10 @@
             self.reply(message, error_replies.error(error.code, error.name, error.text))
 
     def _shed_unread(self, frame: bytes) -> bool:
-        """Reject a command without parsing it if it was read too late for the tenant's share."""
+        """Reject a command without parsing it if it waited too long (see `Engine.reject_unread`).
+
+        Its kind is unknown, so the reply has the labels for a write. Retry-After is the time that it waited.
+        """
         if not self.frame_since or not self.has_submitted:
             return False
         waited = self.context.clock.now() - self.frame_since
--- a/sedgepitch/protocols/mongodb/client_context.py
+++ b/sedgepitch/protocols/mongodb/client_context.py
@@ -27,7 +27,7 @@
 class ClientContext:
     """State and settings shared by the connections of one listener; times are in seconds.
 
-    `group_of` returns the replica group of a command, None if no group holds its namespace.
+    `group_of` returns the replica group of a command, None if its namespace belongs to no group.
     """
 
     engine: Engine
@@ -40,7 +40,7 @@
     drain_grace: float
     shard_field: tuple[bytes, ...] = ()
     frame_bytes_max: int = codec.MESSAGE_BYTES_MAX
-    tenant_sources: tuple[str, ...] = ()  # the first with a name is used; empty: no admission control
+    tenant_sources: tuple[str, ...] = ()  # first with a non-empty name is used; (): no admission control
     client_sources: tuple[str, ...] = ()
     process_id: bson.ObjectId = field(default_factory=bson.ObjectId)
     connections: set[ClientConnection] = field(default_factory=set)
--- a/sedgepitch/protocols/mongodb/codec.py
+++ b/sedgepitch/protocols/mongodb/codec.py
@@ -1,8 +1,8 @@
 """Parse and build messages of the MongoDB wire protocol, without I/O.
 
 This module does not interpret commands. Bodies stay bytes; only framing, flags, checksum and compression are
-handled. Sources: the OP_MSG, OP_COMPRESSED and OP_QUERY pages of the
-MongoDB wire protocol specification, and RFC 3720 appendix B.4 for CRC-32C.
+handled. Sources: the OP_MSG, OP_COMPRESSED and OP_QUERY pages of the MongoDB wire protocol specification, and
+RFC 3720 appendix B.4 for CRC-32C.
 """
 
 from __future__ import annotations
@@ -132,8 +132,8 @@
 def parse(frame: bytes) -> Message:
     """Parse one whole frame, header included; raises MalformedMessage with a one-line text.
 
-    Decompression is bounded: a message that would decompress to more than its stated size, or to more than
-    MESSAGE_BYTES_MAX, is rejected before it is held in memory.
+    Decompression is bounded: a stated size above MESSAGE_BYTES_MAX is rejected, and at most one byte more
+    than the stated size is decompressed.
     """
     _, request_id, response_to, opcode = HEADER.unpack_from(frame)
     compressor = 0
--- a/sedgepitch/protocols/mongodb/command_handler.py
+++ b/sedgepitch/protocols/mongodb/command_handler.py
@@ -94,9 +94,10 @@
             connection.request = pending
 
     def time_left(self, command: Command, deadline: float) -> float:
-        """Return the seconds until the response must be decided, from the shorter of both deadlines.
+        """Return the seconds until the response must be decided.
 
-        These are the client's maxTimeMS and the deadline of the request class, less the answer margin.
+        This is the shorter of the client's maxTimeMS and the deadline of the request class, less the answer
+        margin.
         """
         stated = deadline if command.time_left is None else min(deadline, command.time_left)
         return stated - self._context.answer_margin
--- a/sedgepitch/protocols/mongodb/commands.py
+++ b/sedgepitch/protocols/mongodb/commands.py
@@ -1,8 +1,8 @@
 """Parse one command: its kind, the fields that routing needs, and the sections to forward to an endpoint.
 
-The body is walked once, without being decoded. Only the stages of an aggregate are inspected, since one of
-them may write. Sources: MongoDB's command reference; driver specifications for sessions, retryable writes and
-read preference.
+The body is walked, not decoded. Nested documents are walked only for a field that routing needs, and for the
+stages of an aggregate, since one of them may write. Sources: MongoDB's command reference; driver
+specifications for sessions, retryable writes and read preference.
 """
 
 from __future__ import annotations
@@ -71,7 +71,11 @@
         return f"{self.database}.{self.collection}"
 
     def sections(self) -> bytes:
-        """Return the sections to forward; a read without a read preference gets primaryPreferred."""
+        """Return the sections to forward.
+
+        They are unchanged, except that a read without a read preference gets primaryPreferred: a replica
+        rejects reads that have none.
+        """
         if not self._sections:
             is_read = self.kind is CommandKind.READ and not self.facts.writes
             if is_read and not self.facts.read_preference:
@@ -183,7 +187,10 @@
 
 
 def _may_write(body: bytes, pipeline: Element | None) -> bool:
-    """Return whether any stage may write. Stages that cannot be parsed count as writes."""
+    """Return whether any stage may write. Stages that cannot be parsed count as writes.
+
+    MongoDB allows $out and $merge only as the last stage; all stages are checked.
+    """
     if pipeline is None or pipeline.kind != bsonwalk.ARRAY:
         return True
     for stage in bsonwalk.elements(body, pipeline.start):
--- a/sedgepitch/protocols/mongodb/cursor_handler.py
+++ b/sedgepitch/protocols/mongodb/cursor_handler.py
@@ -56,7 +56,7 @@
         return cursor
 
     def get_more(self, connection: ClientConnection, command: Command) -> None:
-        """Request the next batch of a cursor from the endpoint that holds it."""
+        """Request the next batch of a cursor from its endpoint."""
         context = self._context
         now = context.clock.now()
         cursor_id = command.cursor_ids[0]
@@ -122,7 +122,7 @@
         connection.reply(command.message, bson.encode(body))
 
     def close_on_endpoints(self, cursors: Iterable[Cursor]) -> None:
-        """Send killCursors for unused cursors to their endpoints, unless the drain grace period is over."""
+        """Send killCursors for unused cursors, unless the endpoint drains for too long (`may_continue`)."""
         context = self._context
         now = context.clock.now()
         for cursor in cursors:
--- a/sedgepitch/protocols/mongodb/framing.py
+++ b/sedgepitch/protocols/mongodb/framing.py
@@ -1,7 +1,7 @@
 """MongoDB wire protocol framing for Twisted: frames start with a little-endian length that includes itself.
 
-Works like ``twisted.protocols.basic.IntNStringReceiver``, whose length prefix excludes itself: it reassembles
-frames from chunks of any size, bounds their length, and can pause between two frames.
+Like ``twisted.protocols.basic.IntNStringReceiver`` (whose length prefix excludes itself), `FrameReceiver`
+reassembles frames from chunks of any size, bounds their length, and can pause between two frames.
 """
 
 from __future__ import annotations
--- a/sedgepitch/structures/sketch.py
+++ b/sedgepitch/structures/sketch.py
@@ -81,7 +81,7 @@
             self.top_keys[key] = estimate
 
     def estimate(self, key: str, now: float) -> float:
-        """Return the recent usage of a key; never less than the true amount."""
+        """Return the estimated recent usage of a key; never less than the true decayed amount."""
         self._add_batch(now)
         scale = self._scale(now)  # before the cells are read: scaling may change them
         cells = self._cells(key)
--- a/sedgepitch/structures/wheel.py
+++ b/sedgepitch/structures/wheel.py
@@ -82,7 +82,7 @@
                 yield entry.item
 
     def next_due(self) -> float | None:
-        """Return the earliest due time or an earlier time before which nothing is due; None if empty."""
+        """Return the earliest due time, or an earlier time before which nothing is due; None if empty."""
         if not self.count:
             return None
         ticks_per_slot = 1
