--- a/sedgepitch/emulator/queries.py
+++ b/sedgepitch/emulator/queries.py
@@ -1,4 +1,4 @@
-"""Reads and writes of an emulated server's documents, with the optimes that each answer carries."""
+"""Reads and writes of an emulated server's documents, with the optimes that each reply carries."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self.cursors = ServerCursors()
 
     def run(self, request: ReceivedCommand) -> Document:
-        """Run a read or a write and return the body of its answer, which may be an error."""
+        """Run a read or a write and return the body of its reply, which may be an error."""
         try:
             return self._write(request) if request.kind is CommandKind.WRITE else self._read(request)
         except CommandError as error:
@@ -66,11 +66,11 @@
             return self.error(9, "FailedToParse", text)
 
     def error(self, code: int, name: str, text: str) -> Document:
-        """Return the body of an error answer."""
+        """Return the body of an error reply."""
         return {"ok": 0.0, "errmsg": text, "code": code, "codeName": name, **self._optimes()}
 
     def _optimes(self) -> Document:
-        """Return the fields of every answer: optimes, and for the audit the server and its log position."""
+        """Return the fields of every reply: optimes, and for the audit the server and its log position."""
         server = self._server
         optime = bson.Timestamp(*server.last_stamp())
         return {
@@ -117,14 +117,14 @@
             i=server.applied,
         )
         if request.name == "count":
-            answer: Document = {"n": len(self._select(request.command, "count"))}
+            reply: Document = {"n": len(self._select(request.command, "count"))}
         elif request.name == "distinct":
-            answer = self._distinct(request.command)
+            reply = self._distinct(request.command)
         elif request.name == "listDatabases":
-            answer = self._list_databases()
+            reply = self._list_databases()
         else:
-            answer = self._first_batch(request.command)
-        return {**answer, "ok": 1.0, **self._optimes()}
+            reply = self._first_batch(request.command)
+        return {**reply, "ok": 1.0, **self._optimes()}
 
     def _select(self, command: Document, name: str) -> list[Document]:
         namespace = f"{command['$db']}.{command[name]}"
@@ -155,7 +155,7 @@
         return {"cursor": {"id": bson.Int64(cursor_id), "ns": namespace, "firstBatch": documents[:size]}}
 
     def get_more(self, command: Document) -> Document:
-        """Return the answer to a getMore."""
+        """Return the reply to a getMore."""
         cursor_id = int(command["getMore"])
         remaining = self.cursors.take(cursor_id)
         if remaining is None:
@@ -173,7 +173,7 @@
         return {"cursor": cursor, "ok": 1.0, **self._optimes()}
 
     def kill_cursors(self, command: Document) -> Document:
-        """Return the answer to a killCursors."""
+        """Return the reply to a killCursors."""
         for cursor_id in command.get("cursors") or []:
             self.cursors.take(int(cursor_id))
         return {"ok": 1.0}
--- a/sedgepitch/emulator/replica_group.py
+++ b/sedgepitch/emulator/replica_group.py
@@ -63,7 +63,7 @@
         self.log: list[Entry] = []
         self.term = 0
         self.primary: Server | None = None
-        self.keys: dict[WriteKey, tuple[float, dict[str, Any]]] = {}  # key -> (time of the answer, answer)
+        self.keys: dict[WriteKey, tuple[float, dict[str, Any]]] = {}  # key -> (time of the reply, reply)
         self.election = 0  # number of the current one; timers of earlier ones have no effect
         self.role_changed: Callable[[Server | None, int], None] = ignore
 
@@ -82,15 +82,15 @@
         return entry
 
     def remembered_reply(self, key: WriteKey) -> dict[str, Any] | None:
-        """Return the answer to an earlier write with this key, None if unknown or expired."""
+        """Return the reply to an earlier write with this key, None if unknown or expired."""
         known = self.keys.get(key)
         if known is None:
             return None
-        answered, reply = known
-        return reply if self.now() - answered <= self.timing.key_window else None
+        replied_at, reply = known
+        return reply if self.now() - replied_at <= self.timing.key_window else None
 
     def remember(self, key: WriteKey, reply: dict[str, Any]) -> None:
-        """Store the answer to a write; above REMEMBERED_KEYS_MAX, expired answers are dropped."""
+        """Store the reply to a write; above REMEMBERED_KEYS_MAX, expired replies are dropped."""
         self.keys[key] = (self.now(), reply)
         if len(self.keys) > REMEMBERED_KEYS_MAX:
             oldest = self.now() - self.timing.key_window
--- a/sedgepitch/peers/keys.py
+++ b/sedgepitch/peers/keys.py
@@ -57,7 +57,7 @@
         if len(data) <= 1 + TAG_BYTES:
             raise AuthenticationError("too short")
         if data[0] != VERSION:
-            raise AuthenticationError(f"version {data[0]}, {VERSION} is spoken here")
+            raise AuthenticationError(f"version {data[0]}, but version {VERSION} is required")
         tag = data[1 : 1 + TAG_BYTES]
         body = data[1 + TAG_BYTES :]
         if not any(hmac.compare_digest(tag, self._tag(key, body)) for key in self._keys):
@@ -101,7 +101,7 @@
         raise KeyFileError(f"{path}: {error.strerror or error}") from None
     if mode & OTHERS_PERMISSIONS:
         raise KeyFileError(
-            f"{path}: others than its owner may use it (mode {mode:o}, expected {OWNER_ONLY:o})"
+            f"{path}: accessible to others than its owner (mode {mode:o}, expected {OWNER_ONLY:o})"
         )
     return text
 
