--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -53,7 +53,7 @@
 
 
 def measure(count: int, loss: float, calm: float, seed: int) -> Measurement:
-    """Run one cluster: wait until all peers know all, measure `calm` seconds, then kill one peer."""
+    """Run one cluster: wait until all peers see all alive, measure `calm` seconds, then kill one peer."""
     with tempfile.TemporaryDirectory() as folder, ExitStack() as stack:
         addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
         relays = [Link(address, seed + number) for number, address in enumerate(addresses)]
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,4 +1,4 @@
-"""Benchmarks requests per second through sedgepitch, through a plain port forward and without either.
+"""Benchmarks requests per second through sedgepitch, through a plain port forward, and sent directly.
 
 `python -m benchmarks.throughput [--rounds N] [--seconds S]`. The targets take turns within one run.
 Takes about two minutes with the defaults.
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -3,7 +3,8 @@
 `python -m benchmarks.zones {leave,return,false,cost} [--seeds 3] [--at-once 2] [--drivers 12] [--rate R]`:
 processes on loopback by `sedgepitch fleet-scenario`. All modes in a table run the same scenarios and seeds.
 
-leave   one of three zones stops answering for 8 s: when instances left it, requests still sent there, value
+leave   one of three zones stops answering for 8 s: when instances left it, how many requests were still sent
+        there, and the share of requests served in time, by priority weight (value)
 return  a zone crashes and restarts: when it was in full use again, which servers were overloaded
 false   scenarios in which no zone should be left: calm, overload, a faulty endpoint, a Byzantine instance
 cost    processor time of an instance in calm scenarios, with gossip (together) and without (alone)
--- a/sedgepitch/audit/record_index.py
+++ b/sedgepitch/audit/record_index.py
@@ -44,13 +44,13 @@
                 self._not_primary_reports[record["d"], record["m"]].append(record["t"])
 
     def primary(self, group: int, at: float) -> int | None:
-        """Return the primary of a group at a time, None where it had none."""
+        """Return the primary of a group at a time, or None if it had none."""
         terms = self._terms[group]
         index = bisect_right(terms, at, key=lambda term: term[0]) - 1
         return terms[index][1] if index >= 0 else None
 
     def could_be_taken_for_primary(self, group: int, server: int, proxy: str, at: float) -> bool:
-        """Return whether the server had been primary and had not yet told this proxy that its term ended."""
+        """Return whether the server has been primary and not yet reported its term's end to this proxy."""
         was_primary = False
         ended: float | None = None
         for begin, holder in self._terms[group]:
--- a/sedgepitch/audit/rule_draining.py
+++ b/sedgepitch/audit/rule_draining.py
@@ -15,7 +15,7 @@
 
 
 def check(index: RecordIndex, parameters: RuleParameters) -> Finding:
-    """Check each request that arrived at a server which the proxy had been notified is not up."""
+    """Check each request that reached a server after the proxy was notified that the server is not up."""
     finding = Finding(3, "drains kept")
     notified: dict[tuple[str, int], States] = defaultdict(list)  # by proxy and server
     for record in index.by_kind["told"]:
--- a/sedgepitch/audit/rule_one_answer.py
+++ b/sedgepitch/audit/rule_one_answer.py
@@ -35,7 +35,7 @@
         if final:
             _check_attempts(finding, rid, final[0]["t"] + parameters.slack, index.received.get(rid, []))
     for record in index.by_kind["extra"]:
-        finding.failed(f"a reply that nobody waited for at {record['t']:.3f}")
+        finding.failed(f"a reply to no pending request at {record['t']:.3f}")
     return finding
 
 
--- a/sedgepitch/cli/config.py
+++ b/sedgepitch/cli/config.py
@@ -32,5 +32,5 @@
 
 @config.command("example")
 def config_example() -> None:
-    """Print example settings that `emulator` and `serve` both run with unchanged."""
+    """Print example settings, with which `emulator` and `serve` both run unchanged."""
     click.echo(files("sedgepitch.config").joinpath("example.yaml").read_text(encoding="utf-8"), nl=False)
--- a/sedgepitch/cli/options.py
+++ b/sedgepitch/cli/options.py
@@ -34,7 +34,7 @@
     settings = load_settings(path)
     if settings.metrics is None:
         raise click.ClickException(
-            f"{path}: 'metrics' is not set, the address that serves the status page '{page}'"
+            f"{path}: 'metrics', the address that serves the status page '{page}', is not set"
         )
     host, port = settings.metrics
     try:
--- a/sedgepitch/cli/peers.py
+++ b/sedgepitch/cli/peers.py
@@ -9,7 +9,7 @@
 
 @click.group()
 def peers() -> None:
-    """Key files, and the gossip members that a proxy knows (settings with a part 'peers')."""
+    """Key files, and the gossip membership of a running proxy (settings with a part 'peers')."""
 
 
 @peers.command("newkey")
@@ -28,7 +28,7 @@
 @peers.command("status")
 @CONFIG
 def peers_status(path: str) -> None:
-    """Show the peers that a running proxy knows: their state, its age, accusers and gossip counters."""
+    """Show a running proxy's peers, each with its state, time in it and accusers, and gossip counters."""
     state = fetch_state(path, "peers")
     if "peers" not in state:
         raise click.ClickException(f"the driver {state['driver']} has no peers")
--- a/sedgepitch/cli/run_loop.py
+++ b/sedgepitch/cli/run_loop.py
@@ -8,11 +8,9 @@
 from types import FrameType
 from typing import Any
 
-COLLECTOR_THRESHOLDS = (
-    20_000,
-    20,
-    20,
-)  # gc.set_threshold: allocations or collections before each generation is collected
+# For gc.set_threshold: allocations before a collection of generation 0, and for generations 1 and 2 the
+# collections of the generation before.
+COLLECTOR_THRESHOLDS = (20_000, 20, 20)
 
 Stop = Callable[[Callable[[], None]], None]
 
--- a/sedgepitch/cli/soak.py
+++ b/sedgepitch/cli/soak.py
@@ -37,7 +37,7 @@
 @click.option("--seeds", default="1", show_default=True, help="One seed or a range such as 1-50.")
 @click.option("--length", default=60.0, show_default=True, type=float, help="Seconds of load for each seed.")
 @click.option("--crowd", is_flag=True, help="A crowd of clients on every seed, not on a third of them.")
-@click.option("--until", type=int, help="Run only this many steps, the first ones.")
+@click.option("--until", type=int, help="Run only this many steps from the start.")
 @click.option(
     "--at-once", default=1, show_default=True, type=click.IntRange(1, 32), help="Number of concurrent runs."
 )
--- a/sedgepitch/cli/status_pages.py
+++ b/sedgepitch/cli/status_pages.py
@@ -64,9 +64,8 @@
     from prometheus_client.twisted import MetricsResource
     from twisted.web.server import Site
 
-    root: Any = (
-        Resource()
-    )  # Any: type checkers do not relate the zope interfaces to the classes that implement them
+    # Any, since type checkers do not relate zope interfaces to the classes that implement them.
+    root: Any = Resource()
     root.putChild(b"metrics", MetricsResource(metrics.registry))
     root.putChild(b"door", StatusPage(name, admission))
     root.putChild(b"peers", StatusPage(name, peers))
--- a/sedgepitch/cli/zones.py
+++ b/sedgepitch/cli/zones.py
@@ -145,7 +145,7 @@
 )
 @REACH
 def zone_leave(name: str, path: str, within: float, reach: float) -> None:
-    """Make all instances leave a zone, as far as other zones have capacity, until `return` withdraws it."""
+    """Make all instances leave a zone, as far as other zones have capacity, until `zone return`."""
     _command_zone(path, name, "leave", within, reach)
 
 
--- a/sedgepitch/config/models.py
+++ b/sedgepitch/config/models.py
@@ -51,7 +51,7 @@
         return self
 
     def build(self) -> api.RequestClass:
-        """Return the module's type."""
+        """Return the class in the form that the router takes."""
         return api.RequestClass(
             name=self.name,
             latency_objective=self.aim,
@@ -104,7 +104,7 @@
     ask_within: Seconds = 10.0
 
     def build(self) -> api.RuleLimits:
-        """Return the module's type."""
+        """Return the limits in the form that the router takes."""
         return api.RuleLimits(
             answer_slack=self.answer_slack,
             drain_grace=self.drain_grace,
@@ -117,7 +117,7 @@
 
 
 class ModuleModel(Model):
-    """Router settings about the installation, beside classes and rules."""
+    """Router settings that describe the installation, other than classes and rules."""
 
     tick: Seconds = 0.002
     drivers: int = Field(1, ge=1)
@@ -306,7 +306,7 @@
         for member in self.members:
             if member.group not in groups:
                 raise ValueError(
-                    f"members: member {member.id} is of group {member.group}, which 'groups' does not list"
+                    f"members: member {member.id} is in group {member.group}, which 'groups' does not list"
                 )
         return self
 
@@ -323,7 +323,7 @@
     @model_validator(mode="after")
     def _dependencies_are_present(self) -> Settings:
         if self.peers is not None and not 0 < len(self.driver.name) <= PEER_NAME_MAX:
-            raise ValueError("driver: name needs 1 to 64 characters where there are peers")
+            raise ValueError("driver: name must have 1 to 64 characters if there is a part 'peers'")
         if self.zones is not None and self.peers is None:
             raise ValueError("zones: zone failover needs gossip with peers, and there is no part 'peers'")
         if any(g.shards for g in self.groups) and not self.shard_field:
--- a/sedgepitch/scenarios/fault_scenario.py
+++ b/sedgepitch/scenarios/fault_scenario.py
@@ -258,7 +258,7 @@
         may_have_run_before: bool,
         started: float,
     ) -> ClientAttempt:
-        """Return one attempt, with its client's time-out and, if the client leaves early, the time."""
+        """Return one attempt, with the client's time-out and the time at which it disconnects, if it does."""
         timeout_s = kind.deadline * self.random.uniform(0.4, 1.0)
         if kind.keyed and may_have_run_before:
             # After the deduplication window the servers no longer recognize the key: an attempt that ran
--- a/sedgepitch/scenarios/fleet_scenario.py
+++ b/sedgepitch/scenarios/fleet_scenario.py
@@ -33,7 +33,7 @@
 
 STEP_WAIT_MAX_S = 30.0  # s that a step with `once` waits at most for the zone state
 POLL_INTERVAL_S = 0.2  # s between checks of the proxies' logs
-# Priority weights of the example settings; other classes have 1.
+# As in the example settings; the other classes have weight 1.
 PRIORITY_WEIGHTS = {
     "upload": 6.0,
     "note": 2.0,
@@ -53,7 +53,7 @@
 class FleetScenario(FaultScenario):
     """One fleet scenario.
 
-    `together` is whether the proxies gossip and act on zones together, else each acts alone. With `told`,
+    With `together`, the proxies gossip and act on zones together; without it, each acts alone. With `told`,
     discovery reports the endpoints of a lost zone as draining at the moment of the loss: the best case, for
     comparison.
     """
@@ -158,7 +158,7 @@
             self.reactor.callLater(step.at, self._run_step_when_due, step, now() + step.at + STEP_WAIT_MAX_S)
 
     def _processor_times(self) -> dict[str, tuple[int, float]]:
-        """Return the pid and the processor time in seconds of each running proxy."""
+        """Return the PID of each running proxy and the processor time that it has used, in seconds."""
         pids = {n: p.process.pid for n, p in self.stage.drivers.items() if p.process.poll() is None}
         return {n: (pid, processor_time(pid)) for n, pid in pids.items()}
 
@@ -345,7 +345,7 @@
         events = zone_events(directory)
         zone_at = {member["id"]: member["zone"] for member in self.settings["members"]}
         result["zones"] = zone_rows(directory, events, zone_at, self.outcomes, self.began)
-        # Processor cores used, the mean over the proxies that ran from start to end.
+        # Mean number of cores that a proxy used, over the proxies that ran from start to end.
         result["cores"] = round(self.cores, 5)
         result["events"] = [
             {k: e[k] for k in ("driver", "zone", "state", "share")}
--- a/sedgepitch/scenarios/load_generator.py
+++ b/sedgepitch/scenarios/load_generator.py
@@ -117,7 +117,7 @@
         elif attempt.leave_after is not None:
             self.timer = self.client.reactor.callLater(attempt.leave_after, self._leave)
         else:
-            # An unanswered attempt is given up 2 s after its deadline, which the audit then reports as lost.
+            # Give up 2 s after the deadline; the audit then reports the request as unanswered.
             self.timer = self.client.reactor.callLater(attempt.timeout_s + 2.0, self._give_up)
 
     def _leave(self) -> None:
--- a/sedgepitch/scenarios/processes.py
+++ b/sedgepitch/scenarios/processes.py
@@ -22,7 +22,7 @@
 
 
 class ProcessError(Exception):
-    """A process did not start (the message is its last log line) or rejected a fault."""
+    """A process did not start (the message is its last log line), or the emulator rejected a fault."""
 
 
 class Process:
@@ -69,7 +69,7 @@
         self.process.wait()
 
     def stop(self) -> int:
-        """Terminate the process, kill it after 20 s, and return its exit code."""
+        """Terminate the process, kill it if it has not exited after 20 s, and return its exit code."""
         if self.process.poll() is None:
             self.process.terminate()
             try:
@@ -129,7 +129,10 @@
 
 
 class Stage:
-    """An emulated fleet with its proxy processes on loopback; `settings` is a settings file's content."""
+    """An emulated fleet and its proxies as processes, on ephemeral loopback ports.
+
+    `settings` is the content of a settings file.
+    """
 
     def __init__(self, settings: dict[str, Any], directory: Path, module: str = "sedgepitch") -> None:
         self.settings = copy.deepcopy(settings)
--- a/sedgepitch/scenarios/report.py
+++ b/sedgepitch/scenarios/report.py
@@ -8,7 +8,7 @@
 
 
 def reads_by_side(records: list[dict[str, Any]]) -> dict[str, dict[str, int]]:
-    """Count the served reads by class, at the server that was primary at the time or at replicas."""
+    """Count the served reads of each class, at the server that was primary at that time and at replicas."""
     index = RecordIndex(records)
     roles = RoleHistory(index)
     counts: dict[str, dict[str, int]] = {}
--- a/sedgepitch/scenarios/soak/emulated_platform.py
+++ b/sedgepitch/scenarios/soak/emulated_platform.py
@@ -35,9 +35,8 @@
         self.agent_index = 0  # the agent that the proxy's configuration names
         self.revision = 1
         self._phases = {server.name: "up" for server in self.servers}
-        self.notified: list[
-            dict[str, Any]
-        ] = []  # audit records: endpoint states and when the proxy counts as notified
+        # Audit records: the state of an endpoint, and when the proxy counts as notified of it.
+        self.notified: list[dict[str, Any]] = []
         self._record = record
         self._delayed_until = 0.0
 
--- a/sedgepitch/scenarios/soak/script.py
+++ b/sedgepitch/scenarios/soak/script.py
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SoakScript:
-    """What one soak plays."""
+    """The steps of one soak and the conditions under which they run."""
 
     seed: int
     length: float  # s of load
--- a/sedgepitch/scenarios/soak/verdict.py
+++ b/sedgepitch/scenarios/soak/verdict.py
@@ -30,7 +30,7 @@
     served: int
     restarts: int
     findings: list[Finding]
-    violations: list[str]  # other than of the five audit rules
+    violations: list[str]  # those of the audit rules are in `findings`
     proxy_delay: float
     own_delay: float
     unread: int = 0  # first requests on connections closed unread while a crowd used the descriptors
--- a/sedgepitch/scenarios/zone_report.py
+++ b/sedgepitch/scenarios/zone_report.py
@@ -1,4 +1,8 @@
-"""Zone report of a fleet scenario: when proxies left a zone and returned, and what was lost."""
+"""Zone report of a fleet scenario.
+
+It states when proxies left a zone and returned, which requests were sent there in vain, and the share of
+requests that was served in time.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 DEFAULT_DURATION_S = 4.0  # duration of a fault whose step states none
 BEFORE_S = 4.0  # interval before the fault, for comparison
 AFTER_S = 6.0  # interval after its end
-FORWARDED_QUANTILE = 0.95
+FORWARDED_QUANTILE = 0.95  # of the times at which requests were sent to a lost zone
 
 
 @dataclass(slots=True, frozen=True)
