--- a/sedgepitch/scenarios/soak/verdict.py
+++ b/sedgepitch/scenarios/soak/verdict.py
@@ -30,7 +30,7 @@
     served: int
     restarts: int
     findings: list[Finding]
-    violations: list[str]  # those of the audit rules are in `findings`
+    violations: list[str]  # all others; `findings` has those of the audit rules
     proxy_delay: float
     own_delay: float
     unread: int = 0  # first requests on connections closed unread while a crowd used the descriptors
--- a/sedgepitch/scenarios/zone_report.py
+++ b/sedgepitch/scenarios/zone_report.py
@@ -1,6 +1,6 @@
 """Zone report of a fleet scenario.
 
-It states when proxies left a zone and returned, which requests were sent there in vain, and the share of
+It states when proxies left a zone and returned, how many requests were sent there in vain, and the share of
 requests that was served in time.
 """
 
