--- a/tests/support/golden_admission.py
+++ b/tests/support/golden_admission.py
@@ -75,7 +75,7 @@
         self.now = 0.0
         self.controller = AdmissionController(draw_settings(self.rng), seed, 0.0)
         self.process_limit = ProcessConcurrencyLimit(0.02)
-        self.agenda: list[tuple[float, int, Any]] = []
+        self.event_queue: list[tuple[float, int, Any]] = []
         self.sequence = self.next_request = 0
         self.requests: dict[int, AdmissionRequest] = {}  # pending, by id
         self.admitted: list[int] = []  # ids in order of admission, not sent yet
@@ -91,15 +91,15 @@
     def at(self, delay_s: float, action: Any) -> None:
         """Schedule `action` after `delay_s` seconds."""
         self.sequence += 1
-        heappush(self.agenda, (self.now + delay_s, self.sequence, action))
+        heappush(self.event_queue, (self.now + delay_s, self.sequence, action))
 
     def play(self) -> None:
         """Run to the end."""
         self.at(0.0, self.arrive)
         self.at(TICK_S, self.tick)
         self.at(self.rng.uniform(0.5, 2.0), self.disturb)
-        while self.agenda and self.agenda[0][0] <= LENGTH_S:
-            self.now, _, action = heappop(self.agenda)
+        while self.event_queue and self.event_queue[0][0] <= LENGTH_S:
+            self.now, _, action = heappop(self.event_queue)
             action()
         self.write_state()
 
@@ -174,8 +174,8 @@
                 self.apply(self.controller.ended(number, self.now, False, 0.0))
                 continue
             self.free_servers -= 1
-            took_s = self.service_s * self.rng.uniform(0.5, 2.0)
-            self.at(took_s, lambda number=number: self.finish(number))
+            duration_s = self.service_s * self.rng.uniform(0.5, 2.0)
+            self.at(duration_s, lambda number=number: self.finish(number))
             self.apply(self.controller.sent(number, self.now))
         self.apply_router_turn()
 
@@ -254,10 +254,10 @@
             estimate.record_in_flight(in_flight, now)
         elif rng.random() < 0.7:
             in_flight -= 1
-            took_s = base_s * rng.uniform(0.8, 1.3) * (1.0 + in_flight / 10.0)
+            duration_s = base_s * rng.uniform(0.8, 1.3) * (1.0 + in_flight / 10.0)
             name = rng.choice(("read", "map", "upload"))
             estimate.record_latency(
-                name, {"read": 0.05, "map": 0.2, "upload": 0.0}[name], took_s, now - took_s
+                name, {"read": 0.05, "map": 0.2, "upload": 0.0}[name], duration_s, now - duration_s
             )
         estimate.update(now)
         digest.line("capacity", estimate.limit, estimate.current_limit, estimate.probing)
@@ -322,10 +322,10 @@
             )
             queue.push(waiting[number])
         elif kind < 9:
-            taken = queue.pop()
-            digest.line("pop", taken and (taken.id, taken.start_tag))
-            if taken is not None:
-                del waiting[taken.id]
+            popped = queue.pop()
+            digest.line("pop", popped and (popped.id, popped.start_tag))
+            if popped is not None:
+                del waiting[popped.id]
         elif kind == 9 and waiting:
             queue.remove(waiting.pop(rng.choice(list(waiting))))
         elif kind == 10:
--- a/tests/support/golden_emulator.py
+++ b/tests/support/golden_emulator.py
@@ -88,7 +88,7 @@
             for _ in range(STEPS):
                 self._step()
             for _ in range(40):
-                self._pass(0.05)
+                self._advance(0.05)
             self.fleet.close()
         return self._digest()
 
@@ -139,9 +139,9 @@
             self._deliver(0, json.dumps(self._fault()).encode() + b"\n")
         if draw() < 0.02:
             self._deliver(0, self.random.choice((b'{"op": "status"}\n', b"junk\n", b'{"op": "no"}\n')))
-        self._pass(self.random.choice((0.0, 0.002, 0.01, 0.03)))
+        self._advance(self.random.choice((0.0, 0.002, 0.01, 0.03)))
 
-    def _pass(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self.task.advance(seconds)
         for protocol, wire, _ in self.connections:
             if wire.closing is not None and not wire.over:
--- a/tests/support/golden_fleet.py
+++ b/tests/support/golden_fleet.py
@@ -133,7 +133,7 @@
         self.digest = hashlib.sha256()
         self.lines: list[str] = []
         self.actions: dict[str, int] = {}
-        self.agenda: list[tuple[float, int, Any]] = []
+        self.event_queue: list[tuple[float, int, Any]] = []
         self.sequence = 0
         self.next_request = 0
         self.next_endpoint = 0
@@ -162,12 +162,12 @@
         zone = self.rng.choice(self.zones)
         return EmulatedEndpoint(self.next_endpoint, group, zone, size, primary, "U", started_s, lag)
 
-    # The agenda
+    # The event queue
 
     def at(self, delay_s: float, action: Any) -> None:
         """Schedule `action` after `delay_s` seconds."""
         self.sequence += 1
-        heappush(self.agenda, (round(self.now + delay_s, ROUND_DIGITS), self.sequence, action))
+        heappush(self.event_queue, (round(self.now + delay_s, ROUND_DIGITS), self.sequence, action))
 
     def play(self) -> str:
         """Run to the end and return the digest as hex."""
@@ -175,10 +175,10 @@
         self.flush()
         self.at(0.0, self.arrive)
         self.at(self.rng.uniform(0.5, 2.0), self.disturb)
-        while self.agenda and self.agenda[0][0] <= self.end_s:
-            self.now = self.agenda[0][0]
-            while self.agenda and self.agenda[0][0] <= self.now + TICK_S / 2:
-                heappop(self.agenda)[2]()
+        while self.event_queue and self.event_queue[0][0] <= self.end_s:
+            self.now = self.event_queue[0][0]
+            while self.event_queue and self.event_queue[0][0] <= self.now + TICK_S / 2:
+                heappop(self.event_queue)[2]()
             self.flush()
         return self.digest.hexdigest()
 
--- a/tests/support/golden_pool.py
+++ b/tests/support/golden_pool.py
@@ -66,7 +66,7 @@
         self.task = Clock()
         self.made: list[SimulatedConnection] = []
         self.attempts: list[Any] = []
-        self.closed: list[int] | None = None  # a list: collects closed connections
+        self.closed: list[int] | None = None  # numbers of the connections closed by the final pool.close()
         self.budget = DescriptorBudget(self.rng.choice((0, 64)))
         limits = PoolLimits(self.rng.choice((2, 5)), 0.25, 2.0, self.rng.choice((0.0, 1.0)))
         self.pool = ConnectionPool(FakeClock(self.task), self.connect, self.judge, limits, self.budget)
--- a/tests/support/golden_protocols.py
+++ b/tests/support/golden_protocols.py
@@ -43,7 +43,7 @@
         self.inbox: list[bytes] = []
         self.arrived = 0.0
         self.unsent_bytes = 0
-        self.left = False  # the peer has closed the connection after its last bytes
+        self.left = False  # the peer has closed the connection; net/socket_state.py reads this attribute
         self.closing: Exception | None = None
         self.over = False
 
@@ -81,7 +81,7 @@
     def read_delay(self, moment: float) -> float:
         return moment - self.arrived
 
-    def taken(self) -> bytes:
+    def take_written(self) -> bytes:
         """Return the bytes written since the last call."""
         data = self.value()
         self.clear()
@@ -199,7 +199,7 @@
                 self._step(step)
             for _ in range(TAIL_STEPS):
                 self.change(STEPS)
-                self._pass(0.1)
+                self._advance(0.1)
         return self._digest()
 
     def start(self) -> None:
@@ -221,13 +221,13 @@
             self.opening.remove(connector)
             self._end_opening(connector)
         for _, wire in self.upstreams:
-            written = wire.taken()
+            written = wire.take_written()
             if written and wire.closing is None:
                 for answer in self.endpoint_bytes(wire, written):
                     wire.inbox += self._pieces(answer)
             wire.unsent_bytes = 10 if draw() < 0.03 else 0
         self.change(step)
-        self._pass(self.random.choice((0.0, 0.001, 0.004, 0.02, 0.05)) if draw() < 0.97 else 0.6)
+        self._advance(self.random.choice((0.0, 0.001, 0.004, 0.02, 0.05)) if draw() < 0.97 else 0.6)
 
     def _burst(self) -> int:
         draw = self.random.random()
@@ -258,7 +258,7 @@
         elif draw < 0.06 and producer is not None and not wire.over:
             producer.resumeProducing()
 
-    def _pass(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         for protocol, wire in self.clients + self.upstreams:
             self._deliver(protocol, wire)
         self.task.advance(seconds)
--- a/tests/support/golden_zones.py
+++ b/tests/support/golden_zones.py
@@ -57,7 +57,7 @@
         self.commands = {name: ZoneCommands() for name in self.names}
         self.suspects: dict[str, dict[int, str]] = {name: {} for name in self.names}
         self.faults: list[tuple[int, int, str, str]] = []
-        self.past: list[dict[str, bytes]] = []
+        self.sent_digests: list[dict[str, bytes]] = []
         self.now = START_S
 
     def play(self) -> str:
@@ -72,7 +72,7 @@
             for name in self.names:
                 self.traffic(step, name)
                 sent[name] = self.send_digest(name)
-            self.past.append(sent)
+            self.sent_digests.append(sent)
             self.command(step)
             for name in self.names:
                 self.evaluate(step, name)
@@ -134,12 +134,12 @@
             )
             statuses = tuple(ZoneStatus(zone, 3, rng.randrange(1001), 5) for zone in self.zones)
             return ZoneDigest(self.home[name], rng.choice((0.0, 1e6)), True, rows, statuses)
-        in_part = [zone.name for zone in controller.zones.values() if zone.share < 1.0]
+        partly_used = [zone.name for zone in controller.zones.values() if zone.share < 1.0]
         up = dict.fromkeys(self.zones, self.endpoints_a_zone)
-        rows = self.observed[name].rows(self.now, self.suspects[name], up, in_part)
-        fit = rng.random() >= 0.01
+        rows = self.observed[name].rows(self.now, self.suspects[name], up, partly_used)
+        may_judge = rng.random() >= 0.01
         demand = round(self.observed[name].request_rate, 2)
-        return ZoneDigest(self.home[name], demand, fit, rows, controller.statuses(self.now))
+        return ZoneDigest(self.home[name], demand, may_judge, rows, controller.statuses(self.now))
 
     def send_digest(self, name: str) -> bytes:
         """Record the digest of this step and return its encoding."""
@@ -155,8 +155,8 @@
         rng = self.rng
         if rng.random() < 0.01:
             name, zone = rng.choice(self.names), rng.choice(self.zones)
-            what = rng.choice(("leave", "return"))
-            self.commands[name].issue(zone, what, rng.choice((0.0, 3.0)), name)
+            action = rng.choice(("leave", "return"))
+            self.commands[name].issue(zone, action, rng.choice((0.0, 3.0)), name)
         if step % 5 == 0:
             for name in self.names:
                 other = rng.choice(self.names)
@@ -169,17 +169,17 @@
     def evaluate(self, step: int, name: str) -> None:
         """Evaluate the zones of an instance with the digests it has received, and record its decisions."""
         rng = self.rng
-        sent = self.past[-DIGEST_DELAY_STEPS] if len(self.past) >= DIGEST_DELAY_STEPS else {}
+        sent = self.sent_digests[-DIGEST_DELAY_STEPS] if len(self.sent_digests) >= DIGEST_DELAY_STEPS else {}
         received = {}
         for other, body in sent.items():
             if other != name and rng.random() >= 0.02 and (digest := digests.decode(body)) is not None:
                 age = rng.choice((0.3, 0.3, 0.3, 11.0)) if step % 7 == 0 else 0.3
                 received[other] = ReceivedDigest(age, digest)
-        own = digests.decode(self.past[-1][name]) or self.digest(name)
+        own = digests.decode(self.sent_digests[-1][name]) or self.digest(name)
         sizes = {zone: float(self.endpoints_a_zone) for zone in self.zones}
-        late = rng.random() < 0.01
+        after_pause = rng.random() < 0.01
         leaves = self.commands[name].leave_commands()
-        view = ZoneView(self.now, own, received, sizes, leaves, late, len(self.names))
+        view = ZoneView(self.now, own, received, sizes, leaves, after_pause, len(self.names))
         zones = self.controllers[name]
         shares = zones.step(view)
         self.record("shares", name, repr(shares))
--- a/tests/support/router_harness.py
+++ b/tests/support/router_harness.py
@@ -143,8 +143,8 @@
     return [a for a in actions if isinstance(a, FINAL) and a.request == request]
 
 
-def placed(rig: Rig, name: str, **fields) -> tuple[int, list[int]]:
-    """Feed a request, let its wait for a position check expire, and return the endpoints it was sent to."""
+def route_request(rig: Rig, name: str, **fields) -> tuple[int, list[int]]:
+    """Feed a request and wait until its position check has timed out; return its id and its endpoints."""
     request, _ = rig.receive(name, **fields)
     rig.run(0.04)
     return request, sends(rig.log, request)
--- a/tests/support/transport_case.py
+++ b/tests/support/transport_case.py
@@ -31,14 +31,14 @@
     """Observations on the server side."""
 
     lost: int = 0
-    data: int = 0  # bytes received
+    bytes_received: int = 0
     paused: int = 0
     resumed: int = 0
     raised: str = ""  # exception of a write after the loss
-    waited: float = 0.0  # s between arrival and read of the last data
+    read_delay_s: float = 0.0  # between arrival and read of the last data
     answered_before_the_turn_ended: bool = False
     accepted: int = 0
-    whole: bool | None = None  # whether a paused reader received every byte
+    all_received: bool | None = None  # whether the client of stopped_reader received every byte
 
 
 class TransportCase:
@@ -83,9 +83,9 @@
 
     def received(self, connection: Any, data: bytes) -> None:
         """Record received data, and answer if the case requires it."""
-        self.observed.data += len(data)
-        self.observed.waited = time.monotonic() - connection.transport.arrived
-        if self.name == "answer_leaves_at_once":
+        self.observed.bytes_received += len(data)
+        self.observed.read_delay_s = time.monotonic() - connection.transport.arrived
+        if self.name == "immediate_write":
             connection.transport.write(b"answer")
             self.observed.answered_before_the_turn_ended = self.answered.wait(TIMEOUT_S)
         elif self.name == "stopped_reader":
@@ -122,9 +122,9 @@
         """The process is blocked for 0.3 s after the bytes have arrived."""
         self.client.sendall(b"request")
         time.sleep(0.3)
-        self.when(lambda: self.observed.data, self.finish)
+        self.when(lambda: self.observed.bytes_received, self.finish)
 
-    def answer_leaves_at_once(self) -> None:
+    def immediate_write(self) -> None:
         """The client waits for the answer in a thread; the server blocks its turn until the client has it."""
 
         def ask() -> None:
@@ -133,7 +133,7 @@
                 self.answered.set()
 
         threading.Thread(target=ask, daemon=True).start()
-        self.when(lambda: self.observed.data, self.finish)
+        self.when(lambda: self.observed.bytes_received, self.finish)
 
     def accept_all(self) -> None:
         """Clients connect, and the port accepts all of them and closes, within this reactor turn."""
@@ -143,8 +143,8 @@
         assert self.port.accept_all()
         self.port.stopListening()
         self.observed.accepted = len(self.connections) - before
-        for one in waiting:
-            one.close()
+        for client in waiting:
+            client.close()
         self.finish()
 
     def stopped_reader(self) -> None:
@@ -156,10 +156,10 @@
             received = bytearray()
             while len(received) < len(PATTERN) * PATTERN_REPEATS:
                 received += self.client.recv(1 << 20)
-            self.observed.whole = bytes(received) == PATTERN * PATTERN_REPEATS
+            self.observed.all_received = bytes(received) == PATTERN * PATTERN_REPEATS
 
         threading.Thread(target=read, daemon=True).start()
-        self.when(lambda: self.observed.whole is not None and self.observed.resumed, self.finish)
+        self.when(lambda: self.observed.all_received is not None and self.observed.resumed, self.finish)
 
 
 def _server_protocol(case: TransportCase) -> type:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -199,10 +199,10 @@
     schedule.update_rate(4.0, 0.0)
     retry_after = [schedule.reserve(f"c{n}", "t", 0.01, 1.0, 0.0, 0.0) for n in range(2000)]
     assert None in retry_after
-    assert all(booked <= 4.0 * SLOT_S * 0.5 + 1e-9 for booked in schedule.reserved_cost.values())
+    assert all(reserved <= 4.0 * SLOT_S * 0.5 + 1e-9 for reserved in schedule.reserved_cost.values())
     before = len(schedule.reservations)
     schedule.update_rate(2.0, 0.0)
-    assert all(booked <= 2.0 * SLOT_S * 0.5 + 1e-9 for booked in schedule.reserved_cost.values())
+    assert all(reserved <= 2.0 * SLOT_S * 0.5 + 1e-9 for reserved in schedule.reserved_cost.values())
     assert 0.4 * before < len(schedule.reservations) < 0.6 * before
     assert schedule.revoked == before - len(schedule.reservations)
 
--- a/tests/test_arrival_stamps.py
+++ b/tests/test_arrival_stamps.py
@@ -16,9 +16,9 @@
 
 EVENTS = st.lists(
     st.one_of(
-        st.tuples(st.just("come"), st.just(0.0)),
+        st.tuples(st.just("arrive"), st.just(0.0)),
         st.tuples(st.just("read"), st.integers(0, 3)),
-        st.tuples(st.just("pass"), st.floats(0.001, 3.0)),
+        st.tuples(st.just("wait"), st.floats(0.001, 3.0)),
         st.tuples(st.just("slew"), st.floats(-0.0005, 0.0005)),
     ),
     max_size=40,
@@ -30,15 +30,15 @@
     """One clock step at any place among the reads, and slewing at the system's maximum rate."""
     timestamps, now, offset, unread = ReceiveTimestamps(), 100.0, 1e9, []
     timestamps.arrival_time(now + offset, now + offset, now)
-    for number, (what, amount) in enumerate(events):
+    for number, (event, amount) in enumerate(events):
         if number == when:
             offset += step
-        if what == "pass":
+        if event == "wait":
             now += amount
             offset += amount * 0.0005
-        elif what == "slew":
+        elif event == "slew":
             offset += amount
-        elif what == "come":
+        elif event == "arrive":
             unread.append((now, now + offset))
         elif unread:
             arrived_at, stamp = unread.pop(amount % len(unread))
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -34,7 +34,7 @@
 def test_the_router_keeps_no_state_of_a_hundred_thousand_requests_and_sessions():
     rig = Rig()
     names = ("any", "session", "bounded", "write", "fresh")
-    marks = []
+    sizes = []
     for number in range(100_000):
         rig.receive(names[number % 5], session=f"s{number}", session_age=0.3)
         while rig.log:  # answers and health checks may trigger further actions
@@ -52,14 +52,14 @@
         if number in (20_000, 60_000, 99_999):
             rig.now += 20.0
             rig.feed(api.TimerExpired(0))
-            marks.append(count_entries(rig.router))
+            sizes.append(count_entries(rig.router))
     assert not rig.router.requests
-    assert marks[2] <= marks[0] * 1.1 + 50, marks
+    assert sizes[2] <= sizes[0] * 1.1 + 50, sizes
 
 
 def test_the_router_drops_endpoints_that_are_replaced_continuously():
     rig = Rig()
-    marks = []
+    sizes = []
     for number in range(1, 2_000):
         fresh, old = 1000 + number, 999 + number
         entries = [entry(fresh, primary=False)]
@@ -71,14 +71,14 @@
         rig.now += 1.0
         rig.timers, rig.log = [], []
         if number in (500, 1_999):
-            marks.append(len(rig.router.endpoints))
-    assert marks[-1] <= marks[0] + 5 and len(rig.router.groups[1].endpoints) <= marks[0] + 5
+            sizes.append(len(rig.router.endpoints))
+    assert sizes[-1] <= sizes[0] + 5 and len(rig.router.groups[1].endpoints) <= sizes[0] + 5
 
 
 def test_the_client_side_keeps_no_state_of_thousands_of_ids_keys_and_connections():
     proxy = PostgresqlProxy()
     connection, wire = proxy.client()
-    marks = []
+    sizes = []
     for number in range(1, 30_001):
         if number % 50 == 0:
             connection.connectionLost()
@@ -91,9 +91,9 @@
         wire.clear()
         if number in (5_000, 30_000):
             proxy.advance_in_steps(3.0)
-            marks.append(count_entries(proxy.engine) + count_entries(proxy.listener))
+            sizes.append(count_entries(proxy.engine) + count_entries(proxy.listener))
     assert not proxy.listener.open_request_ids and not proxy.engine.request_table.requests
-    assert marks[1] <= marks[0] * 1.1 + 50, marks
+    assert sizes[1] <= sizes[0] * 1.1 + 50, sizes
 
 
 def test_a_silent_watch_is_replaced_and_the_endpoint_list_stays_in_use(tmp_path):
@@ -144,9 +144,9 @@
     platform.start()
     try:
         platform.wait_for("endpoint_list.updated revision=1 complete=True cached=False")
-        whole = platform.version(2, complete=False, s_2="draining")
+        update = platform.version(2, complete=False, s_2="draining")
         platform.agent.first_object = platform.version(3, complete=False, s_2="draining")
-        platform.agent.send(whole[: len(whole) // 2])
+        platform.agent.send(update[: len(update) // 2])
         watch = platform.agent.watches[0]
         time.sleep(0.2)
         platform.agent.server.shutdown_request(watch)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -93,7 +93,7 @@
     assert not responses
     assert not proxy.endpoints.sent
     assert not proxy.engine.request_table.requests
-    assert not any(m.in_flight for m in proxy.engine.router.endpoints.values())
+    assert not any(e.in_flight for e in proxy.engine.router.endpoints.values())
 
 
 def test_last_guard_answers_if_the_router_does_not():
@@ -140,8 +140,8 @@
         proxy.engine.router.settings = replace(proxy.engine.router.settings, session_tracking=tracking)
         send_by = []
         send = proxy.endpoints.send
-        proxy.endpoints.send = lambda m, p, e, by, send=send, recorded=send_by: recorded.append(by) or send(
-            m, p, e, by
+        proxy.endpoints.send = lambda endpoint, payload, on_end, by, send=send, recorded=send_by: (
+            recorded.append(by) or send(endpoint, payload, on_end, by)
         )
         submit(
             proxy, next(c.name for c in proxy.engine.classes.values() if c.freshness is api.Freshness.SESSION)
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -27,8 +27,8 @@
         "pending": request_table.pending,
         "completed": request_table.completed,
         "router_requests": len(router.requests),
-        "in_flight_at_endpoints": sum(len(m.in_flight) for m in router.endpoints.values()),
-        "probing": [m.id for m in router.endpoints.values() if m.health_check_pending],
+        "in_flight_at_endpoints": sum(len(e.in_flight) for e in router.endpoints.values()),
+        "health_checks_pending": [e.id for e in router.endpoints.values() if e.health_check_pending],
         "events": len(proxy.engine.dispatcher.events),
     }
 
@@ -147,10 +147,10 @@
     return pending, responses
 
 
-def record_lag(proxy: MongodbProxy, by: float) -> None:
+def record_lag(proxy: MongodbProxy, lag_s: float) -> None:
     """Record lag twice: a single pause does not count."""
     for _ in range(2):
-        proxy.engine.event_loop_lag.record(by, proxy.clock.now())
+        proxy.engine.event_loop_lag.record(lag_s, proxy.clock.now())
         proxy.task.advance(0.3)
 
 
@@ -194,7 +194,7 @@
     _, responses = submit(proxy, "upload", 0.3)
     proxy.turn(0.4)  # blocked: the deadline margin now far exceeds LAST_GUARD_AFTER
     assert proxy.engine.event_loop_lag.deadline_margin(proxy.clock.now()) > 5 * LAST_GUARD_AFTER
-    assert not responses, "the router is asked first"
+    assert not responses, "the router gets the first chance to answer"
     proxy.engine.event_loop_lag = EventLoopLag()  # no lag from here on
     proxy.turn(LAST_GUARD_AFTER)
     proxy.turn(TICK)
@@ -309,7 +309,7 @@
     proxy.turn()
     assert not connections.sent
     assert not proxy.engine.request_table.requests
-    assert not any(m.in_flight for m in proxy.engine.router.endpoints.values())
+    assert not any(e.in_flight for e in proxy.engine.router.endpoints.values())
 
 
 def test_withdrawing_bytes_queued_behind_a_full_socket_closes_the_connection():
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -61,7 +61,7 @@
         connection.dataReceived(read(number, d="60000"))
 
 
-# Clients that disconnect while their socket is not read; found within 0.3 s
+# Clients that disconnect while their socket is not read; the disconnect is detected within 0.3 s
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
@@ -262,11 +262,11 @@
     """A connector that records its calls; the test invokes the callbacks."""
 
     def __init__(self) -> None:
-        self.attempts = []  # (ready, failed, lost) callbacks of each call
+        self.calls = []  # (ready, failed, lost) callbacks of each call
         self.cancelled = 0
 
     def __call__(self, ready, failed, lost):
-        self.attempts.append((ready, failed, lost))
+        self.calls.append((ready, failed, lost))
 
         def cancel() -> None:
             self.cancelled += 1
@@ -318,7 +318,7 @@
     connection, wire = proxy.client()
     connection.dataReceived(write(1, d="5000"))
     proxy.turn()
-    (attempt,) = endpoints.connectors[1].attempts
+    (connector_call,) = endpoints.connectors[1].calls
     state = {"draining": api.EndpointState.DRAINING, "gone": api.EndpointState.GONE}.get(
         change, api.EndpointState.UP
     )
@@ -330,7 +330,7 @@
         proxy.engine.list_changed(api.EndpointListUpdate((updated,), complete=False))
     proxy.turn()
     opened = FakeConnection()
-    attempt[0](opened)
+    connector_call[0](opened)
     proxy.turn()
     resent = change == "restarted" and bool(opened.started)  # routed again, to the restarted process
     assert not opened.started or resent
@@ -348,7 +348,7 @@
     pool.retire()
     assert [e.result for e in outcomes] == [AttemptResult.NOT_SENT] and connector.cancelled == 1
     opened = FakeConnection()
-    connector.attempts[0][0](opened)
+    connector.calls[0][0](opened)
     assert opened.closed and not opened.started and budget.endpoints == 0
 
 
@@ -362,7 +362,7 @@
     task.advance(0.3)
     assert [e.result for e in outcomes] == [AttemptResult.CONNECT_FAILED] and budget.endpoints == 0
     opened = FakeConnection()
-    ready, failed, lost = connector.attempts[0]
+    ready, failed, lost = connector.calls[0]
     ready(opened)
     assert opened.closed and not opened.started and not pool.idle
     lost("closed here")
@@ -381,7 +381,7 @@
     )
     pool.send("request", outcomes.append)
     # The handshake is read after the timer expired, in the same turn.
-    task.callLater(0.25, lambda: connector.attempts[0][0](opened))
+    task.callLater(0.25, lambda: connector.calls[0][0](opened))
     task.advance(0.25)
     assert not outcomes and not connector.cancelled and opened.started[0][0] == "request"
     task.advance(1.0)
@@ -393,7 +393,7 @@
     outcomes, connector, opened = [], FakeConnector(), FakeConnection()
     pool = ConnectionPool(FakeClock(task), connector, lambda e, r: r, PoolLimits(connect_timeout=5.0), None)
     pool.send_with_timeout("probe", outcomes.append, 0.25)
-    connector.attempts[0][0](opened)
+    connector.calls[0][0](opened)
     task.callLater(0.25, lambda: opened.started[0][1](AttemptOutcome(AttemptResult.OK)))
     task.advance(0.25)
     task.advance(1.0)
@@ -495,15 +495,15 @@
             outcomes.append([])
             exchanges.append(pool.send(number, outcomes[number].append))
         elif step in ("ready", "failed"):
-            waiting = [n for n in range(len(connector.attempts)) if n not in opened and n not in ended]
+            waiting = [n for n in range(len(connector.calls)) if n not in opened and n not in ended]
             if waiting:
                 number = waiting[which % len(waiting)]
                 if step == "ready":
                     opened[number] = FakeConnection()
-                    connector.attempts[number][0](opened[number])
+                    connector.calls[number][0](opened[number])
                 else:
                     ended.add(number)
-                    connector.attempts[number][1]("refused")
+                    connector.calls[number][1]("refused")
         elif step == "answer":
             number = pick_open(which)
             if number is not None and opened[number].started and not opened[number].closed:
@@ -512,7 +512,7 @@
             number = pick_open(which)
             if number is not None:
                 ended.add(number)
-                connector.attempts[number][2]("ended")
+                connector.calls[number][2]("ended")
         elif step == "abandon" and exchanges:
             exchanges[which % len(exchanges)].abandon()
         elif step == "withdraw" and exchanges:
@@ -531,7 +531,7 @@
     for number, connection in opened.items():
         if number not in ended:
             assert connection.closed
-            connector.attempts[number][2]("closed here")
+            connector.calls[number][2]("closed here")
     assert budget.endpoints == 0 and not pool.connections and not pool.idle
 
 
--- a/tests/test_fault_scenario.py
+++ b/tests/test_fault_scenario.py
@@ -13,7 +13,7 @@
 import yaml
 
 SLACK = 1.0  # s; a slow, shared machine must not change the verdict
-SCENARIOS = {
+SCENARIOS = {  # by proxy fault
     1: {"troubles": [{"at": 0.2, "do": "drain", "member": n, "for": 60} for n in range(1, 7)]},
     2: {"troubles": [{"at": 0.2, "do": "reset", "member": "primary", "when": "write", "count": 40}]},
     3: {"troubles": [{"at": 0.1, "do": "drain", "member": "replica", "nth": 1, "for": 60}]},
@@ -35,12 +35,9 @@
         ]
     },
 }
-BROKEN_RULE = {
-    6: 1,
-    7: 1,
-    8: 5,
-}  # the rule that proxy fault 6 to 8 breaks; faults 1 to 5 break the rule of that number
-STRICT_SLACK = {8: 0.25}  # s; with SLACK, the reads' time-outs would hide the violation
+# Proxy faults 1 to 5 break the rule of the same number; these are the rules that 6 to 8 break.
+BROKEN_RULE = {6: 1, 7: 1, 8: 5}
+STRICT_SLACK = {8: 0.25}  # s, by proxy fault; with SLACK, the reads' time-outs would hide the violation
 
 
 def run_scenario(
@@ -74,7 +71,7 @@
     return completed.returncode, json.loads(result.read_text())
 
 
-CASES = [(None, False), *((rule, True) for rule in SCENARIOS), *((rule, False) for rule in (2, 4, 5))]
+CASES = [(None, False), *((fault, True) for fault in SCENARIOS), *((fault, False) for fault in (2, 4, 5))]
 
 
 @pytest.fixture(scope="module")
@@ -82,12 +79,12 @@
     """Run all scenarios, three at a time: each takes its full length, but little processor time."""
 
     def run_case(case: tuple[int | None, bool]) -> tuple[int, dict, Path]:
-        rule, faulty = case
+        fault, faulty = case
         folder = folders[case]
-        environment = {"PROXY_FAULT": str(rule)} if faulty else {}
-        script = SCENARIOS[rule] if rule else None
-        slack = STRICT_SLACK.get(rule, SLACK)
-        return *run_scenario(folder, script, 7.0 if rule else 14.0, slack, **environment), folder
+        environment = {"PROXY_FAULT": str(fault)} if faulty else {}
+        script = SCENARIOS[fault] if fault else None
+        slack = STRICT_SLACK.get(fault, SLACK)
+        return *run_scenario(folder, script, 7.0 if fault else 14.0, slack, **environment), folder
 
     folders = {case: tmp_path_factory.mktemp("scenario") for case in CASES}
     with ThreadPoolExecutor(3) as pool:
@@ -104,15 +101,15 @@
         assert "Traceback" not in log.read_text(), log.name
 
 
-@pytest.mark.parametrize("rule", sorted(SCENARIOS))
-def test_the_audit_detects_a_proxy_without_the_guard(results, rule):
-    code, result, _ = results[rule, True]
+@pytest.mark.parametrize("fault", sorted(SCENARIOS))
+def test_the_audit_detects_a_proxy_without_the_guard(results, fault):
+    code, result, _ = results[fault, True]
     assert code == 1
-    assert result["rules"][BROKEN_RULE.get(rule, rule) - 1]["broken"] > 0
+    assert result["rules"][BROKEN_RULE.get(fault, fault) - 1]["broken"] > 0
 
 
-@pytest.mark.parametrize("rule", [2, 4, 5])
-def test_the_audit_passes_the_unmodified_proxy_in_the_same_scenario(results, rule):
-    code, result, _ = results[rule, False]
+@pytest.mark.parametrize("fault", [2, 4, 5])
+def test_the_audit_passes_the_unmodified_proxy_in_the_same_scenario(results, fault):
+    code, result, _ = results[fault, False]
     assert [r["told"] for r in result["rules"]] == [[], [], [], [], []]
     assert code == 0
--- a/tests/test_fleet_scenario.py
+++ b/tests/test_fleet_scenario.py
@@ -18,7 +18,7 @@
 WARM = {"rules": {"warm_within": "2 s"}, "standins": {"warm_within": "2 s"}}
 ALL = {f"driver-{n}" for n in range(1, 10)}
 MOST = 6  # of nine proxies: on a busy machine a proxy may have few requests or stall during the fault
-TOO_SLOW = 0.25  # s; a longer delay of clients or emulated servers is the machine's fault: run again
+TOO_SLOW = 0.25  # s; longer delays of clients or emulated servers come from a busy machine: run again
 BYZANTINE_PEER = "-m tests.support.byzantine_peer {{name}} {{key}} {} {} {{seed}}"
 NORTH, MIDDLE, SOUTH = ({f"driver-{n}" for n in range(k, 10, 3)} for k in (1, 2, 3))
 DAYS = {
@@ -152,9 +152,9 @@
         return dict(zip(DAYS, pool.map(lambda name: run_scenario(folder, name), DAYS), strict=True))
 
 
-def who(day: dict, state: str, zone: str = "south") -> set[str]:
+def who(result: dict, state: str, zone: str = "south") -> set[str]:
     """Return the proxies that were ever in a state for a zone."""
-    return {e["driver"] for e in day["events"] if (e["state"], e["zone"]) == (state, zone)}
+    return {e["driver"] for e in result["events"] if (e["state"], e["zone"]) == (state, zone)}
 
 
 def last_states(result: dict, zone: str = "south") -> dict[str, str]:
@@ -257,7 +257,7 @@
 
 
 def test_liars_with_the_right_key_move_nobody_and_hold_nobody_back(results):
-    """Two byzantine peers with the right key can neither cause nor prevent leaving a zone."""
+    """Two Byzantine peers with the right key can neither cause nor prevent leaving a zone."""
     assert not [e for e in results["liars"]["events"] if e["state"] != "suspected" and e["share"] < 1]
     assert any(e["state"] == "suspected" for e in results["liars"]["events"]), "no proxy received their votes"
     assert len(who(results["hold back"], "left")) >= MOST
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "stated", "required"),
+    ("result", "reported", "required"),
     [
         (AttemptResult.OK, 99.9, 99.9),
         (AttemptResult.OK, None, 100.5),
@@ -44,7 +44,7 @@
     ],
 )
 def test_tracked_session_requires_the_present_during_a_write_and_its_commit_afterwards(
-    result, stated, required
+    result, reported, required
 ):
     rules = FreshnessRules(make_state(TRACKED_BY_PROXY))
     write = make_request(rules.state, "write", 1, session="s")
@@ -52,7 +52,7 @@
     rules.write_started(write)
     rules.state.now = 100.5
     assert rules.required_position(read) == 100.5
-    rules.write_finished(write, api.AttemptFinished(1, 0, 1, result, 0.5, True, position=stated))
+    rules.write_finished(write, api.AttemptFinished(1, 0, 1, result, 0.5, True, position=reported))
     assert rules.required_position(read) == required
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -56,7 +56,7 @@
     malformed = codec.row_description() + struct.pack("!ci", b"D", 2**31 - 1) + b"x" * 1000
     for endpoint in platform.endpoints:
         endpoint.script = (
-            lambda s: malformed if sum(len(m.statements) for m in platform.endpoints) == 1 else None
+            lambda s: malformed if sum(len(e.statements) for e in platform.endpoints) == 1 else None
         )
     client = platform.client()
     for number in range(1, 30):
@@ -76,7 +76,7 @@
 
 def test_extra_bytes_after_a_response_are_never_used_as_the_next_response(platform):
     for endpoint in platform.endpoints:
-        endpoint.script = lambda s, m=endpoint: m.row(value_of(s)) + m.row(b"not asked for")
+        endpoint.script = lambda s, e=endpoint: e.row(value_of(s)) + e.row(b"not asked for")
     client = platform.client()
     for number in range(1, 40):
         assert client.query(read_statement(number)) == ("value", f"value of {number:x}".encode())
@@ -108,7 +108,7 @@
             pass
         client.close()
     assert platform.client().query(read_statement(7)) == ("value", b"value of 7")
-    assert {s.split("id=")[1][0] for m in platform.endpoints for s in m.statements} == {"7"}
+    assert {s.split("id=")[1][0] for e in platform.endpoints for s in e.statements} == {"7"}
 
 
 def test_silent_connections_do_not_block_other_clients_and_are_closed(platform):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -209,7 +209,7 @@
     client.socket.sendall(
         codec.query(read_statement(1)) + codec.query(read_statement(2)) + codec.query(read_statement(3))
     )
-    wait_until(lambda: any(m.statements for m in platform.endpoints))
+    wait_until(lambda: any(endpoint.statements for endpoint in platform.endpoints))
     platform.signal(signal.SIGTERM)
     platform.signal(signal.SIGTERM)
     platform.signal(signal.SIGHUP)
@@ -230,7 +230,7 @@
         endpoint.script = lambda s: release.wait(TIMEOUT_S) and None
     client = platform.client()
     client.socket.sendall(codec.query(read_statement(1)))
-    wait_until(lambda: any(m.statements for m in platform.endpoints))
+    wait_until(lambda: any(endpoint.statements for endpoint in platform.endpoints))
     platform.signal(signal.SIGSTOP)
     signalled_at = time.monotonic()
     platform.signal(signal.SIGTERM)
@@ -282,7 +282,7 @@
         endpoint.script = lambda s: release.wait(TIMEOUT_S) and None
     client = platform.client()
     client.socket.sendall(codec.query(read_statement(1)))
-    wait_until(lambda: any(m.statements for m in platform.endpoints))
+    wait_until(lambda: any(endpoint.statements for endpoint in platform.endpoints))
     for number in range(2, 3000):
         client.socket.sendall(codec.query(read_statement(number)))
     client.close()
@@ -291,7 +291,7 @@
     other = platform.client()
     for number in range(5000, 5010):
         assert other.query(read_statement(number))[0] == "value"
-    forwarded = {re.search(r"id=(\w+)", s)[1] for m in platform.endpoints for s in m.statements}
+    forwarded = {re.search(r"id=(\w+)", s)[1] for endpoint in platform.endpoints for s in endpoint.statements}
     assert forwarded - {f"{n:x}" for n in range(5000, 5010)} == {"1"}
 
 
@@ -303,7 +303,7 @@
     time.sleep(0.3)  # the process is suspended for that long
     platform.process.send_signal(signal.SIGCONT)
     assert platform.client().query(read_statement(2)) == ("value", b"value of 2")
-    assert not [s for m in platform.endpoints for s in m.statements if "id=1," in s]
+    assert not [s for endpoint in platform.endpoints for s in endpoint.statements if "id=1," in s]
 
 
 def test_closing_the_port_accepts_all_clients_in_the_backlog():
--- a/tests/test_router_faults.py
+++ b/tests/test_router_faults.py
@@ -10,7 +10,7 @@
 from sedgepitch.routing.messages import AttemptResult, EndpointState, Idempotency, StaleReadHandling
 from sedgepitch.routing.records import EjectionReason, ReadPreference
 from sedgepitch.routing.router import Router
-from tests.support.router_harness import SETTINGS, Rig, entry, finals, placed, sends
+from tests.support.router_harness import SETTINGS, Rig, entry, finals, route_request, sends
 
 
 def serve(
@@ -431,7 +431,7 @@
             (entry(2, state=EndpointState.DRAINING), entry(3, state=EndpointState.DRAINING)), complete=False
         )
     )
-    request, used = placed(rig, "any")
+    request, used = route_request(rig, "any")
     assert used == [] and len(finals(rig.log, request)) == 1
     assert sends(rig.receive("write")[1]) == [1]
 
@@ -451,7 +451,7 @@
         rig = Rig(seed=seed)
         primary_alone(rig, 2.0)
         while len(rig.router.endpoints[1].in_flight) < 2 and rig.ids < 30:
-            placed(rig, "any", ttl=0.9)
+            route_request(rig, "any", ttl=0.9)
         in_flight.append(len(rig.router.endpoints[1].in_flight))
         assert sends(rig.receive(name)[1]) == [1], seed
     assert max(in_flight) == 2
@@ -461,7 +461,7 @@
     rig = Rig()
     primary_alone(rig, 0.9)
     for _ in range(20):
-        assert placed(rig, "any")[1] == []
+        assert route_request(rig, "any")[1] == []
 
 
 @pytest.mark.parametrize(("instances", "first"), [(20, 1.0), (40, 0.6), (200, 0.12), (4000, 0.1)])
@@ -480,7 +480,7 @@
                 rig.feed(api.AttemptFinished(request, 0, 1, AttemptResult.OK, elapsed, True, primary=True))
             primary.concurrency_limit, primary.latency_ratio = 8.0, 0.0
             rig.router.latencies.zone_ratio.clear()
-            used += placed(rig, "bounded")[1] == [1]  # no replica has reported its position
+            used += route_request(rig, "bounded")[1] == [1]  # no replica has reported its position
         return used / 300
 
     assert share(0, 0.0) == pytest.approx(first, abs=0.06)
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -11,7 +11,7 @@
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult, EndpointState, SessionTracking, StaleReadHandling
 from sedgepitch.routing.records import EjectionReason
-from tests.support.router_harness import SETTINGS, Rig, entry, finals, placed, sends
+from tests.support.router_harness import SETTINGS, Rig, entry, finals, route_request, sends
 
 # Rule 1: one final answer, in time
 
@@ -238,7 +238,7 @@
     rig.report(2, 0.2)
     for age, endpoint in ((0.3, 2), (0.1, 1), (0.2, 1)):
         rig.router.endpoints[3].health_check_pending = True
-        request, used = placed(rig, "session", session_age=age)
+        request, used = route_request(rig, "session", session_age=age)
         assert used == [endpoint]
         rig.finish(request, 0, endpoint, AttemptResult.OK, primary=endpoint == 1)
 
@@ -247,7 +247,7 @@
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY))
     request, _ = rig.receive("write", session="s")
     rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
-    read, used = placed(rig, "session", session="s")
+    read, used = route_request(rig, "session", session="s")
     assert used == [1]
     rig.run(0.1)
     rig.report(2, 0.0)
@@ -282,7 +282,7 @@
     request, _ = rig.receive("write", session="s")
     rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
     rig.report(2, 0.0)
-    read, used = placed(rig, "session", session="s")
+    read, used = route_request(rig, "session", session="s")
     assert used == [1]
 
 
@@ -292,7 +292,7 @@
     request, _ = rig.receive("write", session="s")
     rig.feed(api.ClientDisconnected(request))
     rig.finish(request, 0, 1, AttemptResult.OK, primary=True, position=rig.now)
-    read, used = placed(rig, "session", session="s")
+    read, used = route_request(rig, "session", session="s")
     assert used == [1]
 
 
@@ -356,7 +356,8 @@
     return api.HealthCheckFinished(endpoint, AttemptResult.OK, 0.001, api.LoadReport(position, False))
 
 
-SESSION_EVENTS = "write read commits ends lost never report pass list".split()
+# An attempt commits, ends with a response, ends without one (lost) or ends without having run (never).
+SESSION_EVENTS = "write read commits ends lost never report wait list".split()
 SESSION_STEPS = st.lists(st.tuples(st.sampled_from(SESSION_EVENTS), st.integers(0, 7)), max_size=60)
 
 
@@ -367,6 +368,7 @@
     The router learns positions from responses and reports only.
     """
     rig = Rig(replace(SETTINGS, session_tracking=SessionTracking.BY_PROXY, hedging=bool(seed % 2)), seed=seed)
+    # An attempt in flight is [request, attempt number, endpoint, commit time or 0.0].
     names, attempts, in_flight, committed = {}, {}, [], {"s": -1.0, "t": -1.0}
     positions = {
         endpoint: rig.now for endpoint in (1, 2, 3)
@@ -410,7 +412,7 @@
             endpoint = 2 + which % 2
             positions[endpoint] = max(positions[endpoint], rig.now - 0.02 * (which // 2))
             check_sends(rig.feed(report_of(endpoint, positions[endpoint])))
-        elif what == "pass":
+        elif what == "wait":
             check_sends(rig.run(0.05 * which))
         elif what == "list":
             check_sends(rig.feed(api.EndpointListUpdate((entry(2 + which % 2),), complete=False)))
--- a/tests/test_router_zone_weights.py
+++ b/tests/test_router_zone_weights.py
@@ -6,7 +6,7 @@
 
 from sedgepitch.routing import messages as api
 from sedgepitch.routing.messages import AttemptResult
-from tests.support.router_harness import Rig, entry, placed, sends
+from tests.support.router_harness import Rig, entry, route_request, sends
 
 ENDPOINTS = (
     entry(1, primary=True, zone="a"),
@@ -31,7 +31,7 @@
     for _ in range(count):
         for endpoint in (1, 2, 3, 4):
             rig.report(endpoint, 0.0, primary=endpoint == 1)
-        request, endpoints = placed(rig, name, **fields)
+        request, endpoints = route_request(rig, name, **fields)
         for attempt, endpoint in enumerate(endpoints):
             counts[endpoint] = counts.get(endpoint, 0) + 1
             rig.finish(request, attempt, endpoint, AttemptResult.OK, position=rig.now)
@@ -73,7 +73,7 @@
 def test_weight_reinstates_no_ejected_endpoint_and_weight_zero_allows_no_trial():
     rig = make_rig()
     for _ in range(120):
-        request, endpoints = placed(rig, "any")
+        request, endpoints = route_request(rig, "any")
         for attempt, endpoint in enumerate(endpoints):
             if endpoint in (3, 4):
                 rig.finish(request, attempt, endpoint, AttemptResult.RESET)
@@ -85,7 +85,7 @@
     rig.feed(api.ZoneWeights((("b", 0.0),)))
     log_start = len(rig.log)
     for _ in range(100):
-        request, endpoints = placed(rig, "any")
+        request, endpoints = route_request(rig, "any")
         for attempt, endpoint in enumerate(endpoints):
             rig.finish(request, attempt, endpoint, AttemptResult.OK, position=rig.now)
         rig.run(0.05)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -57,13 +57,13 @@
     settings["specifics"] |= {"behind": "somehow", "sessionMarks": None}
     settings["classes"][1]["keyScope"] = "shelf"
     config = parse(with_settings(settings), {}, 0.0)
-    held = config.settings
-    assert (held.max_attempts, held.health_checks, held.retry_after) == (1, False, False)
+    translated = config.settings
+    assert (translated.max_attempts, translated.health_checks, translated.retry_after) == (1, False, False)
     assert (
-        held.stale_read_handling is api.StaleReadHandling.SERVE
-        and held.session_tracking is api.SessionTracking.BY_CLIENT
+        translated.stale_read_handling is api.StaleReadHandling.SERVE
+        and translated.session_tracking is api.SessionTracking.BY_CLIENT
     )
-    assert held.classes[1].deduplication_scope is api.DeduplicationScope.CELL
+    assert translated.classes[1].deduplication_scope is api.DeduplicationScope.CELL
     assert config.idle_for == 60.0 and config.connect_within == 1.0
 
 
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -15,7 +15,7 @@
     st.one_of(
         st.tuples(st.just("put"), st.floats(0.0, 3000.0)),
         st.tuples(st.just("cancel"), st.integers(0, 200)),
-        st.tuples(st.just("pass"), st.floats(0.0, 500.0)),
+        st.tuples(st.just("advance"), st.floats(0.0, 500.0)),
     ),
     max_size=80,
 )
@@ -27,13 +27,13 @@
     now, tick, number = 0.0, 0.5, 0
     wheel: TimingWheel[int] = TimingWheel(tick, now)
     entries, heap, due = {}, [], {}
-    for what, amount in steps:
-        if what == "put":
+    for step, amount in steps:
+        if step == "put":
             number += 1
             due[number] = now + amount
             entries[number] = wheel.put(due[number], number)
             heapq.heappush(heap, (due[number], number))
-        elif what == "cancel" and entries:
+        elif step == "cancel" and entries:
             chosen = sorted(entries)[int(amount) % len(entries)]
             assert wheel.cancel(entries.pop(chosen))
             heap = [e for e in heap if e[1] != chosen]
--- a/tests/test_syscall_filter.py
+++ b/tests/test_syscall_filter.py
@@ -20,18 +20,18 @@
 import os, socket, sys
 from tests.support.syscall_filter import confine
 confine()
-here, there = os.pipe()
+read_end, write_end = os.pipe()
 for name, call in {
     "fork": os.fork,
     "exec": lambda: os.execv(sys.executable, [sys.executable, "-c", ""]),
-    "sendfile": lambda: os.sendfile(there, here, 0, 1),
-    "splice": lambda: os.splice(here, there, 1),
+    "sendfile": lambda: os.sendfile(write_end, read_end, 0, 1),
+    "splice": lambda: os.splice(read_end, write_end, 1),
     "ipv6": lambda: socket.socket(socket.AF_INET6),
     "unix": lambda: socket.socket(socket.AF_UNIX),
 }.items():
     try:
         call()
-        print(name, "went through")
+        print(name, "was allowed")
     except OSError as error:
         print(name, error.errno)
 socket.socket(socket.AF_INET).close()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -21,8 +21,8 @@
         for number in range(1, REQUESTS + 1):
             assert client.query(read_statement(number))[0] == "value"
         platform.wait_for("endpoint_states endpoints=s-")
-        give_up_at = time.monotonic() + TIMEOUT_S
-        while time.monotonic() < give_up_at:  # a hedged request may still be in flight
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:  # a hedged request may still be in flight
             endpoints = compare(read_trace(platform.log.read_text().splitlines())).values()
             if all(endpoint.router_count == len(endpoint.busy_connections) == 0 for endpoint in endpoints):
                 break
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -31,20 +31,20 @@
     assert outcome["lost"] == 1
     assert outcome["raised"] == ""
     if case == "half_close":
-        assert outcome["data"] == len(b"request")
+        assert outcome["bytes_received"] == len(b"request")
 
 
 @pytest.mark.parametrize("reactor", REACTORS)
 def test_arrival_time_is_when_the_bytes_arrived_and_not_when_they_were_read(reactor):
-    assert run_case(reactor, "arrival")["waited"] > 0.25
+    assert run_case(reactor, "arrival")["read_delay_s"] > 0.25
 
 
 @pytest.mark.parametrize("reactor", REACTORS)
 def test_a_write_is_sent_before_the_turn_ends(reactor):
-    assert run_case(reactor, "answer_leaves_at_once")["answered_before_the_turn_ended"]
+    assert run_case(reactor, "immediate_write")["answered_before_the_turn_ended"]
 
 
 def test_a_stopped_reader_pauses_its_producer_and_gets_every_byte_later():
     outcome = run_case("uvloop", "stopped_reader")
     assert outcome["paused"] and outcome["resumed"]
-    assert outcome["whole"] is True
+    assert outcome["all_received"] is True
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -25,7 +25,7 @@
 
 
 def row(zone: str, condition: str = "well", share: float = 1.0) -> ZoneObservation:
-    """Return an observation of a zone in a condition, at a share of the reads; most have three endpoints."""
+    """Return an observation of a zone in this condition by an instance that sends it `share` of its reads."""
     if share <= 0.0:
         return ZoneObservation(zone)
     if condition == "lost":
@@ -43,7 +43,7 @@
 
 
 class ZoneFleet:
-    """Instances in three zones; `condition(own_zone, zone)` is a zone's state as seen from another zone.
+    """Instances in three zones; `condition(own_zone, zone)` is what instances of `own_zone` see of `zone`.
 
     Digests arrive after `delay` steps, by default 0.3 s.
     """
@@ -121,7 +121,7 @@
     fleet.condition = lost_to(*ZONES)
     fleet.run(1.0)
     assert set(fleet.shares().values()) == {0.0} and fleet.states() == {ZoneState.LEFT}
-    fleet.run(5.0)  # a few instances try without success
+    fleet.run(5.0)  # a few instances send trial requests, without success
     assert 0 < sum(s > 0 for s in fleet.shares().values()) <= 3 * fleet.settings.trial_instances
     fleet.condition = lambda own, zone: "well"
     recovered_at = fleet.now
@@ -639,6 +639,7 @@
 @pytest.mark.parametrize(
     ("named", "endpoints_up", "lost"),
     [
+        # `named`: the endpoint of zone c that each instance uses
         (range(9), 12, True),  # each instance uses another endpoint
         ([1, 2, 3, 4, 4, 4, 4, 4, 4], 12, True),  # four different endpoints reach the outage threshold
         ([1, 2, 3, 3, 3, 3, 3, 3, 3], 12, False),
