--- a/tests/support/golden_pool.py
+++ b/tests/support/golden_pool.py
@@ -64,7 +64,7 @@
         self.rng = random.Random(f"golden pool {seed}")
         self.digest = Digest()
         self.task = Clock()
-        self.made: list[SimulatedConnection] = []
+        self.requested: list[SimulatedConnection] = []
         self.attempts: list[Any] = []
         self.closed: list[int] | None = None  # numbers of the connections closed by the final pool.close()
         self.budget = DescriptorBudget(self.rng.choice((0, 64)))
@@ -77,8 +77,8 @@
 
     def connect(self, ready: Any, failed: Any, lost: Any) -> Any:
         """Start to open a connection; return the function that cancels it."""
-        connection = SimulatedConnection(self, len(self.made), ready, failed, lost)
-        self.made.append(connection)
+        connection = SimulatedConnection(self, len(self.requested), ready, failed, lost)
+        self.requested.append(connection)
         return connection.give_up
 
     def judge(self, attempt: Any, reply: Any) -> AttemptOutcome:
@@ -124,11 +124,11 @@
 
     def at_most_one_opening(self) -> bool:
         """Return whether at most one connection is opening; among several, the pool may pick any."""
-        return sum(connection.state == "opening" for connection in self.made) <= 1
+        return sum(connection.state == "opening" for connection in self.requested) <= 1
 
     def connection_event(self, kind: int) -> None:
         """Make a connection open, fail, answer, be lost or have a full socket."""
-        live = [c for c in self.made if c.state != "over"]
+        live = [c for c in self.requested if c.state != "over"]
         if not live:
             return
         connection = self.rng.choice(live)
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -210,14 +210,14 @@
 
 
 def test_a_long_pending_request_is_answered_by_the_drain_deadline():
-    for make, code in ((read, "53300"), (write, statement_handler.SQLSTATE_FAILED)):
+    for make, sqlstate in ((read, "53300"), (write, statement_handler.SQLSTATE_FAILED)):
         proxy = PostgresqlProxy()
         connection, wire = proxy.client()
         connection.dataReceived(make(1, d="60000"))
         proxy.turn()
         proxy.engine.answer_all_by(proxy.clock.now() + 1.0)
         proxy.advance_in_steps(1.05)
-        assert [e["C"] for e in errors(wire)] == [code]
+        assert [e["C"] for e in errors(wire)] == [sqlstate]
 
 
 @pytest.mark.parametrize("longest_deadline", [0.05, 0.3, 1.0, 3.0, 60.0])
--- a/tests/test_golden_admission.py
+++ b/tests/test_golden_admission.py
@@ -1,6 +1,6 @@
 """Golden digests of admission control: the same seed gives the same decisions as when they were recorded.
 
-`python -m tests.test_golden_admission` prints the digests of the present code, to record them again after an
+`python -m tests.test_golden_admission` prints the digests of the current code, to record them again after an
 intended change of behaviour.
 """
 
@@ -20,16 +20,16 @@
 
 
 @cache
-def played(seed: int) -> AdmissionSimulation:
-    """Run one seed against the controller; cached."""
-    controller = AdmissionSimulation(seed)
-    controller.play()
-    return controller
+def run_seed(seed: int) -> AdmissionSimulation:
+    """Run one seed against the controller; the result is cached."""
+    simulation = AdmissionSimulation(seed)
+    simulation.play()
+    return simulation
 
 
 def play(seed: int) -> dict[str, str]:
     """Return the digest of the controller's decisions, and one of each limit on its own."""
-    return {"controller": played(seed).digest.hash.hexdigest(), **play_limits(seed)}
+    return {"controller": run_seed(seed).digest.hash.hexdigest(), **play_limits(seed)}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -41,8 +41,8 @@
     kinds: Counter[str] = Counter()
     reasons: set[str] = set()
     for seed in SEEDS:
-        kinds.update(played(seed).digest.kinds)
-        reasons.update(played(seed).digest.reasons)
+        kinds.update(run_seed(seed).digest.kinds)
+        reasons.update(run_seed(seed).digest.reasons)
     assert {"admit", "reject", "promise", "left"} <= set(kinds)
     assert len(reasons) == 5, sorted(reasons)
 
--- a/tests/test_golden_discovery.py
+++ b/tests/test_golden_discovery.py
@@ -1,6 +1,6 @@
 """Golden digests of discovery and client connections: a seed gives the same text as when they were recorded.
 
-`python -m tests.test_golden_discovery` prints the digests of the present code, to record them again after an
+`python -m tests.test_golden_discovery` prints the digests of the current code, to record them again after an
 intended change of behaviour.
 """
 
--- a/tests/test_golden_engine.py
+++ b/tests/test_golden_engine.py
@@ -22,9 +22,9 @@
 @cache
 def run_seed(seed: int) -> EngineSimulation:
     """Run one seed; the result is cached."""
-    engine_play = EngineSimulation(seed)
-    engine_play.play()
-    return engine_play
+    simulation = EngineSimulation(seed)
+    simulation.play()
+    return simulation
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/test_golden_pool.py
+++ b/tests/test_golden_pool.py
@@ -26,9 +26,9 @@
 def test_the_seeds_cover_every_kind_of_event():
     kinds: Counter[str] = Counter()
     for seed in SEEDS:
-        play = PoolSimulation(seed)
-        play.play()
-        kinds.update(play.digest.kinds)
+        simulation = PoolSimulation(seed)
+        simulation.play()
+        kinds.update(simulation.digest.kinds)
     assert set(kinds) == {"pool", "start", "give up", "close", "closed", "judge", "ended", "withdraw"}
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_no_member_is_declared_dead_under_loss_duplication_and_reordering(seed):
     cluster, names = joined_cluster(16, seed, loss=0.2, duplication=0.2, max_delay=0.05)
-    cluster.run(120.0)  # suspicions occur, but are refuted
+    cluster.run(120.0)  # members are suspected, but refute it in time
     allowed = {EventKind.JOINED, EventKind.SUSPECTED, EventKind.RECOVERED}
     assert {event.kind for event in cluster.record.events} <= allowed
     assert cluster.agree(names)
